--- a/src/main/java/org/dewreach/controller/FleetDesk.java
+++ b/src/main/java/org/dewreach/controller/FleetDesk.java
@@ -81,6 +81,9 @@
   /** A machine that is set aside keeps its tasks for so long, in which it may be cleared. Ours. */
   private static final long TRIED_ELSEWHERE = 8_000_000;
 
+  /** It keeps them for this long while a job that failed there is still tried elsewhere. Ours. */
+  private static final long LONGEST_TRIAL = 60_000_000;
+
   /** A rental request on its way. */
   private static final class Asked {
     final String name;
@@ -328,8 +331,7 @@
 
   private void drain(long nowMicros) {
     for (Machine machine : List.copyOf(books.machines().values())) {
-      // A job that fails everywhere has been tried elsewhere by then.
-      boolean faulty = machine.setAside() && nowMicros - machine.setAsideAt() > TRIED_ELSEWHERE;
+      boolean faulty = surelyFaulty(machine, nowMicros);
       boolean leaving = machine.recallAt() >= 0 || faulty;
       if (!leaving || machine.phase() == MachinePhase.RETURNING) {
         continue;
@@ -361,6 +363,23 @@
     }
   }
 
+  /**
+   * True if the jobs that failed on a machine that is set aside have been tried elsewhere.
+   *
+   * <p>Guards against healthy machines returned for jobs that take a while to fail: the second
+   * failure, which shows that it is the job, comes no sooner than the first one did.
+   */
+  private boolean surelyFaulty(Machine machine, long nowMicros) {
+    if (!machine.setAside()) {
+      return false;
+    }
+    boolean onTrial =
+        machine.erredJobs().stream()
+            .map(books.jobs()::get)
+            .anyMatch(job -> job != null && job.unproven());
+    return nowMicros - machine.setAsideAt() > (onTrial ? LONGEST_TRIAL : TRIED_ELSEWHERE);
+  }
+
   /** True if a task has far more left to run, by its owner's estimate, than the time given. */
   private static boolean hopeless(Task task, long leftMicros, long nowMicros) {
     boolean running = task.phase() == TaskPhase.RUNNING;
--- a/src/main/java/org/dewreach/controller/ReportDesk.java
+++ b/src/main/java/org/dewreach/controller/ReportDesk.java
@@ -314,11 +314,24 @@
       if (blamed && machine.setAside() && !faulty(machine, job)) {
         LOG.info("machine {} is given tasks again: job {} fails everywhere", name, job.id());
         machine.notSetAside();
+        resume(machine, nowMicros);
         books.touch();
       }
     }
   }
 
+  /**
+   * A machine that only drains because it was set aside takes tasks again.
+   *
+   * <p>Guards against a machine that is cleared once {@link FleetDesk} has begun to drain it: it
+   * was given nothing, and never returned, until the term ended.
+   */
+  private static void resume(Machine machine, long nowMicros) {
+    if (machine.phase() == MachinePhase.DRAINING && machine.recallAt() < 0) {
+      machine.become(MachinePhase.UP, nowMicros);
+    }
+  }
+
   /** What a task that the books bind here needs, after a report that is sure to show all. */
   private void settleBound(
       Machine machine,
--- a/src/main/java/org/dewreach/job/Job.java
+++ b/src/main/java/org/dewreach/job/Job.java
@@ -306,6 +306,11 @@
     return failures >= DOUBTFUL_FROM;
   }
 
+  /** True if it failed once and has neither completed a task nor failed elsewhere since. */
+  public boolean unproven() {
+    return failures > 0 && !doubtful();
+  }
+
   /**
    * Its tasks are not placed on the machine until then, or until many others were avoided since.
    */
--- a/src/test/java/org/dewreach/controller/ReportDeskTest.java
+++ b/src/test/java/org/dewreach/controller/ReportDeskTest.java
@@ -314,6 +314,35 @@
     assertTrue(job.notBefore() - 9 * 65 * S >= 60 * S, "it rests for as long as it ever does");
   }
 
+  /** Red without {@code ReportDesk.resume}: the machine stayed DRAINING until the term ended. */
+  @Test
+  void aMachineClearedWhileItDrainsIsUsedAgain() {
+    Machine drained = machine("m1", MachinePhase.BOOTING);
+    Machine elsewhere = machine("m2", MachinePhase.BOOTING);
+    Job second = other("req-000002");
+    fail(job, drained, S);
+    fail(second, drained, S);
+    assertTrue(drained.setAside());
+    drained.become(MachinePhase.DRAINING, 10 * S);
+    fail(job, elsewhere, 25 * S);
+    assertEquals(MachinePhase.UP, drained.phase());
+    assertTrue(drained.usable());
+  }
+
+  /** A machine that is to be taken is given nothing, whatever becomes of the jobs. */
+  @Test
+  void aMachineToBeTakenDrainsOnOnceCleared() {
+    Machine drained = machine("m1", MachinePhase.BOOTING);
+    Machine elsewhere = machine("m2", MachinePhase.BOOTING);
+    Job second = other("req-000002");
+    fail(job, drained, S);
+    fail(second, drained, S);
+    drained.recallAt(40 * S);
+    drained.become(MachinePhase.DRAINING, 10 * S);
+    fail(job, elsewhere, 25 * S);
+    assertEquals(MachinePhase.DRAINING, drained.phase());
+  }
+
   /** A sick machine is found out although its jobs are new, and by jobs that complete elsewhere. */
   @Test
   void jobsThatCompleteElsewhereSpeakAgainstAMachine() {
