--- a/src/main/java/org/dewreach/controller/Dispatcher.java
+++ b/src/main/java/org/dewreach/controller/Dispatcher.java
@@ -106,7 +106,7 @@
         ordinaryFree = books.freeCpus(false);
         measured = true;
       }
-      if (job.notBefore() > nowMicros) {
+      if (job.notBefore() > nowMicros || onTrial(job)) {
         continue;
       }
       int room = books.quotas().room(job.spec(), job.pending());
@@ -141,6 +141,16 @@
     return waiting;
   }
 
+  /**
+   * True while the one task runs that shows whether a doubtful job still fails.
+   *
+   * <p>Guards against a job that fails everywhere, but only after a while: given one task in each
+   * pass, it held ever more room until the first of them failed.
+   */
+  private static boolean onTrial(Job job) {
+    return job.doubtful() && job.hasBound();
+  }
+
   /** Jobs with the same likeness fit on the same machines. */
   private String likeness(Job job, long nowMicros) {
     JobRequest spec = job.spec();
--- a/src/test/java/org/dewreach/controller/DispatcherTest.java
+++ b/src/test/java/org/dewreach/controller/DispatcherTest.java
@@ -206,6 +206,9 @@
     assertEquals(0, job.bound().size(), "it rests");
     assertEquals(List.of(), dispatcher.pass(6 * S, each -> true, 5 * S));
     assertEquals(1, job.bound().size());
+    // Guards against one more task in each pass while the first has not failed yet.
+    assertEquals(List.of(), dispatcher.pass(6_500_000, each -> true, 5 * S));
+    assertEquals(1, job.bound().size(), "one at a time");
     books.markDone(job, 7);
     dispatcher.pass(7 * S, each -> true, 5 * S);
     assertEquals(10, job.bound().size(), "it got somewhere");
--- /dev/null
+++ b/src/test/java/org/dewreach/controller/FleetDeskTest.java
@@ -0,0 +1,144 @@
+package org.dewreach.controller;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import java.util.Map;
+import org.dewreach.cloud.CloudService;
+import org.dewreach.config.Settings;
+import org.dewreach.config.Tuning;
+import org.dewreach.job.Job;
+import org.dewreach.job.JobPhase;
+import org.dewreach.leadership.Lending;
+import org.dewreach.machine.Machine;
+import org.dewreach.machine.MachinePhase;
+import org.dewreach.port.Calls;
+import org.dewreach.store.StateService;
+import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.MachineType;
+import org.dewreach.wire.Shape;
+import org.dewreach.wire.Urgency;
+import org.junit.jupiter.api.Test;
+
+/** When a machine that is taken for faulty is given up. */
+class FleetDeskTest {
+  private static final long S = 1_000_000;
+  private static final MachineType TYPE =
+      new MachineType("box", 8, 0, 32, 50, 1, 1, 0.3, 5 * S, List.of("a"));
+  private static final Settings SETTINGS = settings();
+
+  private final Calls calls = new Calls();
+  private final CloudService cloud = new CloudService(calls, 100);
+  private final Books books = new Books(90, SETTINGS.teams(), Tuning.DEFAULT);
+  private final FleetRegister register = new FleetRegister(null, 8192, 0, null);
+  private final FleetDesk desk =
+      new FleetDesk(
+          90,
+          books,
+          register,
+          new Lending(90, SETTINGS, () -> Long.MIN_VALUE),
+          cloud,
+          new CatalogKeeper(new StateService(calls), cloud),
+          SETTINGS,
+          Tuning.DEFAULT,
+          0,
+          0);
+
+  private static Settings settings() {
+    Settings.Address any = new Settings.Address("127.0.0.1", 1);
+    return new Settings(
+        "n0",
+        "a",
+        any,
+        any,
+        List.of(new Settings.Member("n2", "b", any)),
+        any,
+        any,
+        List.of("a", "b"),
+        0,
+        Map.of("red", new Settings.Team("red", 4, 10, 0, 0)),
+        List.of(),
+        new Settings.Workers(S, 10 * S, 30 * S),
+        new Settings.StateLimits(100, 50, 8192, 24),
+        new Settings.CloudLimits(100, 3 * S),
+        new Settings.Limits(0.5, 200, 500));
+  }
+
+  private Machine machine(String name) {
+    Machine machine = new Machine(name, "", TYPE, "a", false, MachinePhase.BOOTING, 0);
+    machine.recorded(true);
+    machine.become(MachinePhase.UP, 0);
+    books.add(machine);
+    return machine;
+  }
+
+  private Job job(String id) {
+    JobRequest spec =
+        new JobRequest(
+            id,
+            "scan",
+            "red",
+            Shape.SWEEP,
+            Urgency.NORMAL,
+            4,
+            1,
+            0,
+            1,
+            "img",
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            10 * S,
+            0,
+            0,
+            -1);
+    Job job = new Job(spec, 0, true, JobPhase.LIVE);
+    books.jobs().put(id, job);
+    return job;
+  }
+
+  /** Each machine reports, and the desk has its round, each second. */
+  private void play(long fromMicros, long untilMicros) {
+    for (long at = fromMicros; at <= untilMicros; at += S) {
+      long now = at;
+      books.machines().values().forEach(machine -> machine.reported(now));
+      desk.tick(now, List.of(), false);
+    }
+  }
+
+  private void failed(Machine machine, Job job, long atMicros) {
+    job.failedOn(machine.name(), atMicros);
+    machine.erredJobs().add(job.id());
+    machine.erred();
+  }
+
+  /**
+   * Red without {@code FleetDesk.LONGEST_TRIAL}: a job whose tasks take 20 s to fail cannot have
+   * failed elsewhere within 8 s, and the healthy machine was returned.
+   */
+  @Test
+  void aMachineIsKeptWhileItsJobsAreTriedElsewhere() {
+    Machine machine = machine("m1");
+    failed(machine, job("req-1"), S);
+    failed(machine, job("req-2"), S);
+    machine.setAside(S);
+    play(2 * S, 58 * S);
+    assertEquals(MachinePhase.UP, machine.phase());
+    play(59 * S, 65 * S);
+    assertEquals(MachinePhase.RETURNING, machine.phase(), "not for ever");
+  }
+
+  @Test
+  void aMachineIsReturnedSoonOnceItsJobsCompleteElsewhere() {
+    Machine machine = machine("m1");
+    List<Job> jobs = List.of(job("req-1"), job("req-2"));
+    jobs.forEach(job -> failed(machine, job, S));
+    machine.setAside(S);
+    jobs.forEach(job -> books.markDone(job, 0));
+    play(2 * S, 12 * S);
+    assertEquals(MachinePhase.RETURNING, machine.phase());
+  }
+}
--- a/src/test/java/org/dewreach/sim/SimWorker.java
+++ b/src/test/java/org/dewreach/sim/SimWorker.java
@@ -367,8 +367,11 @@
     piece.onMachine = true;
     world.checker.onStart(this, jobOf(key), indexOf(key));
     change();
+    Long failsAfter = world.users.failsAfter.get(jobOf(key));
     if (sick) {
       world.clock.in(200_000, () -> finish(key, piece, "error"));
+    } else if (failsAfter != null) {
+      world.clock.in(failsAfter, () -> finish(key, piece, "error"));
     } else if (spec.expectedMicros() > 0) {
       long run = spec.expectedMicros() * (50 + random.nextInt(100)) / 100;
       world.clock.in(run, () -> finish(key, piece, "done"));
--- a/src/test/java/org/dewreach/sim/World.java
+++ b/src/test/java/org/dewreach/sim/World.java
@@ -112,6 +112,7 @@
     this.users = new SimUsers(this);
     checker.machines = this::workers;
     checker.onLastEnd = users::onLastEnd;
+    checker.failsEverywhere = users.failsAfter::containsKey;
     for (String name : NODES) {
       nodeSettings.put(name, settingsOf(name, limitFactor, size));
       nodes.put(name, new NodeProcess());
@@ -225,6 +226,12 @@
         cpus_max = %s
         gpus = 0.0
         gpus_max = 0.0
+        [[cluster.teams]]
+        name = "guest"
+        cpus = 0.0
+        cpus_max = 0.0
+        gpus = 0.0
+        gpus_max = 0.0
         [cluster.workers]
         report_s = %s
         lease_s = %s
