--- a/src/test/java/org/dewreach/sim/Checker.java
+++ b/src/test/java/org/dewreach/sim/Checker.java
@@ -49,6 +49,9 @@
   /** Told each job whose last task has completed, at that moment. */
   Consumer<String> onLastEnd = id -> {};
 
+  /** Told each job that users have just heard to be accepted, done or cancelled. */
+  Consumer<String> onNews = id -> {};
+
   /** The machines that are up; none unless a world tells. */
   Supplier<List<SimWorker>> machines = List::of;
 
@@ -247,7 +250,7 @@
         judged(id, status, job.refusal);
       }
     } else if (status == 200 || status == 201) {
-      accepted(job);
+      accepted(id, job);
       told(id, job, asked, standing);
     } else if (asked.accepted() && status >= 400 && status != 429 && status < 500) {
       breaks("forgotten", id + " refused with " + status + " after it was accepted");
@@ -268,15 +271,16 @@
         breaks("invented", id + " answered 200");
         return;
       }
-      accepted(job);
+      accepted(id, job);
       told(id, job, asked, standing);
     }
   }
 
-  private void accepted(JobView job) {
+  private void accepted(String id, JobView job) {
     if (!job.accepted) {
       job.accepted = true;
       job.acceptedAt = clock.now();
+      onNews.accept(id);
     }
   }
 
@@ -290,6 +294,8 @@
     if (status == 200 && job(id).spec == null) {
       breaks("invented", id + " cancelled");
     } else if (status == 200) {
+      // Nobody is told the state of a job that was not accepted.
+      accepted(id, job(id));
       told(id, job(id), asked, standing);
     } else {
       // Of a job whose acceptance is not known of, 404 may be right.
@@ -320,6 +326,7 @@
       } else {
         toldDone++;
       }
+      onNews.accept(id);
     }
   }
 
--- a/src/test/java/org/dewreach/sim/CheckerTest.java
+++ b/src/test/java/org/dewreach/sim/CheckerTest.java
@@ -1,11 +1,17 @@
 package org.dewreach.sim;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.dewreach.wire.Codec;
+import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.Shape;
+import org.dewreach.wire.Urgency;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Each check fires when the fault is there that it is to find. */
 class CheckerTest {
@@ -166,4 +172,84 @@
     world.play(200 * S);
     assertFinds("forgotten", world);
   }
+
+  private static final String JOB = "req-000001";
+
+  /** Books in which a job was submitted, and nobody has been told anything of it. */
+  private static Checker submitted() {
+    Checker checker = new World(7).checker;
+    checker.onSubmit(
+        new JobRequest(
+            JOB,
+            "sweep",
+            "red",
+            Shape.SWEEP,
+            Urgency.NORMAL,
+            1,
+            1,
+            0,
+            1,
+            "img",
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            S,
+            0,
+            0,
+            -1));
+    checker.onAbortAsked(JOB);
+    return checker;
+  }
+
+  private static void assertFinds(String rule, Checker checker) {
+    assertEquals(1, checker.broken.size(), checker.broken.toString());
+    assertTrue(checker.broken.get(0).startsWith(rule), checker.broken.toString());
+  }
+
+  /** Accepted by any answer that tells of the job, a confirmed cancellation among them. */
+  @ParameterizedTest
+  @ValueSource(strings = {"submission", "question", "cancellation"})
+  void unknownAfterItWasAccepted(String told) {
+    Checker checker = submitted();
+    Checker.Asked before = checker.ask(JOB);
+    switch (told) {
+      case "submission" -> checker.onSubmitAnswer(JOB, before, 201, "pending");
+      case "question" -> checker.onQueryAnswer(JOB, before, 200, "running");
+      default -> checker.onAbortAnswer(JOB, before, 200, "withdrawn");
+    }
+    checker.onQueryAnswer(JOB, before, 404, "");
+    assertEquals(List.of(), checker.broken, "a question on its way may be answered by what was");
+    checker.onQueryAnswer(JOB, checker.ask(JOB), 404, "");
+    assertFinds("forgotten", checker);
+  }
+
+  @ParameterizedTest
+  @ValueSource(ints = {400, 422})
+  void refusedAfterItWasAccepted(int status) {
+    Checker checker = submitted();
+    checker.onSubmitAnswer(JOB, checker.ask(JOB), 201, "pending");
+    checker.onSubmitAnswer(JOB, checker.ask(JOB), status, "");
+    assertFinds("forgotten", checker);
+  }
+
+  /** Whichever request the older answer is to. */
+  @ParameterizedTest
+  @ValueSource(strings = {"submission", "question", "cancellation"})
+  void olderAfterItWasCancelled(String asked) {
+    Checker checker = submitted();
+    Checker.Asked before = checker.ask(JOB);
+    checker.onAbortAnswer(JOB, before, 200, "withdrawn");
+    checker.onQueryAnswer(JOB, before, 200, "running");
+    assertEquals(List.of(), checker.broken, "a question on its way may be answered by what was");
+    Checker.Asked after = checker.ask(JOB);
+    switch (asked) {
+      case "submission" -> checker.onSubmitAnswer(JOB, after, 200, "pending");
+      case "question" -> checker.onQueryAnswer(JOB, after, 200, "running");
+      default -> checker.onAbortAnswer(JOB, after, 200, "pending");
+    }
+    assertFinds("went_back", checker);
+  }
 }
--- /dev/null
+++ b/src/test/java/org/dewreach/sim/CurrentAnswersTest.java
@@ -0,0 +1,192 @@
+package org.dewreach.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.stream.LongStream;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.DisplayName;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * Combinations of faults in which a node could answer a user with something older than what any
+ * node has told before. The checker compares each answer with what had been told when its question
+ * was sent.
+ */
+class CurrentAnswersTest {
+  private static final long S = 1_000_000;
+
+  /** How a combination is brought about, and what shows that it took place. */
+  private enum Combination {
+    CLOSE_LOOKS {
+      @Override
+      void bring(Day day) {
+        day.world.users.closeLooks(day.until(90));
+        day.world.users.cancelAtEnd(200, day.until(90));
+        for (double at = 0; at < 80; at += day.between(0.3, 1.5)) {
+          day.in(at, day.world.users::arrive);
+        }
+        for (double at = 2; at < 70; at += day.between(6, 12)) {
+          day.in(at, () -> disturbAnswers(day));
+          day.in(at + day.between(0, 3), () -> day.world.users.cancelNow(2, 0));
+        }
+        day.quietFrom = day.until(100);
+      }
+
+      @Override
+      boolean tookPlace(Day day) {
+        return day.withdrawn() > 5 && day.world.checker.toldDone > day.doneBefore + 5;
+      }
+    },
+
+    ANSWERS_LOST {
+      @Override
+      void bring(Day day) {
+        int share = 100 + day.random.nextInt(500);
+        day.world.state.loseAnswers(share, day.until(50));
+        day.world.users.closeLooks(day.until(60));
+        day.world.users.cancelAtEnd(300, day.until(60));
+        for (double at = 0; at < 50; at += day.between(0.3, 1.5)) {
+          day.in(at, day.world.users::arrive);
+        }
+        for (double at = 1; at < 50; at += day.between(2, 6)) {
+          day.in(at, () -> day.world.users.cancelNow(1, 0));
+          if (day.oneIn(2)) {
+            // Jobs are then accepted, read and cancelled without the leader.
+            day.in(at, () -> leaveLeaderOut(day, day.between(0.5, 4)));
+          }
+          if (day.oneIn(4)) {
+            day.in(at + day.between(0, 1), day::disturbNode);
+          }
+        }
+        day.quietFrom = day.until(75);
+      }
+
+      @Override
+      boolean tookPlace(Day day) {
+        return day.world.state.lostAnswers > 20 && day.withdrawn() > 3;
+      }
+    },
+
+    CANCELLED_AT_A_CHANGE_OF_LEADER {
+      @Override
+      void bring(Day day) {
+        day.world.users.closeLooks(day.until(90));
+        for (double at = 2; at < 75; at += day.between(8, 14)) {
+          for (int i = 0; i < 4; i++) {
+            day.in(at - 2, () -> day.arriveLong(60 * S));
+          }
+          day.in(at, () -> changeLeader(day));
+          for (int i = 0; i < 6; i++) {
+            day.in(at + day.between(-0.5, 5), () -> day.world.users.cancelNow(1, 0));
+          }
+        }
+        day.quietFrom = day.until(100);
+      }
+
+      @Override
+      boolean tookPlace(Day day) {
+        return day.leaders() > 2 && day.withdrawn() > 5;
+      }
+    },
+
+    MANY_SHORT_JOBS {
+      @Override
+      void bring(Day day) {
+        day.world.users.closeLooks(day.until(100));
+        for (double at = 0; at < 90; at += 0.25) {
+          day.in(at, day.world.users::arriveShort);
+        }
+        if (day.oneIn(2)) {
+          day.in(day.between(5, 60), () -> changeLeader(day));
+        }
+        day.quietFrom = day.until(110);
+      }
+
+      @Override
+      boolean tookPlace(Day day) {
+        return day.withdrawn() > 20 && day.world.checker.toldDone > day.doneBefore + 100;
+      }
+    };
+
+    abstract void bring(Day day);
+
+    abstract boolean tookPlace(Day day);
+
+    /** The leader ends, stands still, is refused, hears no worker, or is back at once. */
+    private static void changeLeader(Day day) {
+      String leader = day.leader();
+      double length = day.between(3, 7);
+      switch (day.random.nextInt(5)) {
+        case 0 -> day.world.crash(leader, S + day.random.nextLong(8 * S));
+        case 1 -> day.world.freeze(leader, (long) (length * S));
+        case 2 -> day.world.state.refuse(leader, day.until(length));
+        case 3 ->
+            day.world
+                .workers()
+                .forEach(w -> day.world.network.part(w.name, leader, day.until(length), false));
+        default -> day.world.crash(leader, 20_000 + day.random.nextLong(500_000));
+      }
+    }
+
+    /** For a while the other nodes do not reach the leader, and read the state service. */
+    private static void leaveLeaderOut(Day day, double length) {
+      String leader = day.leader();
+      for (String node : World.NODES) {
+        if (!node.equals(leader)) {
+          day.world.network.refuse(node, leader, day.until(length));
+        }
+      }
+    }
+
+    /** Something from which the nodes' answers come is cut, late or slow for some seconds. */
+    private static void disturbAnswers(Day day) {
+      double length = day.between(1, 6);
+      String leader = day.leader();
+      switch (day.random.nextInt(9)) {
+        case 0, 1 -> leaveLeaderOut(day, length);
+        case 2 -> day.world.state.outage((long) (length * S));
+        case 3 -> day.world.state.slow(day.until(length));
+        case 4 -> day.world.state.loseAnswers(400, day.until(length));
+        case 5 -> day.world.network.cut("state", leader, day.until(length), day.oneIn(2));
+        case 6 -> day.world.cutFromStateAndPeers(leader, day.until(length), day.oneIn(2));
+        case 7 -> changeLeader(day);
+        default -> {
+          World.NODES.forEach(node -> day.world.state.lagWatches(node, day.until(length)));
+          leaveLeaderOut(day, length);
+        }
+      }
+    }
+  }
+
+  /** Three seeds of each combination; more with -Dsim.seeds, from -Dsim.from on. */
+  static Stream<Arguments> combinations() {
+    long from = Long.getLong("sim.from", 1);
+    long seeds = Long.getLong("sim.seeds", 3);
+    String only = System.getProperty("sim.combination", "");
+    return Stream.of(Combination.values())
+        .filter(combination -> combination.name().startsWith(only))
+        .flatMap(
+            combination ->
+                LongStream.range(from, from + seeds)
+                    .mapToObj(seed -> Arguments.of(combination, seed)));
+  }
+
+  @ParameterizedTest(name = "{0}, seed {1}")
+  @MethodSource("combinations")
+  @DisplayName("No node answers anything older than what any node has told before")
+  void nothingOlderIsAnswered(Combination combination, long seed) {
+    Day day = new Day(seed);
+    combination.bring(day);
+    World world = day.world;
+    world.checker.quietSince = day.quietFrom;
+    world.play(day.quietFrom + 100 * S);
+    assertEquals(List.of(), world.checker.broken, combination + ", seed " + seed);
+    assertTrue(
+        combination.tookPlace(day),
+        "it did not take place: " + day.leaders() + " leaders, " + day.withdrawn() + " withdrawn");
+  }
+}
--- a/src/test/java/org/dewreach/sim/SimState.java
+++ b/src/test/java/org/dewreach/sim/SimState.java
@@ -45,6 +45,12 @@
   private int lateShare;
   private long lateUntil;
   private long slowUntil;
+  private int lostAnswerShare;
+  private long lostAnswersUntil;
+  private final Map<String, Long> watchesLagUntil = new HashMap<>();
+
+  /** Transactions that were carried out and whose answers were lost. */
+  int lostAnswers;
 
   int leaderKeys;
 
@@ -88,6 +94,21 @@
     lateUntil = untilMicros;
   }
 
+  /**
+   * For a while some transactions are carried out at once and only their answers are lost.
+   *
+   * @param share of the transactions, in thousandths
+   */
+  void loseAnswers(int share, long untilMicros) {
+    lostAnswerShare = share;
+    lostAnswersUntil = untilMicros;
+  }
+
+  /** The node's watches tell of nothing until then; all else is served. */
+  void lagWatches(String node, long untilMicros) {
+    watchesLagUntil.put(node, untilMicros);
+  }
+
   /** Answers take from 0.1 to 1.5 s for a while. */
   void slow(long untilMicros) {
     slowUntil = untilMicros;
@@ -154,8 +175,9 @@
     List<Watch> left = new ArrayList<>();
     for (Watch watch : watches) {
       // Those of a node that is refused wait as in an outage.
-      boolean changed = served(watch.node()) && !since(watch).isEmpty();
-      if (changed || served(watch.node()) && clock.now() >= watch.until()) {
+      boolean tells =
+          served(watch.node()) && clock.now() >= watchesLagUntil.getOrDefault(watch.node(), 0L);
+      if (tells && (clock.now() >= watch.until() || !since(watch).isEmpty())) {
         answer(watch);
       } else {
         left.add(watch);
@@ -238,6 +260,9 @@
     } else if (path.equals("/commit")) {
       if (clock.now() < lateUntil && random.nextInt(1000) < lateShare) {
         clock.in(2_000_000 + random.nextInt(10_000_000), () -> commitLate(body));
+      } else if (clock.now() < lostAnswersUntil && random.nextInt(1000) < lostAnswerShare) {
+        lostAnswers++;
+        commit(body, (status, found) -> {});
       } else {
         commit(body, reply);
       }
--- a/src/test/java/org/dewreach/sim/SimUsers.java
+++ b/src/test/java/org/dewreach/sim/SimUsers.java
@@ -5,9 +5,11 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import java.util.Set;
 import java.util.function.Consumer;
 import org.dewreach.wire.JobRequest;
 import org.dewreach.wire.Shape;
@@ -19,9 +21,11 @@
   private final Random random;
   private final Map<String, JobRequest> specs = new HashMap<>();
   private final List<String> ids = new ArrayList<>();
+  private final Set<String> cancelledAtEnd = new HashSet<>();
   private int cancelAtEndShare;
   private long cancelAtEndUntil;
   private int oddRequests;
+  private long closeLooksUntil;
 
   /** Changes what the controllers are told of a job; nothing unless a test says so. */
   Consumer<JsonNode> tamper = body -> {};
@@ -227,6 +231,9 @@
 
   /** The last task of a job has completed; nobody but its machine knows yet. */
   void onLastEnd(String id) {
+    if (cancelledAtEnd.remove(id)) {
+      world.clock.in(random.nextInt(random.nextBoolean() ? 1_000 : 700_000), () -> abort(id, 0));
+    }
     if (world.clock.now() < cancelAtEndUntil && random.nextInt(1000) < cancelAtEndShare) {
       int spread = random.nextBoolean() ? 1_000 : 700_000;
       world.clock.in(random.nextInt(spread), () -> abort(id, 0));
@@ -235,6 +242,65 @@
     }
   }
 
+  /** For a while users ask all nodes, repeat themselves or cancel as soon as they hear news. */
+  void closeLooks(long untilMicros) {
+    closeLooksUntil = untilMicros;
+  }
+
+  /** A job was just told to be accepted, done or cancelled. */
+  void onNews(String id) {
+    if (world.clock.now() >= closeLooksUntil || !specs.containsKey(id)) {
+      return;
+    }
+    int spread = random.nextInt(3) == 0 ? 150_000 : 4_000;
+    for (String node : nodes) {
+      world.clock.in(random.nextInt(spread), () -> ask(id, node));
+      world.clock.in(random.nextInt(spread), () -> ask(id, node));
+    }
+    if (random.nextBoolean()) {
+      world.clock.in(random.nextInt(spread), () -> submit(specs.get(id), 0));
+    }
+    if (random.nextInt(6) == 0) {
+      world.clock.in(random.nextInt(spread), () -> abort(id, 0));
+    }
+  }
+
+  /** A job of one task that is over in seconds; one in four is cancelled at a drawn moment. */
+  void arriveShort() {
+    String id = String.format("req-short%d", ids.size());
+    long runsMicros = 500_000 + random.nextInt(3_000_000);
+    arrive(
+        new JobRequest(
+            id,
+            "sweep",
+            random.nextBoolean() ? "red" : "blue",
+            Shape.SWEEP,
+            Urgency.values()[random.nextInt(4)],
+            1,
+            1,
+            0,
+            1,
+            "img",
+            0.1,
+            null,
+            null,
+            false,
+            false,
+            random.nextBoolean(),
+            runsMicros,
+            0,
+            0,
+            60_000_000));
+    switch (random.nextInt(12)) {
+      case 0 -> world.clock.in(random.nextInt(20_000), () -> abort(id, 0));
+      case 1 -> world.clock.in(random.nextInt(2_000_000), () -> abort(id, 0));
+      case 2 -> cancelledAtEnd.add(id);
+      default -> {
+        // runs to its end
+      }
+    }
+  }
+
   /** Until the time given, users send what is out of place, to any node. */
   void oddRequests(long untilMicros) {
     if (world.clock.now() < untilMicros) {
--- a/src/test/java/org/dewreach/sim/World.java
+++ b/src/test/java/org/dewreach/sim/World.java
@@ -30,6 +30,7 @@
     long slowUntil;
     long slowBy;
     long freezeFor;
+    long freezeAtRequestFor;
     long frozenUntil;
     long lastRequest;
     final Map<Long, SimState.Reply> requests = new HashMap<>();
@@ -112,6 +113,7 @@
     this.users = new SimUsers(this);
     checker.machines = this::workers;
     checker.onLastEnd = users::onLastEnd;
+    checker.onNews = users::onNews;
     for (String name : NODES) {
       nodeSettings.put(name, settingsOf(name, limitFactor, size));
       nodes.put(name, new NodeProcess());
@@ -284,6 +286,7 @@
     node.core = null;
     node.frozenUntil = 0;
     node.freezeFor = 0;
+    node.freezeAtRequestFor = 0;
     node.requests.clear();
     node.openCalls.clear();
     clock.in(backAfterMicros, () -> start(name));
@@ -325,6 +328,11 @@
     nodes.get(name).freezeFor = micros;
   }
 
+  /** As above, from the middle of the next request of a user that the node handles. */
+  void freezeAtRequest(String name, long micros) {
+    nodes.get(name).freezeAtRequestFor = micros;
+  }
+
   private long steady(NodeProcess node) {
     return (long) ((clock.now() - node.startedAt) * node.drift);
   }
@@ -343,6 +351,10 @@
       return;
     }
     List<Effect> effects = core.handle(steady(node), event);
+    if (node.freezeAtRequestFor > 0 && isOfUser(event)) {
+      node.freezeFor = node.freezeAtRequestFor;
+      node.freezeAtRequestFor = 0;
+    }
     if (node.freezeFor > 0) {
       node.frozenUntil = clock.now() + node.freezeFor;
       node.freezeFor = 0;
@@ -352,6 +364,10 @@
     }
   }
 
+  private static boolean isOfUser(Event event) {
+    return event instanceof Event.Request request && request.path().startsWith("/work");
+  }
+
   private void carryOut(String name, NodeProcess node, Core core, List<Effect> effects) {
     for (Effect effect : effects) {
       if (node.core == core) {
