--- a/src/main/java/org/dewreach/controller/Core.java
+++ b/src/main/java/org/dewreach/controller/Core.java
@@ -423,8 +423,12 @@
             boolean empty = inner == null || inner.isNull();
             answer.send(given, empty ? null : inner, body.path("retry").asInt(0));
           } else {
-            leaderAgainAt = at + LEADER_PAUSE;
-            doubtUntil = at + DOUBT;
+            // Guards against polls that fail for a while because the leader could not answer one of
+            // them: in an outage it still knows most jobs, and nobody else knows any.
+            if (status != 200 || Forwarded.isNotLeading(body)) {
+              leaderAgainAt = at + LEADER_PAUSE;
+              doubtUntil = at + DOUBT;
+            }
             direct.handle(parsed, answer);
           }
         });
@@ -471,7 +475,7 @@
     UserRequest parsed = route(body.path("method").asText(), body.path("path").asText(), inner);
     boolean acts = term != null && term.loaded() && election.hasAuthority(now);
     if (parsed == null || parsed.jobId() == null || !acts) {
-      calls.respond(request.requestId(), 200, Forwarded.answer(503, null, 1));
+      calls.respond(request.requestId(), 200, Forwarded.notLeading());
       return;
     }
     if (load.full()) {
--- a/src/main/java/org/dewreach/peer/Forwarded.java
+++ b/src/main/java/org/dewreach/peer/Forwarded.java
@@ -30,6 +30,15 @@
     return answer != null && answer.path("busy").asBoolean(false);
   }
 
+  /** The node does not lead, or not yet, or no more. */
+  public static ObjectNode notLeading() {
+    return answer(503, null, 1).put("leads", false);
+  }
+
+  public static boolean isNotLeading(JsonNode answer) {
+    return answer != null && !answer.path("leads").asBoolean(true);
+  }
+
   public static ObjectNode answer(int status, JsonNode body, int retryAfterS) {
     ObjectNode node = JsonNodeFactory.instance.objectNode();
     node.put("status", status).put("retry", retryAfterS);
