--- a/src/test/java/org/dewreach/sim/Checker.java
+++ b/src/test/java/org/dewreach/sim/Checker.java
@@ -54,6 +54,9 @@
   /** Jobs that rest beside room, since each of their tasks fails wherever it runs. */
   Predicate<String> failsEverywhere = id -> false;
 
+  /** Told each job that users have just heard to be accepted, done or cancelled. */
+  Consumer<String> onNews = id -> {};
+
   /** The machines that are up; none unless a world tells. */
   Supplier<List<SimWorker>> machines = List::of;
 
@@ -258,7 +261,7 @@
         judged(id, status, job.refusal);
       }
     } else if (status == 200 || status == 201) {
-      accepted(job);
+      accepted(id, job);
       told(id, job, asked, standing);
     } else if (asked.accepted() && status >= 400 && status != 429 && status < 500) {
       breaks("forgotten", id + " refused with " + status + " after it was accepted");
@@ -279,15 +282,16 @@
         breaks("invented", id + " answered 200");
         return;
       }
-      accepted(job);
+      accepted(id, job);
       told(id, job, asked, standing);
     }
   }
 
-  private void accepted(JobView job) {
+  private void accepted(String id, JobView job) {
     if (!job.accepted) {
       job.accepted = true;
       job.acceptedAt = clock.now();
+      onNews.accept(id);
     }
   }
 
@@ -306,6 +310,8 @@
     if (status == 200 && job(id).spec == null) {
       breaks("invented", id + " cancelled");
     } else if (status == 200) {
+      // Nobody is told the state of a job that was not accepted.
+      accepted(id, job(id));
       told(id, job(id), asked, standing);
     } else {
       // Of a job whose acceptance is not known of, 404 may be right.
@@ -336,6 +342,7 @@
       } else {
         toldDone++;
       }
+      onNews.accept(id);
     }
   }
 
--- a/src/test/java/org/dewreach/sim/World.java
+++ b/src/test/java/org/dewreach/sim/World.java
@@ -5,9 +5,11 @@
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import java.util.Set;
 import org.dewreach.config.Settings;
 import org.dewreach.config.SettingsException;
 import org.dewreach.config.SettingsReader;
@@ -30,9 +32,11 @@
     long slowUntil;
     long slowBy;
     long freezeFor;
+    long freezeAtRequestFor;
     long frozenUntil;
     long lastRequest;
     final Map<Long, SimState.Reply> requests = new HashMap<>();
+    final Set<Long> ofUsers = new HashSet<>();
     final Map<Long, Boolean> openCalls = new HashMap<>();
   }
 
@@ -57,6 +61,9 @@
   /** Share of commands of which a late copy follows, in thousandths. */
   int commandCopies = 10;
 
+  /** Answers 503 to users that did not say when to come back. */
+  int withoutRetryAfter;
+
   /** Effects that were too late to be carried out. */
   int heldBack;
 
@@ -113,6 +120,7 @@
     checker.machines = this::workers;
     checker.onLastEnd = users::onLastEnd;
     checker.failsEverywhere = users.failsAfter::containsKey;
+    checker.onNews = users::onNews;
     for (String name : NODES) {
       nodeSettings.put(name, settingsOf(name, limitFactor, size));
       nodes.put(name, new NodeProcess());
@@ -291,7 +299,9 @@
     node.core = null;
     node.frozenUntil = 0;
     node.freezeFor = 0;
+    node.freezeAtRequestFor = 0;
     node.requests.clear();
+    node.ofUsers.clear();
     node.openCalls.clear();
     clock.in(backAfterMicros, () -> start(name));
   }
@@ -332,6 +342,11 @@
     nodes.get(name).freezeFor = micros;
   }
 
+  /** As above, from the middle of the next request of a user that the node handles. */
+  void freezeAtRequest(String name, long micros) {
+    nodes.get(name).freezeAtRequestFor = micros;
+  }
+
   private long steady(NodeProcess node) {
     return (long) ((clock.now() - node.startedAt) * node.drift);
   }
@@ -350,6 +365,10 @@
       return;
     }
     List<Effect> effects = core.handle(steady(node), event);
+    if (node.freezeAtRequestFor > 0 && isOfUser(event)) {
+      node.freezeFor = node.freezeAtRequestFor;
+      node.freezeAtRequestFor = 0;
+    }
     if (node.freezeFor > 0) {
       node.frozenUntil = clock.now() + node.freezeFor;
       node.freezeFor = 0;
@@ -359,6 +378,10 @@
     }
   }
 
+  private static boolean isOfUser(Event event) {
+    return event instanceof Event.Request request && request.path().startsWith("/work");
+  }
+
   private void carryOut(String name, NodeProcess node, Core core, List<Effect> effects) {
     for (Effect effect : effects) {
       if (node.core == core) {
@@ -379,6 +402,10 @@
       effect = ((Effect.Respond) decided).instead();
     }
     if (effect instanceof Effect.Respond respond) {
+      boolean toUser = node.ofUsers.remove(respond.requestId());
+      if (toUser && respond.status() == 503 && respond.retryAfterS() == 0) {
+        withoutRetryAfter++;
+      }
       SimState.Reply reply = node.requests.remove(respond.requestId());
       if (reply != null) {
         reply.send(respond.status(), copy(respond.body()));
@@ -501,6 +528,9 @@
     if (node.core == core) {
       long id = ++node.lastRequest;
       node.requests.put(id, reply);
+      if (source == Event.Source.PUBLIC && path.startsWith("/work")) {
+        node.ofUsers.add(id);
+      }
       handle(name, new Event.Request(id, source, method, path, body));
     }
   }
