--- a/src/test/java/org/dewreach/sim/MeetingsTest.java
+++ b/src/test/java/org/dewreach/sim/MeetingsTest.java
@@ -23,7 +23,7 @@
   private static final long S = 1_000_000;
 
   /** What a day has seen by the time its meeting begins, and which trouble is the last to end. */
-  private static final class Day {
+  static final class Day {
     final World world;
     final Random random;
     final int leadersBefore;
@@ -326,6 +326,10 @@
             day.in(at + day.between(0, 5), day::disturbNode);
           }
         }
+        // The leader ends for sure: the other disturbances do not always change it.
+        day.in(
+            day.between(10, 50),
+            () -> day.world.crash(day.leader(), 20_000 + day.random.nextLong(3 * S)));
         day.in(65, () -> day.world.lateCopies = 0);
         // The last copies come up to 45 s later.
         day.quietFrom = day.until(111);
--- a/src/test/java/org/dewreach/sim/SimCloud.java
+++ b/src/test/java/org/dewreach/sim/SimCloud.java
@@ -27,6 +27,11 @@
   final Map<String, SimWorker> workers = new TreeMap<>();
   private final Map<String, List<String>> rentals = new HashMap<>();
   int bootFactor = 1;
+
+  /** New machines are up within two seconds. */
+  boolean upAtOnce;
+
+  int upAtOnceCount;
   int returnedBooting;
   int rentRequests;
   int returned;
@@ -107,7 +112,10 @@
         Host host = new Host(String.format("vm-%06d", ++last), type, zone, spot, world.clock.now());
         hosts.put(host.name(), host);
         names.add(host.name());
-        if (random.nextInt(12) > 0) {
+        if (upAtOnce) {
+          upAtOnceCount++;
+          world.clock.in(200_000 + random.nextInt(1_800_000), () -> boot(host));
+        } else if (random.nextInt(12) > 0) {
           world.clock.in(
               type.bootMicros() * bootFactor * (60 + random.nextInt(90)) / 100, () -> boot(host));
         }
--- /dev/null
+++ b/src/test/java/org/dewreach/sim/StaleMessageTest.java
@@ -0,0 +1,189 @@
+package org.dewreach.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.stream.LongStream;
+import java.util.stream.Stream;
+import org.dewreach.sim.MeetingsTest.Day;
+import org.junit.jupiter.api.DisplayName;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * Commands and reports of an earlier term that arrive when a new leader has begun, and what a new
+ * leader has to know of machines and limits. Each case is played with several seeds.
+ */
+class StaleMessageTest {
+  private static final long S = 1_000_000;
+
+  /** How a case is brought about, and what shows that it took place. */
+  private enum Case {
+    /** Guards: TODO. */
+    LATE_COMMANDS {
+      @Override
+      void bring(Day day) {
+        day.world.lateCommands(500, day.until(60));
+        for (double at = 1; at < 56; at += day.between(10, 14)) {
+          arriveSome(day, at, 6);
+          double end = at + day.between(0.2, 2);
+          unreachable(day, end + day.between(-0.3, 0.3));
+          endLeader(day, end);
+          cancelSome(day, at, end + 6);
+        }
+        day.quietFrom = day.until(80);
+      }
+
+      @Override
+      boolean tookPlace(Day day) {
+        return day.leaders() > 0 && day.withdrawn() > 0 && day.world.staleCommands > 0;
+      }
+    },
+
+    /** Guards: TODO. */
+    REPORTS_KEPT_FOR_THE_NEXT_LEADER {
+      @Override
+      void bring(Day day) {
+        day.world.keepReportsForNextLeader(200, day.until(60));
+        for (double at = 1; at < 50; at += day.between(12, 16)) {
+          double end = at + 4 + day.between(0, 4);
+          arriveSome(day, at + 1, 4);
+          unreachable(day, end + day.between(-0.3, 0.3));
+          endLeader(day, end);
+          cancelSome(day, at, end + 6);
+        }
+        day.quietFrom = day.until(75);
+      }
+
+      @Override
+      boolean tookPlace(Day day) {
+        return day.leaders() > 0 && day.withdrawn() > 0 && day.world.keptDelivered > 0;
+      }
+    },
+
+    /** Guards: TODO. */
+    MACHINES_UP_AT_ONCE {
+      @Override
+      void bring(Day day) {
+        day.world.cloud.upAtOnce = true;
+        day.world.state.lateWrites(100 + day.random.nextInt(400), day.until(60));
+        for (double at = 1; at < 50; at += day.between(9, 12)) {
+          arriveSome(day, at, 8);
+          double end = at + day.between(1, 5);
+          if (day.oneIn(2)) {
+            // The state service does what the leader asks, but its answers are lost.
+            day.in(
+                end - day.between(0.2, 2),
+                () -> day.world.network.cut("state", day.leader(), day.until(2), false));
+          }
+          unreachable(day, end);
+          endLeader(day, end);
+          cancelSome(day, at, end + 5);
+        }
+        day.quietFrom = day.until(80);
+      }
+
+      @Override
+      boolean tookPlace(Day day) {
+        return day.leaders() > 0 && day.withdrawn() > 0 && day.world.cloud.upAtOnceCount > 0;
+      }
+    },
+
+    /** Guards: TODO. */
+    ALL_TEAMS_AT_THE_LIMIT {
+      private boolean full;
+
+      @Override
+      void bring(Day day) {
+        full = false;
+        for (int i = 0; i < 24; i++) {
+          day.world.users.arriveLong(6, 100 * S);
+        }
+        for (double at = 14; at < 60; at += day.between(12, 16)) {
+          long hang = day.oneIn(2) ? (long) (day.between(4, 9.5) * S) : 0;
+          day.in(at, () -> full |= day.world.teamsAtTheLimit());
+          day.in(at, () -> day.world.users.cancelNow(4, hang));
+          double end = at + day.between(-0.5, 1.5);
+          unreachable(day, end);
+          endLeader(day, end);
+          for (double more = end; more < end + 8; more += day.between(0.2, 0.8)) {
+            day.in(more, () -> day.world.users.arriveLong(2, 40 * S));
+          }
+        }
+        day.quietFrom = day.until(85);
+      }
+
+      @Override
+      boolean tookPlace(Day day) {
+        return day.leaders() > 0 && day.withdrawn() > 0 && full;
+      }
+    };
+
+    abstract void bring(Day day);
+
+    abstract boolean tookPlace(Day day);
+
+    /** Jobs with tasks that run for long, all within a second. */
+    static void arriveSome(Day day, double at, int jobs) {
+      for (int i = 0; i < jobs; i++) {
+        int tasks = 1 + day.random.nextInt(3);
+        day.in(at + day.between(0, 1), () -> day.world.users.arriveLong(tasks, 40 * S));
+      }
+    }
+
+    /** Half of the machines hear nothing, are not heard or hang, for less than a lease. */
+    static void unreachable(Day day, double at) {
+      day.in(at, () -> day.disturb(day.world.some(500)));
+    }
+
+    /** The leader ends, or is refused by the state service until another one leads. */
+    static void endLeader(Day day, double at) {
+      boolean ends = !day.oneIn(3);
+      long back = 20_000 + day.random.nextLong(6 * S);
+      day.in(
+          at,
+          () -> {
+            if (ends) {
+              day.world.crash(day.leader(), back);
+            } else {
+              day.world.state.refuse(day.leader(), day.until(6));
+            }
+          });
+    }
+
+    static void cancelSome(Day day, double from, double to) {
+      for (int i = 0; i < 3; i++) {
+        day.in(day.between(from, to), () -> day.world.users.cancelNow(1, 0));
+      }
+    }
+  }
+
+  /** Three seeds of each case; more with -Dsim.seeds, from -Dsim.from on. */
+  static Stream<Arguments> cases() {
+    long from = Long.getLong("sim.from", 1);
+    long seeds = Long.getLong("sim.seeds", 3);
+    String only = System.getProperty("sim.meeting", "");
+    return Stream.of(Case.values())
+        .filter(each -> each.name().startsWith(only))
+        .flatMap(
+            each ->
+                LongStream.range(from, from + seeds).mapToObj(seed -> Arguments.of(each, seed)));
+  }
+
+  @ParameterizedTest(name = "{0}, seed {1}")
+  @MethodSource("cases")
+  @DisplayName("The rules hold when messages of an earlier term meet a new leader")
+  void rulesHold(Case meeting, long seed) {
+    Day day = new Day(seed);
+    meeting.bring(day);
+    World world = day.world;
+    world.checker.quietSince = day.quietFrom;
+    world.play(day.quietFrom + 100 * S);
+    assertEquals(List.of(), world.checker.broken, meeting + ", seed " + seed);
+    assertTrue(
+        meeting.tookPlace(day),
+        "it did not take place: " + day.leaders() + " leaders, " + day.withdrawn() + " withdrawn");
+  }
+}
--- a/src/test/java/org/dewreach/sim/World.java
+++ b/src/test/java/org/dewreach/sim/World.java
@@ -57,6 +57,23 @@
   /** Share of commands of which a late copy follows, in thousandths. */
   int commandCopies = 10;
 
+  /** Share of direct commands that are held up, in thousandths, and until when. */
+  private int lateCommandShare;
+
+  private long lateCommandsUntil;
+
+  /** Commands that were held up and carried out only after the leader key was written anew. */
+  int staleCommands;
+
+  /** Reports kept for the next leader, one of each machine. */
+  private final Map<String, JsonNode> keptReports = new HashMap<>();
+
+  private int keptShare;
+  private long keptUntil;
+
+  /** Reports that reached the controllers as a new leader began. */
+  int keptDelivered;
+
   /** Effects that were too late to be carried out. */
   int heldBack;
 
@@ -169,6 +186,41 @@
     }
   }
 
+  /**
+   * For a while some direct commands are held up on their way: they get no answer and are carried
+   * out once, 2 to 16 s late, if token and session still match.
+   *
+   * @param share of the commands, in thousandths
+   */
+  void lateCommands(int share, long untilMicros) {
+    lateCommandShare = share;
+    lateCommandsUntil = untilMicros;
+  }
+
+  /**
+   * For a while a copy of some reports is kept, the oldest of each machine, and reaches every
+   * controller in the 1.5 s after the leader key was written anew.
+   *
+   * @param share of the reports, in thousandths
+   */
+  void keepReportsForNextLeader(int share, long untilMicros) {
+    keptShare = share;
+    keptUntil = untilMicros;
+    state.onLeaderKey = state.onLeaderKey.andThen(name -> deliverKeptReports());
+  }
+
+  private void deliverKeptReports() {
+    for (JsonNode report : keptReports.values()) {
+      keptDelivered++;
+      for (String node : NODES) {
+        clock.in(
+            random.nextInt(1_500_000),
+            () -> request(node, Event.Source.PUBLIC, "POST", "/hello", report, (s, a) -> {}));
+      }
+    }
+    keptReports.clear();
+  }
+
   /** The leader ends, stands still, or loses the state service, again and again. */
   void changeLeaders(int times, long everyMicros) {
     String leader = leading();
@@ -435,6 +487,10 @@
           found.status(back);
           return;
         }
+        if (clock.now() < lateCommandsUntil && random.nextInt(1000) < lateCommandShare) {
+          holdUp(found, body);
+          return;
+        }
         found.command(body, back);
         if (random.nextInt(1000) < commandCopies) {
           // A late copy of a request that was carried out. It comes on the connection it was sent
@@ -456,6 +512,19 @@
     }
   }
 
+  private void holdUp(SimWorker worker, JsonNode command) {
+    int incarnation = worker.incarnation;
+    int leaderKeys = state.leaderKeys;
+    clock.in(
+        2_000_000 + random.nextInt(14_000_000),
+        () -> {
+          if (worker.incarnation == incarnation) {
+            staleCommands += state.leaderKeys > leaderKeys ? 1 : 0;
+            worker.command(command, (status, answer) -> {});
+          }
+        });
+  }
+
   private void end(String name, Core core, long callId, int status, JsonNode body) {
     NodeProcess node = nodes.get(name);
     if (node.core == core && node.openCalls.remove(callId) != null) {
@@ -512,6 +581,9 @@
     }
     if (path.equals("/hello")) {
       perhapsAgain(() -> request(name, Event.Source.PUBLIC, method, path, sent, (s, a) -> {}));
+      if (clock.now() < keptUntil && random.nextInt(1000) < keptShare) {
+        keptReports.putIfAbsent(from, sent);
+      }
     }
     network.send(
         from,
@@ -547,6 +619,14 @@
     return new ArrayList<>(cloud.workers.values());
   }
 
+  /** True if no team may run one more task of one CPU. */
+  boolean teamsAtTheLimit() {
+    Map<String, Double> used = new HashMap<>();
+    workers().forEach(worker -> worker.addUse(used));
+    return settings.teams().values().stream()
+        .allMatch(team -> used.getOrDefault(team.name(), 0.0) + 1 > team.cpusMax() + 1e-6);
+  }
+
   /** Plays on until the time given, checking after each step. */
   void play(long untilMicros) {
     while (clock.step(untilMicros)) {
