--- a/src/test/java/org/dewreach/sim/MeetingsTest.java
+++ b/src/test/java/org/dewreach/sim/MeetingsTest.java
@@ -188,6 +188,10 @@
             day.in(at + day.between(0, 5), day::disturbNode);
           }
         }
+        // The leader ends for sure: the other disturbances do not always change it.
+        day.in(
+            day.between(10, 50),
+            () -> day.world.crash(day.leader(), 20_000 + day.random.nextLong(3 * S)));
         day.in(65, () -> day.world.lateCopies = 0);
         // The last copies come up to 45 s later.
         day.quietFrom = day.until(111);
