--- a/src/main/java/org/dewreach/config/SettingsReader.java
+++ b/src/main/java/org/dewreach/config/SettingsReader.java
@@ -20,6 +20,9 @@
 public final class SettingsReader {
   private static final Pattern IPV4 = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}");
 
+  /** The highest port number of TCP. */
+  private static final int MAX_PORT = 65_535;
+
   private SettingsReader() {}
 
   public static Settings read(Path file) throws SettingsException {
@@ -238,16 +241,20 @@
       String text = text(name);
       int colon = text.lastIndexOf(':');
       if (colon > 0 && IPV4.matcher(text.substring(0, colon)).matches()) {
-        try {
-          int port = Integer.parseInt(text.substring(colon + 1));
-          if (port > 0 && port < 65_536) {
-            return new Settings.Address(text.substring(0, colon), port);
-          }
-        } catch (NumberFormatException e) {
-          // told below
+        int port = portOrZero(text.substring(colon + 1));
+        if (port > 0 && port <= MAX_PORT) {
+          return new Settings.Address(text.substring(0, colon), port);
         }
       }
       throw wrong(name, "IPv4 address with port expected");
     }
+
+    private static int portOrZero(String text) {
+      try {
+        return Integer.parseInt(text);
+      } catch (NumberFormatException e) {
+        return 0;
+      }
+    }
   }
 }
