--- a/src/main/java/org/dewreach/cloud/CloudService.java
+++ b/src/main/java/org/dewreach/cloud/CloudService.java
@@ -10,26 +10,43 @@
 
 /** The requests of the cloud. Callers ask {@link #mayCall} first: the rate is small. */
 public final class CloudService {
-  private static final long TIMEOUT = 5_000_000;
+  private static final long TIMEOUT_MICROS = 5_000_000;
+
+  /** Part of the rate that the leader uses: a follower fetches the catalog now and then. */
+  private static final double LEADER_SHARE = 0.9;
+
+  /** Machines on a page of the list. */
+  private static final int PAGE_SIZE = 500;
 
   private final Calls calls;
   private final RateBudget budget;
 
+  /**
+   * A client within a rate.
+   *
+   * @param rps requests that the cloud takes in a second
+   */
   public CloudService(Calls calls, double rps) {
     this.calls = calls;
-    // Nine tenths of the rate: a follower fetches the catalog now and then.
-    this.budget = new RateBudget(rps * 0.9, rps);
+    this.budget = new RateBudget(rps * LEADER_SHARE, rps);
   }
 
+  /** True if the rate allows a request now. */
   public boolean mayCall(long nowMicros) {
     return budget.available(nowMicros) >= 1;
   }
 
+  /** Reads the catalog. */
   public void catalog(long nowMicros, Calls.ReplyHandler handler) {
     budget.take(nowMicros, 1);
-    calls.call(Target.CLOUD, "GET", "/catalog", null, TIMEOUT, handler);
+    calls.call(Target.CLOUD, "GET", "/catalog", null, TIMEOUT_MICROS, handler);
   }
 
+  /**
+   * Rents machines.
+   *
+   * @param request the name of the request: repeated, it rents nothing more
+   */
   public void rent(
       long nowMicros,
       String request,
@@ -42,20 +59,26 @@
     ObjectNode body = Codec.map();
     body.put("hire", request).put("build", type).put("site", zone);
     body.put("loaners", spot).put("count", count);
-    calls.call(Target.CLOUD, "POST", "/rentals", body, TIMEOUT, handler);
+    calls.call(Target.CLOUD, "POST", "/rentals", body, TIMEOUT_MICROS, handler);
   }
 
+  /** Returns machines. */
   public void giveBack(long nowMicros, List<String> machines, Calls.ReplyHandler handler) {
     budget.take(nowMicros, 1);
     ObjectNode body = Codec.map();
     ArrayNode hosts = body.putArray("hosts");
     machines.forEach(hosts::add);
-    calls.call(Target.CLOUD, "POST", "/rentals/return", body, TIMEOUT, handler);
+    calls.call(Target.CLOUD, "POST", "/rentals/return", body, TIMEOUT_MICROS, handler);
   }
 
+  /**
+   * Reads a page of the machine list.
+   *
+   * @param after the last machine of the page before, or null
+   */
   public void list(long nowMicros, String after, Calls.ReplyHandler handler) {
     budget.take(nowMicros, 1);
-    String path = "/rentals?" + (after == null ? "" : "after=" + after + "&") + "most=500";
-    calls.call(Target.CLOUD, "GET", path, null, TIMEOUT, handler);
+    String path = "/rentals?" + (after == null ? "" : "after=" + after + "&") + "most=" + PAGE_SIZE;
+    calls.call(Target.CLOUD, "GET", path, null, TIMEOUT_MICROS, handler);
   }
 }
--- a/src/main/java/org/dewreach/job/Job.java
+++ b/src/main/java/org/dewreach/job/Job.java
@@ -15,13 +15,19 @@
 
 /** A job that is not over, as the leader knows it. */
 public final class Job {
-  private static final int MOST_SUSPECTS = 8;
+  private static final int MAX_SUSPECTS = 8;
 
   /** So many machines on which it failed in a row speak against the job. Ours. */
   private static final int DOUBTFUL_FROM = 2;
 
   /** A machine on which a task of the job failed is avoided by it for this long. Ours. */
-  private static final long SUSPECTED_FOR = 60_000_000;
+  private static final long SUSPECTED_MICROS = 60_000_000;
+
+  /** Pause of a doubtful job; it doubles with each failure. */
+  private static final long FIRST_REST_MICROS = 500_000;
+
+  private static final int MAX_REST_DOUBLINGS = 7;
+  private static final long MAX_REST_MICROS = 60_000_000;
 
   private final JobRequest spec;
   private final long acceptedWallMicros;
@@ -90,38 +96,49 @@
     return finalStanding;
   }
 
+  /** Its id. */
   public String id() {
     return spec.id();
   }
 
+  /** Its description. */
   public JobRequest spec() {
     return spec;
   }
 
+  /** Its state. */
   public JobPhase phase() {
     return phase;
   }
 
+  /** Time of day of its submission. */
   public long acceptedWallMicros() {
     return acceptedWallMicros;
   }
 
+  /**
+   * True if it was submitted under the current term, so that no earlier leader started any of it.
+   */
   public boolean ofThisTerm() {
     return ofThisTerm;
   }
 
+  /** The stamp of its record, on which the next write is conditional. */
   public long stamp() {
     return stamp;
   }
 
+  /** Sets the stamp of its record. */
   public void stamp(long newStamp) {
     stamp = newStamp;
   }
 
+  /** True while a write of its record has no outcome. */
   public boolean writing() {
     return writing;
   }
 
+  /** Sets whether a write of its record has no outcome. */
   public void writing(boolean now) {
     writing = now;
   }
@@ -131,6 +148,7 @@
     return progressAt;
   }
 
+  /** Sets when progress was last written. */
   public void progressAt(long micros) {
     progressAt = micros;
   }
@@ -140,6 +158,7 @@
     return withdrawAskedAt;
   }
 
+  /** Sets when its user asked to withdraw it. */
   public void withdrawAskedAt(long micros) {
     withdrawAskedAt = micros;
   }
@@ -152,6 +171,7 @@
     return withdrawnAt;
   }
 
+  /** Sets when its user may have been told that it is withdrawn. */
   public void withdrawnAt(long micros) {
     withdrawnAt = micros;
   }
@@ -161,6 +181,7 @@
     return done;
   }
 
+  /** How many tasks are done. */
   public int doneCount() {
     return doneCount;
   }
@@ -190,10 +211,12 @@
     return durable;
   }
 
+  /** Sets the tasks done that are durable. */
   public void durable(BitSet written) {
     durable = written;
   }
 
+  /** True if every task is done; a service never is. */
   public boolean complete() {
     return spec.shape() != Shape.SERVICE && doneCount >= spec.tasks();
   }
@@ -203,10 +226,12 @@
     return Int2ObjectMaps.unmodifiable(bound);
   }
 
+  /** True if a task is bound to a machine. */
   public boolean hasBound() {
     return !bound.isEmpty();
   }
 
+  /** Binds a task to its machine. */
   public void bind(Task task) {
     if (bound.put(task.index(), task) != null) {
       throw new IllegalStateException(task.name() + " is bound already");
@@ -215,6 +240,7 @@
     boundInZone.addTo(task.machine().zone(), 1);
   }
 
+  /** Takes back a binding; the task is pending again unless it is done. */
   public void unbind(Task task) {
     bound.remove(task.index());
     boundOpen -= done.get(task.index()) ? 0 : 1;
@@ -228,6 +254,7 @@
     return bound.values().stream().anyMatch(task -> !task.begun());
   }
 
+  /** Tasks that are bound to machines of the zone. */
   public int boundInZone(String zone) {
     return boundInZone.getInt(zone);
   }
@@ -270,6 +297,7 @@
     return phase == JobPhase.LIVE;
   }
 
+  /** Nothing of it is started before this time. */
   public long notBefore() {
     return notBefore;
   }
@@ -292,9 +320,12 @@
     if (!suspects(nowMicros).contains(machine)) {
       failures++;
     }
-    avoid(machine, nowMicros + SUSPECTED_FOR);
+    avoid(machine, nowMicros + SUSPECTED_MICROS);
     if (doubtful()) {
-      notBefore = nowMicros + Math.min(60_000_000L, 500_000L << Math.min(failures, 7));
+      notBefore =
+          nowMicros
+              + Math.min(
+                  MAX_REST_MICROS, FIRST_REST_MICROS << Math.min(failures, MAX_REST_DOUBLINGS));
     }
   }
 
@@ -312,7 +343,7 @@
   public void avoid(String machine, long untilMicros) {
     suspects.remove(machine);
     suspects.put(machine, untilMicros);
-    if (suspects.size() > MOST_SUSPECTS) {
+    if (suspects.size() > MAX_SUSPECTS) {
       suspects.remove(suspects.keySet().iterator().next());
     }
   }
@@ -322,11 +353,13 @@
     notBefore = Math.max(notBefore, untilMicros);
   }
 
+  /** It got somewhere: earlier failures no longer count against it. */
   public void succeeded() {
     failures = 0;
     notBefore = 0;
   }
 
+  /** What its user is told. */
   public Standing standing() {
     return switch (phase) {
       case WITHDRAWN -> Standing.WITHDRAWN;
--- a/src/main/java/org/dewreach/job/JobRecord.java
+++ b/src/main/java/org/dewreach/job/JobRecord.java
@@ -17,8 +17,12 @@
  */
 public record JobRecord(JobRequest spec, long acceptedWallMicros, boolean withdrawn, BitSet done) {
   /** 12 Ki bits are 3 KiB in hexadecimal: with the description well within a value. */
-  private static final int MOST_BITS = 12 * 1024;
+  private static final int MAX_BITS = 12 * 1024;
 
+  private static final int HEX_RADIX = 16;
+  private static final int BITS_PER_DIGIT = 4;
+
+  /** The record of a job that is not over. */
   public static ObjectNode encode(
       JobRequest spec, long acceptedWallMicros, boolean withdrawn, BitSet done) {
     ObjectNode node = CommitQueue.value();
@@ -33,15 +37,15 @@
     }
     int high = Math.min(done.length(), end(low));
     if (high > low) {
-      StringBuilder hex = new StringBuilder((high - low) / 4 + 1);
-      for (int i = low; i < high; i += 4) {
+      StringBuilder hex = new StringBuilder((high - low) / BITS_PER_DIGIT + 1);
+      for (int i = low; i < high; i += BITS_PER_DIGIT) {
         int digit = 0;
-        for (int bit = 0; bit < 4; bit++) {
+        for (int bit = 0; bit < BITS_PER_DIGIT; bit++) {
           if (i + bit < high && done.get(i + bit)) {
             digit |= 1 << bit;
           }
         }
-        hex.append(Character.forDigit(digit, 16));
+        hex.append(Character.forDigit(digit, HEX_RADIX));
       }
       node.put("bits", hex.toString());
     }
@@ -49,7 +53,7 @@
   }
 
   private static int end(int low) {
-    return low + MOST_BITS;
+    return low + MAX_BITS;
   }
 
   /**
@@ -61,6 +65,11 @@
     return done.get(0, Math.min(done.length(), end(done.nextClearBit(0))));
   }
 
+  /**
+   * Reads a record.
+   *
+   * @throws MalformedException if the description in it cannot be read
+   */
   public static JobRecord decode(JsonNode node) throws MalformedException {
     JobRequest spec = JobRequest.parse(node.path("job"));
     BitSet done = new BitSet();
@@ -68,10 +77,10 @@
     done.set(0, low);
     String hex = node.path("bits").asText("");
     for (int i = 0; i < hex.length(); i++) {
-      int digit = Character.digit(hex.charAt(i), 16);
-      for (int bit = 0; bit < 4; bit++) {
+      int digit = Character.digit(hex.charAt(i), HEX_RADIX);
+      for (int bit = 0; bit < BITS_PER_DIGIT; bit++) {
         if ((digit & 1 << bit) != 0) {
-          done.set(low + 4 * i + bit);
+          done.set(low + BITS_PER_DIGIT * i + bit);
         }
       }
     }
--- a/src/main/java/org/dewreach/peer/Forwarded.java
+++ b/src/main/java/org/dewreach/peer/Forwarded.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.dewreach.wire.HttpStatus;
 
 /** A user's request that a follower passes to the leader, and the leader's answer. */
 public final class Forwarded {
@@ -14,6 +15,7 @@
 
   private Forwarded() {}
 
+  /** The request as the follower passes it on. */
   public static ObjectNode request(String method, String path, JsonNode body) {
     ObjectNode node = JsonNodeFactory.instance.objectNode();
     node.put("method", method).put("path", path);
@@ -23,13 +25,15 @@
 
   /** The leader leads, and turns the request away because it has too many. */
   public static ObjectNode busy() {
-    return answer(503, null, 0).put("busy", true);
+    return answer(HttpStatus.UNAVAILABLE, null, 0).put("busy", true);
   }
 
+  /** True if the answer is {@link #busy}. */
   public static boolean isBusy(JsonNode answer) {
     return answer != null && answer.path("busy").asBoolean(false);
   }
 
+  /** The answer that the follower gives its user. */
   public static ObjectNode answer(int status, JsonNode body, int retryAfterS) {
     ObjectNode node = JsonNodeFactory.instance.objectNode();
     node.put("status", status).put("retry", retryAfterS);
--- a/src/main/java/org/dewreach/peer/PeerCodec.java
+++ b/src/main/java/org/dewreach/peer/PeerCodec.java
@@ -12,10 +12,12 @@
 
   private PeerCodec() {}
 
+  /** Decodes a body. */
   public static JsonNode read(byte[] body) throws IOException {
     return MESSAGE_PACK.readTree(body);
   }
 
+  /** Encodes a body. */
   public static byte[] write(JsonNode body) {
     try {
       return MESSAGE_PACK.writeValueAsBytes(body);
--- a/src/main/java/org/dewreach/port/Calls.java
+++ b/src/main/java/org/dewreach/port/Calls.java
@@ -5,12 +5,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongSupplier;
+import org.dewreach.wire.HttpStatus;
 
 /** The core's outbox, and the calls whose replies are still to come. */
 public final class Calls {
   /** Takes the outcome of a call; status 0 means that none came. */
   @FunctionalInterface
   public interface ReplyHandler {
+    /**
+     * Called once per call.
+     *
+     * @param status the HTTP status, or 0 if no response came
+     * @param body the decoded body, or null
+     */
     void onReply(long nowMicros, int status, JsonNode body);
   }
 
@@ -33,6 +40,7 @@
     this.authorityUntil = authorityUntil;
   }
 
+  /** Sends a request; the handler gets exactly one outcome. */
   public void call(
       Target target,
       String method,
@@ -47,13 +55,19 @@
     outbox.add(new Effect.Call(callId, target, method, path, body, timeoutMicros, notAfter));
   }
 
+  /** Answers a request. */
   public void respond(long requestId, int status, JsonNode body) {
     respondRetry(requestId, status, body, 0);
   }
 
+  /**
+   * Answers a request, with a Retry-After header.
+   *
+   * @param retryAfterS value of the header, or 0 for none
+   */
   public void respondRetry(long requestId, int status, JsonNode body, int retryAfterS) {
     // To be sent away needs no authority; what is told as the leader does.
-    boolean tells = status < 400 || status == 404;
+    boolean tells = status < HttpStatus.BAD_REQUEST || status == HttpStatus.NOT_FOUND;
     long notAfter = tells ? authorityUntil.getAsLong() : Effect.ANY_TIME;
     outbox.add(new Effect.Respond(requestId, status, body, retryAfterS, notAfter));
   }
@@ -63,6 +77,7 @@
     outbox.add(new Effect.Respond(requestId, status, body, 0, notAfterMicros));
   }
 
+  /** Hands the outcome of a call to its handler. */
   public void reply(long nowMicros, Event.Reply reply) {
     ReplyHandler handler = open.remove(reply.callId());
     if (handler != null) {
@@ -70,6 +85,7 @@
     }
   }
 
+  /** Calls without an outcome yet. */
   public int openCalls() {
     return open.size();
   }
--- a/src/main/java/org/dewreach/port/Effect.java
+++ b/src/main/java/org/dewreach/port/Effect.java
@@ -1,6 +1,7 @@
 package org.dewreach.port;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import org.dewreach.wire.HttpStatus;
 
 /**
  * Something the core wants done outside.
@@ -30,7 +31,7 @@
       implements Effect {
     /** What is answered instead when it is too late: the other side is to ask again. */
     public Respond instead() {
-      return new Respond(requestId, 503, null, 1, ANY_TIME);
+      return new Respond(requestId, HttpStatus.UNAVAILABLE, null, 1, ANY_TIME);
     }
   }
 
--- a/src/main/java/org/dewreach/port/Target.java
+++ b/src/main/java/org/dewreach/port/Target.java
@@ -2,7 +2,10 @@
 
 /** Whom a call is addressed to. */
 public sealed interface Target {
+  /** The state service. */
   Target STATE = new State();
+
+  /** The cloud. */
   Target CLOUD = new Cloud();
 
   /** The state service. */
--- a/src/main/java/org/dewreach/store/CommitQueue.java
+++ b/src/main/java/org/dewreach/store/CommitQueue.java
@@ -8,6 +8,7 @@
 import java.util.Iterator;
 import java.util.List;
 import org.dewreach.wire.Codec;
+import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -20,19 +21,36 @@
  */
 public final class CommitQueue {
   private static final Logger LOG = LoggerFactory.getLogger(CommitQueue.class);
-  private static final long TIMEOUT = 1_200_000;
-  private static final long RETRY_PAUSE = 150_000;
-  private static final long STALLED = 1_500_000;
-  private static final int MOST_WAITING = 4_000;
-  private static final int MOST_BYTES = 48 * 1024;
+  private static final long TIMEOUT_MICROS = 1_200_000;
+  private static final long RETRY_PAUSE_MICROS = 150_000;
+
+  /** A transaction that is older than this keeps new writes waiting for long. */
+  private static final long STALLED_MICROS = 1_500_000;
+
+  /** Writes that wait; more are refused, and their users asked to retry. */
+  private static final int MAX_WAITING = 4_000;
+
+  /** Size of a transaction, as estimated here. */
+  private static final int MAX_BYTES = 48 * 1024;
+
+  /** Estimate of what a write, or a change beside its value, takes in a transaction. */
+  private static final int OVERHEAD_BYTES = 100;
+
+  /** Conditions of a transaction, for each of its changes. */
+  private static final int CONDITIONS_PER_CHANGE = 4;
 
   /** Field of every value that tells which transaction wrote it. */
   public static final String MARK = "w";
 
+  /** Named states of the queue. */
   private enum Phase {
+    /** No transaction is under way. */
     IDLE,
+    /** A transaction was sent and has no outcome yet. */
     SENT,
+    /** Reading whether an earlier copy of the transaction was applied. */
     CHECKING,
+    /** The transaction is to be sent again after a pause. */
     PAUSED
   }
 
@@ -57,6 +75,14 @@
   private String mark;
   private long lastMark;
 
+  /**
+   * An empty queue.
+   *
+   * @param leader the condition of every transaction: the leader key at the stamp of this term
+   * @param txnOps the most changes of a transaction
+   * @param budget the share of the write rate that this queue may use
+   * @param onLeaderLost called when the leader key turns out to be another's
+   */
   public CommitQueue(
       StateService state, Condition leader, int txnOps, RateBudget budget, Runnable onLeaderLost) {
     this.state = state;
@@ -66,18 +92,19 @@
     this.onLeaderLost = onLeaderLost;
   }
 
+  /** Writes that have no outcome yet. */
   public int waiting() {
     return urgent.size() + relaxed.size() + batch.size();
   }
 
   /** True while writes do not get through: what waits for one had better come back. */
   public boolean stalled(long nowMicros) {
-    return !batch.isEmpty() && nowMicros - batchSince > STALLED;
+    return !batch.isEmpty() && nowMicros - batchSince > STALLED_MICROS;
   }
 
   /** False if the queue is full or closed; the write was not taken then. */
   public boolean add(long nowMicros, Write write) {
-    if (closed || urgent.size() + relaxed.size() >= MOST_WAITING) {
+    if (closed || urgent.size() + relaxed.size() >= MAX_WAITING) {
       return false;
     }
     (write.urgent() ? urgent : relaxed).add(write);
@@ -154,8 +181,8 @@
         int size = size(next);
         boolean fits =
             ops + next.changes().size() <= room
-                && conditions + next.conditions().size() <= 4 * txnOps
-                && bytes + size <= MOST_BYTES;
+                && conditions + next.conditions().size() <= CONDITIONS_PER_CHANGE * txnOps
+                && bytes + size <= MAX_BYTES;
         if (!fits && !gathered.isEmpty() || next.changes().size() > room) {
           return gathered;
         }
@@ -174,9 +201,9 @@
   }
 
   private static int size(Write write) {
-    int bytes = 100;
+    int bytes = OVERHEAD_BYTES;
     for (Change change : write.changes()) {
-      bytes += 100 + (change.data() == null ? 0 : Codec.write(change.data()).length * 2);
+      bytes += OVERHEAD_BYTES + (change.data() == null ? 0 : Codec.write(change.data()).length * 2);
     }
     return bytes;
   }
@@ -191,7 +218,7 @@
     }
     budget.take(nowMicros, changes.size());
     become(Phase.SENT);
-    state.commit(conditions, changes, 0, TIMEOUT, this::onReply);
+    state.commit(conditions, changes, 0, TIMEOUT_MICROS, this::onReply);
   }
 
   private void onReply(long nowMicros, int status, JsonNode body) {
@@ -199,13 +226,13 @@
       return;
     }
     switch (status) {
-      case 200 -> finish(nowMicros, body.path("ledger_rev").asLong());
-      case 409 -> onConflict(nowMicros, body);
+      case HttpStatus.OK -> finish(nowMicros, body.path("ledger_rev").asLong());
+      case HttpStatus.CONFLICT -> onConflict(nowMicros, body);
       case 0 -> {
         unsure = true;
         pause(nowMicros);
       }
-      case 429, 503 -> pause(nowMicros);
+      case HttpStatus.TOO_MANY_REQUESTS, HttpStatus.UNAVAILABLE -> pause(nowMicros);
       default -> {
         if (batch.size() > 1) {
           // Guards against one write that the service refuses taking others with it.
@@ -232,7 +259,7 @@
   }
 
   private void pause(long nowMicros) {
-    pausedUntil = nowMicros + RETRY_PAUSE;
+    pausedUntil = nowMicros + RETRY_PAUSE_MICROS;
     become(Phase.PAUSED);
   }
 
@@ -265,9 +292,9 @@
     if (closed) {
       return;
     }
-    if (status == 200 && mark.equals(value.path("data").path(MARK).asText())) {
+    if (status == HttpStatus.OK && mark.equals(value.path("data").path(MARK).asText())) {
       finish(nowMicros, value.path("stamp").asLong());
-    } else if (status == 200 || status == 404) {
+    } else if (status == HttpStatus.OK || status == HttpStatus.NOT_FOUND) {
       dropFailed(nowMicros, conflict);
     } else {
       pause(nowMicros);
--- a/src/main/java/org/dewreach/store/RateBudget.java
+++ b/src/main/java/org/dewreach/store/RateBudget.java
@@ -2,13 +2,20 @@
 
 /** A token bucket in event time: a rate with bursts of a second's worth. */
 public final class RateBudget {
+  private static final double MICROS_PER_SECOND = 1e6;
+
   private final double perMicro;
   private final double most;
   private double tokens;
   private long lastMicros;
 
+  /**
+   * A full bucket.
+   *
+   * @param burst how many tokens it holds
+   */
   public RateBudget(double perSecond, double burst) {
-    this.perMicro = perSecond / 1e6;
+    this.perMicro = perSecond / MICROS_PER_SECOND;
     this.most = Math.max(1, burst);
     this.tokens = this.most;
   }
--- a/src/main/java/org/dewreach/store/StateService.java
+++ b/src/main/java/org/dewreach/store/StateService.java
@@ -10,42 +10,71 @@
 
 /** The requests of the state service. */
 public final class StateService {
-  private static final long READ_TIMEOUT = 1_500_000;
+  private static final long READ_TIMEOUT_MICROS = 1_500_000;
+  private static final long RANGE_TIMEOUT_MICROS = 3_000_000;
+
+  /** Beyond the time for which the service was asked to wait. */
+  private static final long WATCH_SLACK_MICROS = 3_000_000;
+
+  private static final long MICROS_PER_MS = 1_000;
 
   private final Calls calls;
 
+  /** A client that sends its requests through the given calls. */
   public StateService(Calls calls) {
     this.calls = calls;
   }
 
+  /** Reads one key; 404 if it does not exist. */
   public void get(String key, Calls.ReplyHandler handler) {
-    calls.call(Target.STATE, "GET", "/keys/" + key, null, READ_TIMEOUT, handler);
+    calls.call(Target.STATE, "GET", "/keys/" + key, null, READ_TIMEOUT_MICROS, handler);
   }
 
+  /**
+   * Reads the keys that begin with a prefix, in order.
+   *
+   * @param after the last key of the page before, or null
+   * @param most the size of a page
+   */
   public void range(String prefix, String after, int most, Calls.ReplyHandler handler) {
     String path = "/keys?under=" + prefix + (after == null ? "" : "&after=" + after);
-    calls.call(Target.STATE, "GET", path + "&most=" + most, null, 3_000_000, handler);
+    calls.call(Target.STATE, "GET", path + "&most=" + most, null, RANGE_TIMEOUT_MICROS, handler);
   }
 
+  /**
+   * Waits for changes of keys that begin with a prefix.
+   *
+   * @param afterRevision the last revision that is known
+   * @param holdMs how long the service may wait for a change before it answers
+   */
   public void watch(String prefix, long afterRevision, long holdMs, Calls.ReplyHandler handler) {
     String path = "/changes?under=" + prefix + "&after=" + afterRevision + "&hold_ms=" + holdMs;
-    calls.call(Target.STATE, "GET", path, null, holdMs * 1000 + 3_000_000, handler);
+    calls.call(
+        Target.STATE, "GET", path, null, holdMs * MICROS_PER_MS + WATCH_SLACK_MICROS, handler);
   }
 
+  /** Grants a lease: keys that are written with it are deleted when it ends. */
   public void openHold(long ttlMs, long timeoutMicros, Calls.ReplyHandler handler) {
     ObjectNode body = Codec.map().put("ttl_ms", ttlMs);
     calls.call(Target.STATE, "POST", "/holds", body, timeoutMicros, handler);
   }
 
+  /** Renews a lease for its full time. */
   public void extendHold(long hold, long timeoutMicros, Calls.ReplyHandler handler) {
     calls.call(
         Target.STATE, "POST", "/holds/" + hold + "/extend", Codec.map(), timeoutMicros, handler);
   }
 
+  /** Revokes a lease, and deletes the keys written with it. */
   public void dropHold(long hold, Calls.ReplyHandler handler) {
-    calls.call(Target.STATE, "DELETE", "/holds/" + hold, null, READ_TIMEOUT, handler);
+    calls.call(Target.STATE, "DELETE", "/holds/" + hold, null, READ_TIMEOUT_MICROS, handler);
   }
 
+  /**
+   * One transaction: all changes if all conditions hold, or none (409).
+   *
+   * @param hold the lease that puts are attached to, or 0
+   */
   public void commit(
       List<Condition> conditions,
       List<Change> changes,
--- a/src/main/java/org/dewreach/store/Write.java
+++ b/src/main/java/org/dewreach/store/Write.java
@@ -2,7 +2,14 @@
 
 import java.util.List;
 
-/** Changes that take effect together or not at all. */
+/**
+ * Changes that take effect together or not at all.
+ *
+ * @param conditions what has to hold for them, beside the leader key
+ * @param changes the puts and deletes
+ * @param urgent true if it goes before writes that nobody waits for
+ * @param done takes the outcome
+ */
 public record Write(List<Condition> conditions, List<Change> changes, boolean urgent, Done done) {
   /** How a write ended. */
   public enum Outcome {
@@ -17,6 +24,11 @@
   /** Takes the outcome. */
   @FunctionalInterface
   public interface Done {
+    /**
+     * Called once per write.
+     *
+     * @param revision the revision at which it is durable, if it was written
+     */
     void on(long nowMicros, Outcome outcome, long revision);
   }
 }
--- a/src/main/java/org/dewreach/task/Task.java
+++ b/src/main/java/org/dewreach/task/Task.java
@@ -19,6 +19,7 @@
   private boolean haltSentDirectly;
   private boolean begun;
 
+  /** An attempt that was just bound. */
   public Task(Job job, int index, long attempt, Machine machine, TaskPhase phase, long nowMicros) {
     this.job = job;
     this.index = index;
@@ -48,34 +49,42 @@
     phaseSince = nowMicros;
   }
 
+  /** The job it belongs to. */
   public Job job() {
     return job;
   }
 
+  /** The job's description. */
   public JobRequest spec() {
     return job.spec();
   }
 
+  /** Its position in the job. */
   public int index() {
     return index;
   }
 
+  /** Its attempt number, which is never used again. */
   public long attempt() {
     return attempt;
   }
 
+  /** Where it is bound. */
   public Machine machine() {
     return machine;
   }
 
+  /** Its state. */
   public TaskPhase phase() {
     return phase;
   }
 
+  /** When it entered its state. */
   public long phaseSince() {
     return phaseSince;
   }
 
+  /** When it was bound. */
   public long boundAt() {
     return boundAt;
   }
@@ -95,18 +104,22 @@
     return direct == DirectStart.SENT || direct == DirectStart.LOST;
   }
 
+  /** Sets what is known of a start that was sent directly. */
   public void direct(DirectStart now) {
     direct = now;
   }
 
+  /** True if a halt was sent directly to its worker. */
   public boolean haltSentDirectly() {
     return haltSentDirectly;
   }
 
+  /** Notes that a halt was sent directly. */
   public void markHaltSentDirectly() {
     haltSentDirectly = true;
   }
 
+  /** Its public name. */
   public TaskName name() {
     return new TaskName(job.id(), index);
   }
--- a/src/main/java/org/dewreach/wire/Codec.java
+++ b/src/main/java/org/dewreach/wire/Codec.java
@@ -23,21 +23,27 @@
  */
 public final class Codec {
   /** The protocol's messages are flat; deeper ones are attacks on the stack. */
-  private static final int MOST_DEPTH = 32;
+  private static final int MAX_DEPTH = 32;
 
   /** Digits of a decimal fraction, before and after the point. Ours. */
-  private static final int MOST_SCALE = 400;
+  private static final int MAX_SCALE = 400;
 
   private static final ObjectMapper CBOR =
       new ObjectMapper(
               CBORFactory.builder()
                   .streamReadConstraints(
-                      StreamReadConstraints.builder().maxNestingDepth(MOST_DEPTH).build())
+                      StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build())
                   .build())
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
   private Codec() {}
 
+  /**
+   * Decodes a body.
+   *
+   * @throws IOException if it is not CBOR, nested too deeply, or holds a value that cannot be
+   *     passed on
+   */
   public static JsonNode read(byte[] body) throws IOException {
     return plain(CBOR.readTree(body));
   }
@@ -70,12 +76,12 @@
       checkText(node.textValue());
     } else if (node instanceof BigIntegerNode) {
       BigInteger value = node.bigIntegerValue();
-      if (value.signum() < 0 || value.bitLength() > 64) {
+      if (value.signum() < 0 || value.bitLength() > Long.SIZE) {
         throw new IOException("an integer beyond 64 bits");
       }
     } else if (node instanceof DecimalNode) {
       BigDecimal value = node.decimalValue();
-      if (Math.abs((long) value.scale()) > MOST_SCALE || value.precision() > MOST_SCALE) {
+      if (Math.abs((long) value.scale()) > MAX_SCALE || value.precision() > MAX_SCALE) {
         throw new IOException("a decimal fraction beyond all amounts");
       }
       return DoubleNode.valueOf(value.doubleValue());
@@ -96,6 +102,7 @@
     }
   }
 
+  /** Encodes a body. */
   public static byte[] write(JsonNode body) {
     try {
       return CBOR.writeValueAsBytes(body);
@@ -104,6 +111,7 @@
     }
   }
 
+  /** An empty map, to be filled as a body or a part of one. */
   public static ObjectNode map() {
     return JsonNodeFactory.instance.objectNode();
   }
--- a/src/main/java/org/dewreach/wire/Fields.java
+++ b/src/main/java/org/dewreach/wire/Fields.java
@@ -5,13 +5,18 @@
 
 /** Typed access to the fields of a message, so that every check reads the same. */
 public final class Fields {
+  /** Times on the wire are seconds; inside they are whole microseconds. */
+  public static final double MICROS_PER_SECOND = 1e6;
+
   /** Amounts above this are no amounts of anything real and could overflow sums. */
-  private static final double MOST_AMOUNT = 1e9;
+  private static final double MAX_AMOUNT = 1e9;
 
-  private static final int MOST_TEXT = 200;
+  /** Characters of a text; names are far shorter. */
+  private static final int MAX_TEXT = 200;
 
   private Fields() {}
 
+  /** The node as a map; anything else is malformed. */
   public static ObjectNode map(JsonNode node) throws MalformedException {
     if (node instanceof ObjectNode object) {
       return object;
@@ -19,22 +24,25 @@
     throw new MalformedException("not a map");
   }
 
+  /** A text that is there, not empty and not overly long. */
   public static String text(JsonNode node, String name) throws MalformedException {
     JsonNode value = node.get(name);
     if (value == null || !value.isTextual()) {
       throw new MalformedException(name + ": text expected");
     }
     String text = value.textValue();
-    if (text.isEmpty() || text.length() > MOST_TEXT) {
+    if (text.isEmpty() || text.length() > MAX_TEXT) {
       throw new MalformedException(name + ": empty or too long");
     }
     return text;
   }
 
+  /** As {@link #text}, or null where the field is null or left out. */
   public static String textOrNull(JsonNode node, String name) throws MalformedException {
     return absent(node, name) ? null : text(node, name);
   }
 
+  /** A boolean that is there. */
   public static boolean flag(JsonNode node, String name) throws MalformedException {
     JsonNode value = node.get(name);
     if (value == null || !value.isBoolean()) {
@@ -43,6 +51,7 @@
     return value.booleanValue();
   }
 
+  /** An integer between two bounds, both included. */
   public static long count(JsonNode node, String name, long least, long most)
       throws MalformedException {
     JsonNode value = node.get(name);
@@ -56,13 +65,14 @@
     return count;
   }
 
+  /** A number that is not negative and not absurdly large. */
   public static double amount(JsonNode node, String name) throws MalformedException {
     JsonNode value = node.get(name);
     if (value == null || !value.isNumber()) {
       throw new MalformedException(name + ": number expected");
     }
     double amount = value.doubleValue();
-    if (!(amount >= 0 && amount <= MOST_AMOUNT)) {
+    if (!(amount >= 0 && amount <= MAX_AMOUNT)) {
       throw new MalformedException(name + ": out of range");
     }
     return amount;
@@ -70,7 +80,7 @@
 
   /** A duration given in seconds, as whole microseconds. */
   public static long micros(JsonNode node, String name) throws MalformedException {
-    return Math.round(amount(node, name) * 1e6);
+    return Math.round(amount(node, name) * MICROS_PER_SECOND);
   }
 
   /** As {@link #micros}, or -1 where the field is null or left out. */
@@ -78,6 +88,7 @@
     return absent(node, name) ? -1 : micros(node, name);
   }
 
+  /** True if the field is null or left out. */
   public static boolean absent(JsonNode node, String name) {
     JsonNode value = node.get(name);
     return value == null || value.isNull();
--- a/src/main/java/org/dewreach/wire/JobRequest.java
+++ b/src/main/java/org/dewreach/wire/JobRequest.java
@@ -10,8 +10,25 @@
 /**
  * A job as its user describes it (`POST /work`).
  *
+ * @param id the id that the user chose
+ * @param lane the class of service, for which the settings may state objectives
+ * @param team whose quota it counts against
+ * @param shape how its tasks run
+ * @param urgency its priority
+ * @param tasks how many tasks it has
+ * @param cpus what each task takes
+ * @param gpus what each task takes
+ * @param memoryGb what each task takes
+ * @param image the name of the tasks' image
+ * @param imageGb the image's size
  * @param types allowed machine types, or null for any
  * @param zone the only allowed zone, or null
+ * @param together true if all tasks have to be in one zone
+ * @param scatter true if no zone may hold all tasks
+ * @param spot true if its tasks may run on spot machines
+ * @param expectedMicros the expected running time of a task
+ * @param checkpointMicros how often a task saves its progress
+ * @param saveMicros how long saving takes
  * @param dueMicros when the job should be complete, from its submission, or -1
  */
 public record JobRequest(
@@ -36,10 +53,13 @@
     long saveMicros,
     long dueMicros) {
 
-  private static final int MOST_TASKS = 100_000;
+  private static final int MAX_TASKS = 100_000;
+
+  private static final int MAX_NAMES = 100;
+  private static final int MAX_NAME_LENGTH = 200;
 
   /** All names of a list together; far more than any site has types. */
-  private static final int MOST_NAMES_LENGTH = 800;
+  private static final int MAX_NAMES_LENGTH = 800;
 
   private static final Pattern ID = Pattern.compile("req-[0-9A-Za-z]{1,40}");
 
@@ -48,6 +68,11 @@
     return ID.matcher(text).matches();
   }
 
+  /**
+   * Parses the body of a submission.
+   *
+   * @throws MalformedException if a field is missing, of the wrong type or out of range
+   */
   public static JobRequest parse(JsonNode body) throws MalformedException {
     ObjectNode map = Fields.map(body);
     String id = Fields.text(map, "uid");
@@ -64,7 +89,7 @@
         Fields.text(map, "desk"),
         Shape.of(Fields.text(map, "shape")),
         Urgency.of(Fields.text(map, "urgency")),
-        (int) Fields.count(map, "pieces", 1, MOST_TASKS),
+        (int) Fields.count(map, "pieces", 1, MAX_TASKS),
         cpus,
         Fields.amount(map, "cards"),
         Fields.amount(map, "memory_gb"),
@@ -85,25 +110,28 @@
     if (Fields.absent(map, name)) {
       return null;
     }
-    if (!(map.get(name) instanceof ArrayNode list) || list.size() > 100) {
+    if (!(map.get(name) instanceof ArrayNode list) || list.size() > MAX_NAMES) {
       throw new MalformedException(name + ": short list expected");
     }
     List<String> names = new ArrayList<>(list.size());
     int length = 0;
     for (JsonNode item : list) {
-      if (!item.isTextual() || item.textValue().isEmpty() || item.textValue().length() > 200) {
+      if (!item.isTextual()
+          || item.textValue().isEmpty()
+          || item.textValue().length() > MAX_NAME_LENGTH) {
         throw new MalformedException(name + ": text expected");
       }
       names.add(item.textValue());
       length += item.textValue().length();
     }
-    if (length > MOST_NAMES_LENGTH) {
+    if (length > MAX_NAMES_LENGTH) {
       // A job's record has to fit into a value of the state service, whatever becomes of it.
       throw new MalformedException(name + ": too long");
     }
     return List.copyOf(names);
   }
 
+  /** The body that {@link #parse} reads. */
   public ObjectNode toNode() {
     ObjectNode map = Codec.map();
     map.put("uid", id).put("lane", lane).put("desk", team);
@@ -117,10 +145,11 @@
       types.forEach(list::add);
     }
     map.put("site", zone).put("together", together).put("scatter", scatter).put("loaners", spot);
-    map.put("expected_s", expectedMicros / 1e6).put("mark_every_s", checkpointMicros / 1e6);
-    map.put("mark_cost_s", saveMicros / 1e6);
+    map.put("expected_s", expectedMicros / Fields.MICROS_PER_SECOND)
+        .put("mark_every_s", checkpointMicros / Fields.MICROS_PER_SECOND);
+    map.put("mark_cost_s", saveMicros / Fields.MICROS_PER_SECOND);
     if (dueMicros >= 0) {
-      map.put("due_s", dueMicros / 1e6);
+      map.put("due_s", dueMicros / Fields.MICROS_PER_SECOND);
     } else {
       map.putNull("due_s");
     }
--- a/src/main/java/org/dewreach/wire/ListedMachine.java
+++ b/src/main/java/org/dewreach/wire/ListedMachine.java
@@ -6,7 +6,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One entry of the cloud's machine list (`GET /rentals`). The list may be older than the last. */
+/**
+ * One entry of the cloud's machine list (`GET /rentals`). The list may be older than the last.
+ *
+ * @param name the machine's unique name
+ * @param address where its worker takes commands; empty while it is not known
+ * @param type the name of its machine type
+ * @param zone where it is
+ * @param spot true if the cloud may take it away
+ * @param failed true if it has ended by itself
+ * @param booting true if it has not started yet
+ * @param ageMicros time since it was rented
+ */
 public record ListedMachine(
     String name,
     String address,
@@ -17,9 +28,14 @@
     boolean booting,
     long ageMicros) {
 
-  /** A page of the list. */
+  /**
+   * A page of the list.
+   *
+   * @param more true if further pages follow
+   */
   public record Page(List<ListedMachine> machines, boolean more) {}
 
+  /** Parses one page of the list. */
   public static Page parsePage(JsonNode body) throws MalformedException {
     ObjectNode map = Fields.map(body);
     if (!(map.get("hosts") instanceof ArrayNode list)) {
--- a/src/main/java/org/dewreach/wire/MachineType.java
+++ b/src/main/java/org/dewreach/wire/MachineType.java
@@ -6,7 +6,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One entry of the cloud's catalog (`GET /catalog`). Prices are per hour. */
+/**
+ * One entry of the cloud's catalog (`GET /catalog`). Prices are per hour.
+ *
+ * @param name the type's name
+ * @param cpus what a machine of the type has
+ * @param gpus what a machine of the type has
+ * @param memoryGb what a machine of the type has
+ * @param cacheGb room for images
+ * @param fetchGbPerS the rate at which images are fetched
+ * @param price of an ordinary machine
+ * @param spotPrice of a spot machine
+ * @param bootMicros time from renting to the first report
+ * @param zones where the type is offered
+ */
 public record MachineType(
     String name,
     double cpus,
@@ -19,6 +32,7 @@
     long bootMicros,
     List<String> zones) {
 
+  /** Parses the catalog. */
   public static List<MachineType> parseCatalog(JsonNode body) throws MalformedException {
     if (!(Fields.map(body).get("builds") instanceof ArrayNode list)) {
       throw new MalformedException("builds: list expected");
@@ -46,6 +60,7 @@
     return List.copyOf(types);
   }
 
+  /** The catalog in the form that {@link #parseCatalog} reads. */
   public static ObjectNode catalogNode(List<MachineType> types) {
     ObjectNode map = Codec.map();
     ArrayNode list = map.putArray("builds");
@@ -54,7 +69,8 @@
       item.put("name", type.name).put("cpus", type.cpus).put("cards", type.gpus);
       item.put("memory_gb", type.memoryGb).put("cache_gb", type.cacheGb);
       item.put("fetch_gb_per_s", type.fetchGbPerS).put("price", type.price);
-      item.put("spot_price", type.spotPrice).put("ready_s", type.bootMicros / 1e6);
+      item.put("spot_price", type.spotPrice)
+          .put("ready_s", type.bootMicros / Fields.MICROS_PER_SECOND);
       ArrayNode sites = item.putArray("sites");
       type.zones.forEach(sites::add);
     }
--- a/src/main/java/org/dewreach/wire/Order.java
+++ b/src/main/java/org/dewreach/wire/Order.java
@@ -4,10 +4,13 @@
 
 /** A command to a worker. */
 public sealed interface Order {
+  /** The task that the command is about. */
   TaskName task();
 
+  /** The attempt that the command is about; others are not touched. */
   long attempt();
 
+  /** The command as a worker reads it. */
   ObjectNode toNode();
 
   /** Start a task. Has no effect if the worker knows this attempt already. */
@@ -22,7 +25,7 @@
   record Halt(TaskName task, long attempt, long graceMicros) implements Order {
     @Override
     public ObjectNode toNode() {
-      return base("halt", this).put("wind_down_s", graceMicros / 1e6);
+      return base("halt", this).put("wind_down_s", graceMicros / Fields.MICROS_PER_SECOND);
     }
   }
 
--- a/src/main/java/org/dewreach/wire/Shape.java
+++ b/src/main/java/org/dewreach/wire/Shape.java
@@ -15,10 +15,12 @@
     this.word = word;
   }
 
+  /** The word on the wire. */
   public String word() {
     return word;
   }
 
+  /** The value with the given word; any other word is malformed. */
   public static Shape of(String word) throws MalformedException {
     for (Shape shape : values()) {
       if (shape.word.equals(word)) {
--- a/src/main/java/org/dewreach/wire/Standing.java
+++ b/src/main/java/org/dewreach/wire/Standing.java
@@ -4,9 +4,13 @@
 
 /** What a user is told about a job. */
 public enum Standing {
+  /** Accepted; no task has been started. */
   PENDING("pending"),
+  /** Some task runs or has run. */
   RUNNING("running"),
+  /** All tasks have completed. Final. */
   DONE("done"),
+  /** Cancelled by its user. Final. */
   WITHDRAWN("withdrawn");
 
   private final String word;
@@ -15,10 +19,12 @@
     this.word = word;
   }
 
+  /** The word on the wire. */
   public String word() {
     return word;
   }
 
+  /** The value with the given word; any other word is malformed. */
   public static Standing of(String word) throws MalformedException {
     for (Standing standing : values()) {
       if (standing.word.equals(word)) {
--- a/src/main/java/org/dewreach/wire/Urgency.java
+++ b/src/main/java/org/dewreach/wire/Urgency.java
@@ -2,9 +2,13 @@
 
 /** Priority of a job, most urgent first. */
 public enum Urgency {
+  /** Serves users right now. */
   PRODUCTION("production"),
+  /** Goes before ordinary work. */
   HIGH("high"),
+  /** Ordinary work. */
   NORMAL("normal"),
+  /** Runs on what the others leave. */
   LOW("low");
 
   private final String word;
@@ -13,6 +17,7 @@
     this.word = word;
   }
 
+  /** The word on the wire. */
   public String word() {
     return word;
   }
@@ -22,6 +27,7 @@
     return ordinal() < other.ordinal();
   }
 
+  /** The value with the given word; any other word is malformed. */
   public static Urgency of(String word) throws MalformedException {
     for (Urgency urgency : values()) {
       if (urgency.word.equals(word)) {
--- a/src/main/java/org/dewreach/wire/WorkerReport.java
+++ b/src/main/java/org/dewreach/wire/WorkerReport.java
@@ -9,10 +9,16 @@
 /**
  * A worker's report (`POST /hello`).
  *
+ * @param machine the machine's unique name
+ * @param address where the worker takes commands
+ * @param type the name of the machine type
+ * @param zone where the machine is
+ * @param spot true if the cloud may take the machine away
  * @param session increases each time the worker's lease expires
  * @param sequence orders the reports of one session
  * @param token the highest token the worker has seen
  * @param recallMicros time until the cloud takes the machine away, or -1
+ * @param tasks what the worker knows of, exited tasks included
  */
 public record WorkerReport(
     String machine,
@@ -28,26 +34,42 @@
 
   /** What a task is doing on its machine. */
   public enum TaskState {
+    /** The image is being fetched. */
     PULLING,
+    /** It runs. */
     RUNNING,
+    /** It was told to stop and saves its progress. */
     FLUSHING,
+    /** It has ended; see the cause. */
     EXITED
   }
 
   /** Why a task exited. */
   public enum Cause {
+    /** It has not exited. */
     NONE,
+    /** It completed. */
     DONE,
+    /** It was stopped, or exited in a way that this version does not know. */
     STOPPED,
+    /** It failed by itself. */
     ERROR,
+    /** The machine had no room for it. */
     FULL,
+    /** Another attempt of it runs there. */
     IN_USE,
+    /** Its image does not exist. */
     NO_SUCH
   }
 
   /** One task of a report. */
   public record ReportedTask(TaskName name, long attempt, TaskState state, Cause cause) {}
 
+  /**
+   * Parses the body of a report.
+   *
+   * @throws MalformedException if a field is missing, of the wrong type or out of range
+   */
   public static WorkerReport parse(JsonNode body) throws MalformedException {
     ObjectNode map = Fields.map(body);
     if (!(map.get("pieces") instanceof ArrayNode list)) {
--- a/src/test/java/org/dewreach/config/SettingsReaderTest.java
+++ b/src/test/java/org/dewreach/config/SettingsReaderTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** What is read from a settings file, and what is said of one that cannot be used. */
 class SettingsReaderTest {
   private static final String GOOD =
       """
--- a/src/test/java/org/dewreach/job/JobRecordTest.java
+++ b/src/test/java/org/dewreach/job/JobRecordTest.java
@@ -13,6 +13,7 @@
 import org.dewreach.wire.Urgency;
 import org.junit.jupiter.api.Test;
 
+/** What a job's record keeps of its progress. */
 class JobRecordTest {
   private static final int VALUE_BYTES = 8192;
 
--- a/src/test/java/org/dewreach/script/ScriptReaderTest.java
+++ b/src/test/java/org/dewreach/script/ScriptReaderTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** What operators' scripts may set, and what is refused. */
 class ScriptReaderTest {
   @Test
   void theExampleGivesTheDefaults() throws Exception {
--- a/src/test/java/org/dewreach/store/CommitQueueTest.java
+++ b/src/test/java/org/dewreach/store/CommitQueueTest.java
@@ -13,6 +13,7 @@
 import org.dewreach.wire.Codec;
 import org.junit.jupiter.api.Test;
 
+/** Grouped writes: outcomes, repeats and refusals. */
 class CommitQueueTest {
   private final Calls calls = new Calls();
   private final List<String> outcomes = new ArrayList<>();
--- a/src/test/java/org/dewreach/wire/JobRequestTest.java
+++ b/src/test/java/org/dewreach/wire/JobRequestTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Which submissions are malformed, and that all others are read whole. */
 class JobRequestTest {
   private static final ObjectMapper JSON = new ObjectMapper();
 
