--- a/src/main/java/org/dewreach/cli/JobCommands.java
+++ b/src/main/java/org/dewreach/cli/JobCommands.java
@@ -15,6 +15,7 @@
 import org.dewreach.config.Settings;
 import org.dewreach.net.Bodies;
 import org.dewreach.net.HttpClient;
+import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.JobRequest;
 import org.dewreach.wire.MalformedException;
 import picocli.CommandLine.Command;
@@ -79,17 +80,18 @@
     }
 
     private static int tell(int code, JsonNode answer) {
-      if (code == 200 || code == 201) {
+      if (code == HttpStatus.OK || code == HttpStatus.CREATED) {
         System.out.println(answer);
         return 0;
       }
       String why =
           switch (code) {
             case 0 -> "no answer";
-            case 400 -> "malformed";
-            case 404 -> "no such job";
-            case 422 -> "can never run";
-            case 429, 503 -> "not now; try again in a second or two";
+            case HttpStatus.BAD_REQUEST -> "malformed";
+            case HttpStatus.NOT_FOUND -> "no such job";
+            case HttpStatus.UNPROCESSABLE -> "can never run";
+            case HttpStatus.TOO_MANY_REQUESTS, HttpStatus.UNAVAILABLE ->
+                "not now; try again in a second or two";
             default -> "status " + code;
           };
       boolean told = answer != null && answer.path("error").isTextual();
--- a/src/main/java/org/dewreach/cli/Main.java
+++ b/src/main/java/org/dewreach/cli/Main.java
@@ -65,6 +65,7 @@
     }
   }
 
+  /** Runs one command; a controller goes on after this returns. */
   public static void main(String[] args) {
     // Before the first logger: the level is the platform's to choose.
     String level = System.getenv().getOrDefault("LOG_LEVEL", "info");
--- a/src/main/java/org/dewreach/cli/Rehearsal.java
+++ b/src/main/java/org/dewreach/cli/Rehearsal.java
@@ -23,6 +23,7 @@
 import org.dewreach.net.HttpServer;
 import org.dewreach.port.Event;
 import org.dewreach.wire.Codec;
+import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,6 +35,12 @@
  */
 final class Rehearsal {
   private static final Logger LOG = LoggerFactory.getLogger(Rehearsal.class);
+  private static final String CLASS_SUFFIX = ".class";
+  private static final int MAX_CONNECTIONS = 10;
+  private static final long TIMEOUT_MICROS = 2_000_000;
+  private static final long ANSWER_WAIT_S = 3;
+  private static final double SAMPLE_NUMBER = 1.5;
+
   private static final String SETTINGS =
       """
       host_name = "rehearsal"
@@ -96,10 +103,10 @@
       for (JarEntry entry : (Iterable<JarEntry>) file.stream()::iterator) {
         String name = entry.getName();
         if (name.startsWith("org/dewreach/")
-            && name.endsWith(".class")
+            && name.endsWith(CLASS_SUFFIX)
             && !name.endsWith("package-info.class")
             && !name.startsWith("org/dewreach/script/")) {
-          Class.forName(name.substring(0, name.length() - 6).replace('/', '.'));
+          Class.forName(name.substring(0, name.length() - CLASS_SUFFIX.length()).replace('/', '.'));
         }
       }
     }
@@ -111,7 +118,10 @@
     try {
       for (Bodies bodies : Bodies.values()) {
         HttpServer server =
-            new HttpServer(bodies, (method, path, body, reply) -> reply.send(200, body, 1), 10);
+            new HttpServer(
+                bodies,
+                (method, path, body, reply) -> reply.send(HttpStatus.OK, body, 1),
+                MAX_CONNECTIONS);
         Channel channel = server.listen(loop, new Settings.Address("127.0.0.1", 0));
         int port = ((InetSocketAddress) channel.localAddress()).getPort();
         CountDownLatch answered = new CountDownLatch(1);
@@ -123,10 +133,10 @@
                         bodies,
                         "POST",
                         "/work",
-                        Codec.map().put("text", "x").put("number", 1.5).put("count", 7),
-                        2_000_000,
+                        Codec.map().put("text", "x").put("number", SAMPLE_NUMBER).put("count", 1),
+                        TIMEOUT_MICROS,
                         (status, body) -> answered.countDown()));
-        answered.await(3, TimeUnit.SECONDS);
+        answered.await(ANSWER_WAIT_S, TimeUnit.SECONDS);
       }
     } finally {
       loop.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(2, TimeUnit.SECONDS);
--- a/src/main/java/org/dewreach/config/Settings.java
+++ b/src/main/java/org/dewreach/config/Settings.java
@@ -3,7 +3,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** The settings of one controller. */
+/**
+ * The settings of one controller.
+ *
+ * @param name this controller's host name
+ * @param zone where it runs
+ * @param clientListen where it serves users and workers
+ * @param internalListen where it serves other controllers
+ * @param members the other controllers
+ * @param cloud the cloud's address
+ * @param state the state service's address
+ * @param zones the cloud's zones
+ * @param timeBoundMicros how far apart the controllers' times of day may be
+ * @param teams by name
+ * @param objectives what the operators aim at
+ * @param workers times that concern the workers
+ * @param stateLimits limits of the state service
+ * @param cloudLimits limits of the cloud
+ * @param limits limits of the machine that the controller runs on
+ */
 public record Settings(
     String name,
     String zone,
@@ -42,17 +60,20 @@
   /** Times that concern the workers. */
   public record Workers(long reportMicros, long leaseMicros, long cancelMicros) {
     /** Most of what cuts last; a zone that is lost for good is waited for no longer. Ours. */
-    private static final long MOST_STAND_IN = 30_000_000;
+    private static final long MAX_DELEGATION_MICROS = 30_000_000;
+
+    /** Clocks drift apart by at most one part in this many. */
+    private static final int CLOCK_DRIFT_DIVISOR = 500;
 
     /** What is left for delays: an answer on its way, a command, steps of timers. Ours. */
-    private static final long STAND_IN_MARGIN = 2_000_000;
+    private static final long DELEGATION_MARGIN_MICROS = 2_000_000;
 
     /**
      * How long a node may answer workers without its leader. A job whose tasks it may keep alive
      * for longer than {@link #goneInTimeMicros} is not told to be withdrawn before.
      */
     public long standInMicros() {
-      return goneInTimeMicros() > 0 ? MOST_STAND_IN : 0;
+      return goneInTimeMicros() > 0 ? MAX_DELEGATION_MICROS : 0;
     }
 
     /**
@@ -60,7 +81,10 @@
      * before a cancellation that is told now is late.
      */
     public long goneInTimeMicros() {
-      return cancelMicros - leaseMicros - leaseMicros / 500 - STAND_IN_MARGIN;
+      return cancelMicros
+          - leaseMicros
+          - leaseMicros / CLOCK_DRIFT_DIVISOR
+          - DELEGATION_MARGIN_MICROS;
     }
   }
 
@@ -73,14 +97,16 @@
   /** Limits of the machine that the controller runs on. */
   public record Limits(double cpuShare, double ramMb, int maxConnections) {
     /** Part of the sockets that is for commands to workers. Ours. */
-    private static final int WORKERS_PART = 8;
+    private static final int WORKERS_DIVISOR = 8;
+
+    private static final int MIN_TO_WORKERS = 8;
 
     /**
      * Connections to workers at once. They are opened for a command and kept only while there is
      * room: with one kept for each worker, reports and commands of a large fleet took all sockets.
      */
     public int connectionsToWorkers() {
-      return Math.max(8, maxConnections / WORKERS_PART);
+      return Math.max(MIN_TO_WORKERS, maxConnections / WORKERS_DIVISOR);
     }
 
     /** What is left for users, workers' reports and health checks, beside so many others. */
--- a/src/main/java/org/dewreach/config/SettingsException.java
+++ b/src/main/java/org/dewreach/config/SettingsException.java
@@ -4,6 +4,7 @@
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
+  /** An error whose message names the field and what is wrong with it. */
   public SettingsException(String message) {
     super(message);
   }
--- a/src/main/java/org/dewreach/config/SettingsReader.java
+++ b/src/main/java/org/dewreach/config/SettingsReader.java
@@ -23,8 +23,34 @@
   /** The highest port number of TCP. */
   private static final int MAX_PORT = 65_535;
 
+  private static final double MICROS_PER_MS = 1e3;
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final int BYTES_PER_KB = 1024;
+
+  // What a number may be at most or at least: beyond, it is a slip of the pen.
+  private static final double MAX_AMOUNT = 1e9;
+  private static final double MAX_TIME_BOUND_MS = 3_600_000;
+  private static final double MAX_OBJECTIVE = 1e6;
+  private static final double MAX_DURATION_S = 3600;
+  private static final double MIN_REPORT_S = 0.01;
+  private static final double MIN_LEASE_S = 0.1;
+  private static final double MIN_CANCEL_S = 0.1;
+  private static final double MAX_CANCEL_S = 36_000;
+  private static final double MAX_VALUE_KB = 1e5;
+  private static final double MAX_TXN_OPS = 1e6;
+  private static final double MIN_CLOUD_RPS = 0.01;
+  private static final double MIN_CPU_SHARE = 0.001;
+  private static final double MAX_CPU_SHARE = 1024;
+  private static final double MIN_CONNECTIONS = 16;
+  private static final double MAX_CONNECTIONS = 1e7;
+
   private SettingsReader() {}
 
+  /**
+   * Reads a file.
+   *
+   * @throws SettingsException if it cannot be read or used
+   */
   public static Settings read(Path file) throws SettingsException {
     String text;
     try {
@@ -35,6 +61,12 @@
     return parse(text);
   }
 
+  /**
+   * Reads the text of a file.
+   *
+   * @throws SettingsException if it is not TOML, or a field is missing, of the wrong type or out of
+   *     range
+   */
   public static Settings parse(String text) throws SettingsException {
     JsonNode root;
     try {
@@ -55,7 +87,7 @@
         external.address("cloud"),
         external.address("state"),
         cluster.texts("zones"),
-        Math.round(cluster.number("time_bound_ms", 0, 3_600_000) * 1e3),
+        Math.round(cluster.number("time_bound_ms", 0, MAX_TIME_BOUND_MS) * MICROS_PER_MS),
         teams(cluster),
         objectives(cluster),
         workers(cluster.section("workers")),
@@ -87,10 +119,10 @@
       Settings.Team team =
           new Settings.Team(
               name,
-              item.number("cpus", 0, 1e9),
-              orNone(item.number("cpus_max", 0, 1e9)),
-              item.number("gpus", 0, 1e9),
-              orNone(item.number("gpus_max", 0, 1e9)));
+              item.number("cpus", 0, MAX_AMOUNT),
+              orNone(item.number("cpus_max", 0, MAX_AMOUNT)),
+              item.number("gpus", 0, MAX_AMOUNT),
+              orNone(item.number("gpus_max", 0, MAX_AMOUNT)));
       if (teams.put(name, team) != null) {
         throw item.wrong("name", "named twice");
       }
@@ -109,9 +141,9 @@
           new Settings.Objective(
               item.text("kind"),
               item.has("class") ? item.text("class") : null,
-              item.has("within_s") ? item.micros("within_s", 0, 1e6) : 0,
+              item.has("within_s") ? item.micros("within_s", 0, MAX_OBJECTIVE) : 0,
               item.has("share") ? item.number("share", 0, 1) : 0,
-              item.has("times") ? item.number("times", 0, 1e6) : 0));
+              item.has("times") ? item.number("times", 0, MAX_OBJECTIVE) : 0));
     }
     return List.copyOf(objectives);
   }
@@ -119,9 +151,9 @@
   private static Settings.Workers workers(Section section) throws SettingsException {
     Settings.Workers workers =
         new Settings.Workers(
-            section.micros("report_s", 0.01, 3600),
-            section.micros("lease_s", 0.1, 3600),
-            section.micros("cancel_s", 0.1, 36_000));
+            section.micros("report_s", MIN_REPORT_S, MAX_DURATION_S),
+            section.micros("lease_s", MIN_LEASE_S, MAX_DURATION_S),
+            section.micros("cancel_s", MIN_CANCEL_S, MAX_CANCEL_S));
     if (workers.leaseMicros() <= workers.reportMicros()) {
       throw section.wrong("lease_s", "must be more than report_s");
     }
@@ -130,22 +162,23 @@
 
   private static Settings.StateLimits state(Section section) throws SettingsException {
     return new Settings.StateLimits(
-        section.number("rps", 1, 1e9),
-        section.number("write_rps", 1, 1e9),
-        (int) (section.number("value_kb", 1, 1e5) * 1024),
-        (int) section.number("txn_ops", 1, 1e6));
+        section.number("rps", 1, MAX_AMOUNT),
+        section.number("write_rps", 1, MAX_AMOUNT),
+        (int) (section.number("value_kb", 1, MAX_VALUE_KB) * BYTES_PER_KB),
+        (int) section.number("txn_ops", 1, MAX_TXN_OPS));
   }
 
   private static Settings.CloudLimits cloud(Section section) throws SettingsException {
     return new Settings.CloudLimits(
-        section.number("rps", 0.01, 1e9), section.micros("list_lag_s", 0, 3600));
+        section.number("rps", MIN_CLOUD_RPS, MAX_AMOUNT),
+        section.micros("list_lag_s", 0, MAX_DURATION_S));
   }
 
   private static Settings.Limits limits(Section section) throws SettingsException {
     return new Settings.Limits(
-        section.number("cpu_share", 0.001, 1024),
-        section.number("ram_mb", 1, 1e9),
-        (int) section.number("max_connections", 16, 1e7));
+        section.number("cpu_share", MIN_CPU_SHARE, MAX_CPU_SHARE),
+        section.number("ram_mb", 1, MAX_AMOUNT),
+        (int) section.number("max_connections", MIN_CONNECTIONS, MAX_CONNECTIONS));
   }
 
   /** A table of the file together with its path, which errors name. */
@@ -234,7 +267,7 @@
     }
 
     long micros(String name, double leastS, double mostS) throws SettingsException {
-      return Math.round(number(name, leastS, mostS) * 1e6);
+      return Math.round(number(name, leastS, mostS) * MICROS_PER_SECOND);
     }
 
     Settings.Address address(String name) throws SettingsException {
--- a/src/main/java/org/dewreach/config/Tuning.java
+++ b/src/main/java/org/dewreach/config/Tuning.java
@@ -25,6 +25,24 @@
     double headroomSpreads,
     Map<String, Long> startWithinMicros) {
 
+  /** The values without a script. */
   public static final Tuning DEFAULT =
-      new Tuning(25_000_000, 58_000_000, 60_000_000, 60_000_000, 0.002, 1.5, Map.of());
+      new Tuning(
+          Defaults.IDLE_KEPT_MICROS,
+          Defaults.LEAST_PAID_MICROS,
+          Defaults.WORK_OFF_MICROS,
+          Defaults.LONG_WAIT_MICROS,
+          Defaults.MOVED_SHARE,
+          Defaults.HEADROOM_SPREADS,
+          Map.of());
+
+  /** The values of {@link #DEFAULT}. */
+  private static final class Defaults {
+    static final long IDLE_KEPT_MICROS = 25_000_000;
+    static final long LEAST_PAID_MICROS = 58_000_000;
+    static final long WORK_OFF_MICROS = 60_000_000;
+    static final long LONG_WAIT_MICROS = 60_000_000;
+    static final double MOVED_SHARE = 0.002;
+    static final double HEADROOM_SPREADS = 1.5;
+  }
 }
--- a/src/main/java/org/dewreach/net/HttpClient.java
+++ b/src/main/java/org/dewreach/net/HttpClient.java
@@ -46,23 +46,28 @@
  */
 public final class HttpClient {
   /** Watches and machine lists may be long; far above anything these services are to send. */
-  private static final int MOST_RESPONSE = 8 * 1024 * 1024;
+  private static final int MAX_RESPONSE = 8 * 1024 * 1024;
 
   /** Users' requests in progress, each of which waits for one call at a time, and our own. */
-  private static final int MOST_QUEUED = 500;
+  private static final int MAX_QUEUED = 500;
 
+  private static final int CONNECT_TIMEOUT_MS = 3_000;
+
+  /** How long a connection is kept without a call. */
   private static final long KEPT_MICROS = 30_000_000;
+
   private static final long SWEEP_MICROS = 5_000_000;
 
   /** Takes the outcome; status 0 if no response came. */
   @FunctionalInterface
   public interface Outcome {
+    /** Called once per call. */
     void on(int status, JsonNode body);
   }
 
   private final EventLoopGroup loop;
-  private final int mostPerHost;
-  private final int mostOpen;
+  private final int maxPerHost;
+  private final int maxOpen;
   private final Map<Settings.Address, Pool> pools = new HashMap<>();
 
   /** Connections without a call, the one that has been so for longest first. */
@@ -74,14 +79,15 @@
   /**
    * A client.
    *
-   * @param mostOpen connections to all hosts; a call beyond them ends without an answer at once
+   * @param maxOpen connections to all hosts; a call beyond them ends without an answer at once
    */
-  public HttpClient(EventLoopGroup loop, int mostPerHost, int mostOpen) {
+  public HttpClient(EventLoopGroup loop, int maxPerHost, int maxOpen) {
     this.loop = loop;
-    this.mostPerHost = mostPerHost;
-    this.mostOpen = mostOpen;
+    this.maxPerHost = maxPerHost;
+    this.maxOpen = maxOpen;
   }
 
+  /** Sends a request; the outcome comes later, on the event loop. */
   public void call(
       Settings.Address address,
       Bodies bodies,
@@ -104,7 +110,7 @@
   private void sweep() {
     long now = System.nanoTime();
     for (Connection connection : List.copyOf(idle)) {
-      if (now - connection.idleSinceNanos < KEPT_MICROS * 1000) {
+      if (now - connection.idleSinceNanos < TimeUnit.MICROSECONDS.toNanos(KEPT_MICROS)) {
         break;
       }
       connection.close();
@@ -117,17 +123,18 @@
   }
 
   /** True if one more may be opened, for which the longest idle one makes way. */
-  private boolean makeRoom() {
-    if (open >= mostOpen && !idle.isEmpty()) {
+  private boolean evictIdleConnection() {
+    if (open >= maxOpen && !idle.isEmpty()) {
       idle.iterator().next().close();
     }
-    return open < mostOpen;
+    return open < maxOpen;
   }
 
   int openConnections() {
     return open;
   }
 
+  /** A call that has no outcome yet, or had one. */
   private static final class Call {
     final Bodies bodies;
     final String method;
@@ -175,11 +182,11 @@
       if (connection != null) {
         idle.remove(connection);
         connection.send(call);
-      } else if (connections < mostPerHost && makeRoom()) {
+      } else if (connections < maxPerHost && evictIdleConnection()) {
         connections++;
         open++;
         connect(call);
-      } else if (connections > 0 && queued.size() < MOST_QUEUED) {
+      } else if (connections > 0 && queued.size() < MAX_QUEUED) {
         queued.add(call);
       } else {
         // Not at once: the caller may be in the middle of its own work.
@@ -197,15 +204,19 @@
               .channel(NioSocketChannel.class)
               .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
               .option(ChannelOption.TCP_NODELAY, true)
-              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 3_000)
+              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
               .handler(
                   new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                       channel
                           .pipeline()
-                          .addLast(new HttpClientCodec(2048, 4096, 8192))
-                          .addLast(new HttpObjectAggregator(MOST_RESPONSE))
+                          .addLast(
+                              new HttpClientCodec(
+                                  HttpLimits.MAX_INITIAL_LINE,
+                                  HttpLimits.MAX_HEADERS,
+                                  HttpLimits.MAX_CHUNK))
+                          .addLast(new HttpObjectAggregator(MAX_RESPONSE))
                           .addLast(connection);
                     }
                   });
--- a/src/main/java/org/dewreach/net/HttpServer.java
+++ b/src/main/java/org/dewreach/net/HttpServer.java
@@ -29,13 +29,16 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.dewreach.config.Settings;
+import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Serves one address. Requests on a connection are answered in order; none is pipelined. */
 public final class HttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
-  private static final int MOST_BODY = 64 * 1024;
+
+  /** Bytes of a request's body; longer ones are malformed. */
+  private static final int MAX_BODY = 64 * 1024;
 
   /** Users poll about every 5 s and workers report more often: silent for this long is gone. */
   private static final int IDLE_S = 90;
@@ -46,26 +49,37 @@
   /** Takes requests; the answer may come at once or later, on the event loop. */
   @FunctionalInterface
   public interface Handler {
+    /**
+     * Called once per request.
+     *
+     * @param body the decoded body; null if there was none or it could not be decoded
+     */
     void on(String method, String path, JsonNode body, Reply reply);
   }
 
   /** Sends the answer to one request. */
   @FunctionalInterface
   public interface Reply {
+    /**
+     * Answers the request.
+     *
+     * @param retryAfterS value of the Retry-After header, or 0 for none
+     */
     void send(int status, JsonNode body, int retryAfterS);
   }
 
   private final Bodies bodies;
   private final Handler handler;
-  private final int mostConnections;
+  private final int maxConnections;
   private final long silentNanos;
   private int connections;
 
   /** Connections without a request in progress, the one that has been so for longest first. */
   private final Set<Requests> idle = new LinkedHashSet<>();
 
-  public HttpServer(Bodies bodies, Handler handler, int mostConnections) {
-    this(bodies, handler, mostConnections, SILENT_MICROS);
+  /** A server that lets a connection make way after the usual time. */
+  public HttpServer(Bodies bodies, Handler handler, int maxConnections) {
+    this(bodies, handler, maxConnections, SILENT_MICROS);
   }
 
   /**
@@ -73,11 +87,11 @@
    *
    * @param silentMicros when sockets run out, a connection that was silent for longer makes way
    */
-  public HttpServer(Bodies bodies, Handler handler, int mostConnections, long silentMicros) {
+  public HttpServer(Bodies bodies, Handler handler, int maxConnections, long silentMicros) {
     this.bodies = bodies;
     this.handler = handler;
-    this.mostConnections = mostConnections;
-    this.silentNanos = silentMicros * 1000;
+    this.maxConnections = maxConnections;
+    this.silentNanos = TimeUnit.MICROSECONDS.toNanos(silentMicros);
   }
 
   /** Starts listening; throws if the address cannot be had. */
@@ -87,7 +101,7 @@
             .group(loop)
             .channel(NioServerSocketChannel.class)
             // After the end of a leader all workers come at once.
-            .option(ChannelOption.SO_BACKLOG, mostConnections)
+            .option(ChannelOption.SO_BACKLOG, maxConnections)
             .option(ChannelOption.SO_REUSEADDR, true)
             .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
             .childOption(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
@@ -103,7 +117,7 @@
   }
 
   private void accept(SocketChannel channel) {
-    if (connections >= mostConnections && !closeIdle()) {
+    if (connections >= maxConnections && !closeIdle()) {
       // Sockets are kept for calls to workers, the state service and the cloud.
       channel.close();
       return;
@@ -121,7 +135,9 @@
     channel
         .pipeline()
         .addLast(new ReadTimeoutHandler(IDLE_S, TimeUnit.SECONDS))
-        .addLast(new HttpServerCodec(2048, 4096, 8192))
+        .addLast(
+            new HttpServerCodec(
+                HttpLimits.MAX_INITIAL_LINE, HttpLimits.MAX_HEADERS, HttpLimits.MAX_CHUNK))
         .addLast(new Aggregator())
         .addLast(requests);
   }
@@ -139,12 +155,13 @@
       return false;
     }
     longest.channel.close();
-    return connections < mostConnections;
+    return connections < maxConnections;
   }
 
+  /** Collects a request, and refuses one that is too long as the protocol has it. */
   private static final class Aggregator extends HttpObjectAggregator {
     Aggregator() {
-      super(MOST_BODY);
+      super(MAX_BODY);
     }
 
     @Override
@@ -163,6 +180,7 @@
     return response;
   }
 
+  /** The requests of one connection. */
   private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final Channel channel;
     private long restingSinceNanos;
@@ -182,7 +200,7 @@
       idle.remove(this);
       boolean keepAlive = HttpUtil.isKeepAlive(request);
       if (request.decoderResult().isFailure()) {
-        send(context, 400, null, 0, false);
+        send(context, HttpStatus.BAD_REQUEST, null, 0, false);
         return;
       }
       JsonNode body = bodies.readOrNull(ByteBufUtil.getBytes(request.content()));
--- a/src/main/java/org/dewreach/net/Node.java
+++ b/src/main/java/org/dewreach/net/Node.java
@@ -23,14 +23,20 @@
   private static final Logger LOG = LoggerFactory.getLogger(Node.class);
   private static final long TICK_MS = 50;
 
+  /** Exit status after an error in the core, as in sysexits.h. */
+  private static final int EXIT_INTERNAL_ERROR = 70;
+
+  /** A worker's connection without so many reports in a row may be gone. */
+  private static final int SILENT_REPORTS = 3;
+
   /** Calls to one host at a time; a watch occupies one of them. */
-  private static final int MOST_CALLS_PER_HOST = 16;
+  private static final int MAX_CALLS_PER_HOST = 16;
 
   /** A command, and a question for its count. */
-  private static final int MOST_CALLS_PER_WORKER = 2;
+  private static final int MAX_CALLS_PER_WORKER = 2;
 
   /** Sockets for what is not counted one by one: listening, an operator's look, one just closed. */
-  private static final int OTHERS = 8;
+  private static final int OTHER_SOCKETS = 8;
 
   private final Settings settings;
   private final EventLoopGroup loop;
@@ -52,39 +58,39 @@
     this.startNanos = startNanos;
     this.loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     int hosts = settings.members().size() + 2;
-    this.services = new HttpClient(loop, MOST_CALLS_PER_HOST, hosts * MOST_CALLS_PER_HOST);
+    this.services = new HttpClient(loop, MAX_CALLS_PER_HOST, hosts * MAX_CALLS_PER_HOST);
     this.workers =
-        new HttpClient(loop, MOST_CALLS_PER_WORKER, settings.limits().connectionsToWorkers());
-    long wallMicros = System.currentTimeMillis() * 1000;
+        new HttpClient(loop, MAX_CALLS_PER_WORKER, settings.limits().connectionsToWorkers());
+    long wallMicros = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
     // Two processes of a node are told apart by their start; the clock alone may step back.
     String boot =
-        Long.toString(wallMicros, 36)
+        Long.toString(wallMicros, Character.MAX_RADIX)
             + "-"
-            + Long.toString(ProcessHandle.current().pid(), 36)
+            + Long.toString(ProcessHandle.current().pid(), Character.MAX_RADIX)
             + "-"
-            + Long.toString(startNanos, 36);
+            + Long.toString(startNanos, Character.MAX_RADIX);
     this.core = new Core(settings, tuning, boot, new Random(boot.hashCode()), wallMicros - now());
     settings.members().forEach(member -> members.put(member.name(), member.address()));
   }
 
   private long now() {
-    return (System.nanoTime() - startNanos) / 1000;
+    return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos);
   }
 
   /** Starts serving. */
   public void start() throws InterruptedException {
     int members = settings.members().size();
     // Each of the others opens this many; a few more for operators and for closed ones in between.
-    int fromPeers = members * MOST_CALLS_PER_HOST + OTHERS;
-    int toServices = (members + 2) * MOST_CALLS_PER_HOST + OTHERS;
+    int fromPeers = members * MAX_CALLS_PER_HOST + OTHER_SOCKETS;
+    int toServices = (members + 2) * MAX_CALLS_PER_HOST + OTHER_SOCKETS;
     int fromClients =
-        Math.max(OTHERS, settings.limits().connectionsFromClients(fromPeers + toServices));
+        Math.max(OTHER_SOCKETS, settings.limits().connectionsFromClients(fromPeers + toServices));
     HttpServer clients =
         new HttpServer(
             Bodies.CBOR,
             (m, p, b, r) -> request(Event.Source.PUBLIC, m, p, b, r),
             fromClients,
-            Math.max(HttpServer.SILENT_MICROS, 3 * settings.workers().reportMicros()));
+            Math.max(HttpServer.SILENT_MICROS, SILENT_REPORTS * settings.workers().reportMicros()));
     HttpServer peers =
         new HttpServer(
             Bodies.MESSAGE_PACK, (m, p, b, r) -> request(Event.Source.PEER, m, p, b, r), fromPeers);
@@ -107,7 +113,7 @@
     } catch (RuntimeException e) {
       // The books may be half changed: ending here lets a clean start rebuild them.
       LOG.error("the core failed on {}: ending this process", event.getClass().getSimpleName(), e);
-      Runtime.getRuntime().halt(70);
+      Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
     }
   }
 
--- a/src/main/java/org/dewreach/script/ScriptReader.java
+++ b/src/main/java/org/dewreach/script/ScriptReader.java
@@ -29,9 +29,18 @@
  * classes or other code; the number of its instructions and the size of its strings are bounded.
  */
 public final class ScriptReader {
-  private static final int MOST_INSTRUCTIONS = 1_000_000;
-  private static final int MOST_BYTES = 64 * 1024;
-  private static final Set<String> OUTER =
+  private static final int MAX_INSTRUCTIONS = 1_000_000;
+  private static final int MAX_BYTES = 64 * 1024;
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  /** A day. */
+  private static final double MAX_DURATION_S = 86_400;
+
+  private static final double MAX_MOVED_SHARE = 0.1;
+  private static final double MAX_HEADROOM_SPREADS = 100;
+
+  /** The fields of the table that a script returns. */
+  private static final Set<String> FIELDS =
       Set.of(
           "idle_kept_s",
           "least_paid_s",
@@ -45,7 +54,7 @@
 
   /** Counts instructions, and ends a script that does not end. */
   private static final class Counter extends DebugLib {
-    private int left = MOST_INSTRUCTIONS;
+    private int left = MAX_INSTRUCTIONS;
 
     @Override
     public void onInstruction(int pc, Varargs v, int top) {
@@ -56,13 +65,19 @@
     }
   }
 
+  /** Ends a script that has used up its instructions. */
   private static final class EndlessError extends Error {
     private static final long serialVersionUID = 1L;
   }
 
+  /**
+   * Runs the script of a file.
+   *
+   * @throws SettingsException if it cannot be read or run, or returns what cannot be used
+   */
   public static Tuning read(Path file) throws SettingsException {
     try {
-      if (Files.size(file) > MOST_BYTES) {
+      if (Files.size(file) > MAX_BYTES) {
         throw new SettingsException(file + ": too long for a script");
       }
       return parse(Files.readString(file));
@@ -71,6 +86,11 @@
     }
   }
 
+  /**
+   * Runs the text of a script.
+   *
+   * @throws SettingsException if it cannot be run, or returns what cannot be used
+   */
   public static Tuning parse(String text) throws SettingsException {
     LuaValue result;
     try {
@@ -132,17 +152,17 @@
   private static Tuning tuning(LuaTable table) throws SettingsException {
     Tuning base = Tuning.DEFAULT;
     for (LuaValue key : table.keys()) {
-      if (!OUTER.contains(key.tojstring())) {
+      if (!FIELDS.contains(key.tojstring())) {
         throw new SettingsException("script." + key.tojstring() + ": unknown name");
       }
     }
     return new Tuning(
-        micros(table, "idle_kept_s", base.idleKeptMicros(), 0, 86_400),
-        micros(table, "least_paid_s", base.leastPaidMicros(), 0, 86_400),
-        micros(table, "work_off_s", base.workOffMicros(), 1, 86_400),
-        micros(table, "long_wait_s", base.longWaitMicros(), 1, 86_400),
-        number(table, "moved_share", base.movedShare(), 0, 0.1, ""),
-        number(table, "headroom_spreads", base.headroomSpreads(), 0, 100, ""),
+        micros(table, "idle_kept_s", base.idleKeptMicros(), 0, MAX_DURATION_S),
+        micros(table, "least_paid_s", base.leastPaidMicros(), 0, MAX_DURATION_S),
+        micros(table, "work_off_s", base.workOffMicros(), 1, MAX_DURATION_S),
+        micros(table, "long_wait_s", base.longWaitMicros(), 1, MAX_DURATION_S),
+        number(table, "moved_share", base.movedShare(), 0, MAX_MOVED_SHARE, ""),
+        number(table, "headroom_spreads", base.headroomSpreads(), 0, MAX_HEADROOM_SPREADS, ""),
         lanes(table.get("lanes")));
   }
 
@@ -168,15 +188,21 @@
       }
       double seconds =
           number(
-              lane.checktable(), "start_within_s", 0, 0, 86_400, "lanes." + key.tojstring() + ".");
-      within.put(key.tojstring(), Math.round(seconds * 1e6));
+              lane.checktable(),
+              "start_within_s",
+              0,
+              0,
+              MAX_DURATION_S,
+              "lanes." + key.tojstring() + ".");
+      within.put(key.tojstring(), Math.round(seconds * MICROS_PER_SECOND));
     }
     return Map.copyOf(within);
   }
 
   private static long micros(LuaTable table, String name, long base, double least, double most)
       throws SettingsException {
-    return Math.round(number(table, name, base / 1e6, least, most, "") * 1e6);
+    return Math.round(
+        number(table, name, base / MICROS_PER_SECOND, least, most, "") * MICROS_PER_SECOND);
   }
 
   private static double number(
