--- a/src/test/java/org/dewreach/sim/Checker.java
+++ b/src/test/java/org/dewreach/sim/Checker.java
@@ -7,7 +7,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import java.util.function.Predicate;
 import java.util.function.Supplier;
 import org.dewreach.config.Settings;
 import org.dewreach.wire.JobRequest;
@@ -51,9 +50,6 @@
   /** Told each job whose last task has completed, at that moment. */
   Consumer<String> onLastEnd = id -> {};
 
-  /** Jobs that rest beside room, since each of their tasks fails wherever it runs. */
-  Predicate<String> failsEverywhere = id -> false;
-
   /** Told each job that users have just heard to be accepted, done or cancelled. */
   Consumer<String> onNews = id -> {};
 
@@ -182,12 +178,7 @@
                   && !job.spec.together()
                   && !job.spec.scatter();
           boolean waits =
-              alone
-                  && !failsEverywhere.test(id)
-                  && job.accepted
-                  && !job.abortAsked
-                  && job.finalTold == null
-                  && pending(id, job);
+              alone && job.accepted && !job.abortAsked && job.finalTold == null && pending(id, job);
           double left =
               waits
                   ? settings.teams().get(job.spec.team()).cpusMax()
--- a/src/test/java/org/dewreach/sim/RulesTest.java
+++ b/src/test/java/org/dewreach/sim/RulesTest.java
@@ -24,6 +24,7 @@
     }
     // No trouble lasts longer than 40 s, and none begins after 170 s.
     world.checker.quietSince = 215 * S;
+    world.clock.at(215 * S, world.users::resumeAbandonedCancellations);
     world.play(320 * S);
     return world;
   }
--- a/src/test/java/org/dewreach/sim/SimUsers.java
+++ b/src/test/java/org/dewreach/sim/SimUsers.java
@@ -6,6 +6,7 @@
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -17,11 +18,14 @@
 
 /** Users who submit, poll, repeat themselves and withdraw. */
 final class SimUsers {
+  private static final int MAX_ABORT_RETRIES = 30;
+
   private final World world;
   private final Random random;
   private final Map<String, JobRequest> specs = new HashMap<>();
   private final List<String> ids = new ArrayList<>();
   private final Set<String> cancelledAtEnd = new HashSet<>();
+  private final Set<String> abandonedCancellations = new LinkedHashSet<>();
   private int cancelAtEndShare;
   private long cancelAtEndUntil;
   private int oddRequests;
@@ -496,20 +500,35 @@
           }
           answered[0] = true;
           world.checker.onAbortAnswer(id, asked, status, standing(body));
-          if (status != 200 && tries < 30) {
-            world.clock.in(1_000_000, () -> abort(id, tries + 1));
+          if (status != 200) {
+            abortAgain(id, tries, 1_000_000);
           }
         });
     world.clock.in(
         5_000_000,
         () -> {
-          if (!answered[0] && tries < 30) {
+          if (!answered[0]) {
             answered[0] = true;
-            abort(id, tries + 1);
+            abortAgain(id, tries, 0);
           }
         });
   }
 
+  private void abortAgain(String id, int tries, long pauseMicros) {
+    if (tries < MAX_ABORT_RETRIES) {
+      world.clock.in(pauseMicros, () -> abort(id, tries + 1));
+    } else {
+      abandonedCancellations.add(id);
+    }
+  }
+
+  /** Users who gave up on a cancellation while the troubles lasted ask for it once more. */
+  void resumeAbandonedCancellations() {
+    List<String> again = List.copyOf(abandonedCancellations);
+    abandonedCancellations.clear();
+    again.forEach(id -> abort(id, 0));
+  }
+
   /** One question, to a given node. */
   void ask(String id, String node) {
     Checker.Asked asked = world.checker.ask(id);
--- a/src/test/java/org/dewreach/sim/World.java
+++ b/src/test/java/org/dewreach/sim/World.java
@@ -136,7 +136,6 @@
     this.users = new SimUsers(this);
     checker.machines = this::workers;
     checker.onLastEnd = users::onLastEnd;
-    checker.failsEverywhere = users.failsAfter::containsKey;
     checker.onNews = users::onNews;
     for (String name : NODES) {
       nodeSettings.put(name, settingsOf(name, limitFactor, size));
@@ -656,11 +655,12 @@
     return new ArrayList<>(cloud.workers.values());
   }
 
-  /** True if no team may run one more task of one CPU. */
+  /** True if no team that has a limit may run one more task of one CPU. */
   boolean teamsAtTheLimit() {
     Map<String, Double> used = new HashMap<>();
     workers().forEach(worker -> worker.addUse(used));
     return settings.teams().values().stream()
+        .filter(team -> Double.isFinite(team.cpusMax()))
         .allMatch(team -> used.getOrDefault(team.name(), 0.0) + 1 > team.cpusMax() + 1e-6);
   }
 
