--- a/src/main/java/org/dewreach/controller/Core.java
+++ b/src/main/java/org/dewreach/controller/Core.java
@@ -13,6 +13,7 @@
 import org.dewreach.port.Calls;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
+import org.dewreach.port.Lane;
 import org.dewreach.port.Target;
 import org.dewreach.store.StateService;
 import org.dewreach.wire.Codec;
@@ -110,7 +111,9 @@
     this.catalog = new CatalogKeeper(state, cloud);
     this.election =
         new Election(
-            state,
+            // Guards against a renewal that waits behind users' reads and comes after the hold
+            // ended.
+            new StateService(calls, Lane.AUTHORITY),
             calls,
             settings.members().stream().map(Settings.Member::name).toList(),
             settings.name(),
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 import org.dewreach.port.Calls;
+import org.dewreach.port.Lane;
 import org.dewreach.port.Target;
 import org.dewreach.store.Change;
 import org.dewreach.store.Condition;
@@ -178,6 +179,7 @@
     for (String other : others) {
       calls.call(
           new Target.Member(other),
+          Lane.AUTHORITY,
           "POST",
           PROMISE_PATH,
           Codec.map().put("term", forTerm),
--- a/src/main/java/org/dewreach/net/Node.java
+++ b/src/main/java/org/dewreach/net/Node.java
@@ -14,6 +14,7 @@
 import org.dewreach.controller.Core;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
+import org.dewreach.port.Lane;
 import org.dewreach.port.Target;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -26,6 +27,12 @@
   /** Calls to one host at a time; a watch occupies one of them. */
   private static final int MOST_CALLS_PER_HOST = 16;
 
+  /**
+   * Calls to one host at a time that the lead depends on: the watch of the leader key, an extension
+   * of the hold, a read or claim, and the end of an earlier hold.
+   */
+  private static final int MOST_AUTHORITY_CALLS_PER_HOST = 4;
+
   /** A command, and a question for its count. */
   private static final int MOST_CALLS_PER_WORKER = 2;
 
@@ -35,6 +42,7 @@
   private final Settings settings;
   private final EventLoopGroup loop;
   private final HttpClient services;
+  private final HttpClient authority;
   private final HttpClient workers;
   private final Core core;
   private final Map<String, Settings.Address> members = new HashMap<>();
@@ -53,6 +61,10 @@
     this.loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     int hosts = settings.members().size() + 2;
     this.services = new HttpClient(loop, MOST_CALLS_PER_HOST, hosts * MOST_CALLS_PER_HOST);
+    int electorate = settings.members().size() + 1;
+    this.authority =
+        new HttpClient(
+            loop, MOST_AUTHORITY_CALLS_PER_HOST, electorate * MOST_AUTHORITY_CALLS_PER_HOST);
     this.workers =
         new HttpClient(loop, MOST_CALLS_PER_WORKER, settings.limits().connectionsToWorkers());
     long wallMicros = System.currentTimeMillis() * 1000;
@@ -75,8 +87,9 @@
   public void start() throws InterruptedException {
     int members = settings.members().size();
     // Each of the others opens this many; a few more for operators and for closed ones in between.
-    int fromPeers = members * MOST_CALLS_PER_HOST + OTHERS;
-    int toServices = (members + 2) * MOST_CALLS_PER_HOST + OTHERS;
+    int fromPeers = members * (MOST_CALLS_PER_HOST + MOST_AUTHORITY_CALLS_PER_HOST) + OTHERS;
+    int forAuthority = (members + 1) * MOST_AUTHORITY_CALLS_PER_HOST;
+    int toServices = (members + 2) * MOST_CALLS_PER_HOST + forAuthority + OTHERS;
     int fromClients =
         Math.max(OTHERS, settings.limits().connectionsFromClients(fromPeers + toServices));
     HttpServer clients =
@@ -126,16 +139,23 @@
         return;
       }
       Target target = call.target();
-      HttpClient client = target instanceof Target.Worker ? workers : services;
-      client.call(
-          address(target),
-          target instanceof Target.Member ? Bodies.MESSAGE_PACK : Bodies.CBOR,
-          call.method(),
-          call.path(),
-          call.body(),
-          call.timeoutMicros(),
-          (status, body) -> handle(new Event.Reply(call.callId(), status, body)));
+      client(call)
+          .call(
+              address(target),
+              target instanceof Target.Member ? Bodies.MESSAGE_PACK : Bodies.CBOR,
+              call.method(),
+              call.path(),
+              call.body(),
+              call.timeoutMicros(),
+              (status, body) -> handle(new Event.Reply(call.callId(), status, body)));
+    }
+  }
+
+  private HttpClient client(Effect.Call call) {
+    if (call.target() instanceof Target.Worker) {
+      return workers;
     }
+    return call.lane() == Lane.AUTHORITY ? authority : services;
   }
 
   /** A worker's own word; one that is no address leads nowhere, and the call ends unanswered. */
--- a/src/main/java/org/dewreach/port/Calls.java
+++ b/src/main/java/org/dewreach/port/Calls.java
@@ -40,11 +40,22 @@
       JsonNode body,
       long timeoutMicros,
       ReplyHandler handler) {
+    call(target, Lane.GENERAL, method, path, body, timeoutMicros, handler);
+  }
+
+  public void call(
+      Target target,
+      Lane lane,
+      String method,
+      String path,
+      JsonNode body,
+      long timeoutMicros,
+      ReplyHandler handler) {
     long callId = ++lastCallId;
     open.put(callId, handler);
     // The state service fences writes itself, and the cloud's requests do no harm when late.
     long notAfter = target instanceof Target.Worker ? authorityUntil.getAsLong() : Effect.ANY_TIME;
-    outbox.add(new Effect.Call(callId, target, method, path, body, timeoutMicros, notAfter));
+    outbox.add(new Effect.Call(callId, target, lane, method, path, body, timeoutMicros, notAfter));
   }
 
   public void respond(long requestId, int status, JsonNode body) {
