--- /dev/null
+++ b/src/test/java/org/dewreach/controller/AcceptedMeanwhileTest.java
@@ -0,0 +1,168 @@
+package org.dewreach.controller;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.List;
+import java.util.Map;
+import org.dewreach.cloud.CloudService;
+import org.dewreach.config.Settings;
+import org.dewreach.config.Tuning;
+import org.dewreach.job.Job;
+import org.dewreach.job.JobPhase;
+import org.dewreach.job.JobRecord;
+import org.dewreach.port.Calls;
+import org.dewreach.port.Effect;
+import org.dewreach.port.Event;
+import org.dewreach.store.CommitQueue;
+import org.dewreach.store.Condition;
+import org.dewreach.store.Keys;
+import org.dewreach.store.RateBudget;
+import org.dewreach.store.StateService;
+import org.dewreach.wire.Codec;
+import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.Shape;
+import org.dewreach.wire.Urgency;
+import org.junit.jupiter.api.Test;
+
+/** Jobs that are accepted while the leader is reading what else there is. */
+class AcceptedMeanwhileTest {
+  private static final long S = 1_000_000;
+  private static final Settings SETTINGS = settings();
+
+  private final Calls calls = new Calls();
+  private final StateService state = new StateService(calls);
+  private final Books books = new Books(90, SETTINGS.teams(), Tuning.DEFAULT);
+  private final CommitQueue queue =
+      new CommitQueue(
+          state, new Condition(Keys.LEADER, 90), 24, new RateBudget(100, 100), () -> {});
+  private final Recorder recorder = new Recorder(queue, (job, now) -> true, new Ignoring());
+  private final Adopter adopter = new Adopter(state, books, recorder);
+  private final LeaderDesk desk =
+      new LeaderDesk(
+          books,
+          recorder,
+          adopter,
+          state,
+          new CatalogKeeper(state, new CloudService(calls, 100)),
+          SETTINGS,
+          0);
+  private final List<Integer> answered = new ArrayList<>();
+
+  /** Nothing is done about what becomes durable. */
+  private static final class Ignoring implements Recorder.Listener {
+    @Override
+    public void onAccepted(Job job, long nowMicros) {}
+
+    @Override
+    public void onWithdrawn(Job job, long nowMicros) {}
+
+    @Override
+    public void onOver(Job job, long nowMicros) {}
+
+    @Override
+    public void onMarked(long nowMicros) {}
+
+    @Override
+    public void onBroken(String why, long nowMicros) {}
+  }
+
+  private static Settings settings() {
+    Settings.Address any = new Settings.Address("127.0.0.1", 1);
+    return new Settings(
+        "n0",
+        "a",
+        any,
+        any,
+        List.of(),
+        any,
+        any,
+        List.of("a"),
+        0,
+        Map.of("red", new Settings.Team("red", 4, 10, 0, 0)),
+        List.of(),
+        new Settings.Workers(S, 10 * S, 30 * S),
+        new Settings.StateLimits(100, 50, 8192, 24),
+        new Settings.CloudLimits(100, 3 * S),
+        new Settings.Limits(0.5, 200, 500));
+  }
+
+  private static JobRequest spec(String id) {
+    return new JobRequest(
+        id,
+        "scan",
+        "red",
+        Shape.SWEEP,
+        Urgency.NORMAL,
+        1,
+        1,
+        0,
+        1,
+        "img",
+        1,
+        null,
+        null,
+        false,
+        false,
+        true,
+        10 * S,
+        0,
+        0,
+        -1);
+  }
+
+  /** The only call that was made since the last time, of this method and path. */
+  private Effect.Call sent(String path) {
+    List<Effect.Call> made = new ArrayList<>();
+    calls.drain().forEach(effect -> made.add((Effect.Call) effect));
+    made.removeIf(call -> !call.path().startsWith(path));
+    assertEquals(1, made.size(), path);
+    return made.get(0);
+  }
+
+  private void reply(Effect.Call call, int status, JsonNode body) {
+    calls.reply(2 * S, new Event.Reply(call.callId(), status, body));
+  }
+
+  private static ObjectNode page(long revision, boolean more, String id) {
+    ObjectNode page = Codec.map().put("ledger_rev", revision).put("more", more);
+    ObjectNode entry = page.putArray("entries").addObject().put("path", Keys.newJob(id));
+    entry.put("stamp", 40).set("data", JobRecord.encode(spec(id), 0, false, new BitSet()));
+    return page;
+  }
+
+  /**
+   * Guard: {@code Adopter.listedSince} is taken from the first page only. A job that is kept
+   * between the two pages under a key before the second one is on neither, and a watch from the
+   * second on would not tell of it.
+   */
+  @Test
+  void theWatchBeginsWhereTheFirstPageDid() {
+    adopter.tick(S);
+    reply(sent("/keys?"), 200, page(50, true, "req-5"));
+    reply(sent("/keys?"), 200, page(60, false, "req-7"));
+    String watch = sent("/changes?").path();
+    assertTrue(watch.contains("&after=50&"), watch);
+  }
+
+  /**
+   * Guard: the books are looked at again in {@code LeaderDesk.unlessKnown}. A submission that lacks
+   * a field is not called malformed once the job of that name has been accepted meanwhile.
+   */
+  @Test
+  void aSubmissionIsNotRefusedIfItsJobIsAcceptedWhileItIsLookedUp() {
+    UserRequest submit = new UserRequest.Submit("req-1", Codec.map().put("uid", "req-1"));
+    desk.handle(submit, (status, body, retry) -> answered.add(status), S);
+    reply(sent("/keys/" + Keys.newJob("req-1")), 404, Codec.map());
+    Effect.Call lastLook = sent("/keys/" + Keys.over("req-1"));
+    books.jobs().put("req-1", new Job(spec("req-1"), 0, true, JobPhase.LIVE));
+    reply(lastLook, 404, Codec.map());
+    assertEquals(List.of(503), answered, "to come back");
+    desk.handle(submit, (status, body, retry) -> answered.add(status), 3 * S);
+    assertEquals(List.of(503, 200), answered);
+  }
+}
