--- a/src/main/java/org/dewreach/port/Calls.java
+++ b/src/main/java/org/dewreach/port/Calls.java
@@ -48,11 +48,23 @@
       JsonNode body,
       long timeoutMicros,
       ReplyHandler handler) {
+    call(target, Lane.GENERAL, method, path, body, timeoutMicros, handler);
+  }
+
+  /** Sends a request over the connections of the given lane. */
+  public void call(
+      Target target,
+      Lane lane,
+      String method,
+      String path,
+      JsonNode body,
+      long timeoutMicros,
+      ReplyHandler handler) {
     long callId = ++lastCallId;
     open.put(callId, handler);
     // The state service fences writes itself, and the cloud's requests do no harm when late.
     long notAfter = target instanceof Target.Worker ? authorityUntil.getAsLong() : Effect.ANY_TIME;
-    outbox.add(new Effect.Call(callId, target, method, path, body, timeoutMicros, notAfter));
+    outbox.add(new Effect.Call(callId, target, lane, method, path, body, timeoutMicros, notAfter));
   }
 
   /** Answers a request. */
--- a/src/main/java/org/dewreach/store/StateService.java
+++ b/src/main/java/org/dewreach/store/StateService.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.dewreach.port.Calls;
+import org.dewreach.port.Lane;
 import org.dewreach.port.Target;
 import org.dewreach.wire.Codec;
 
@@ -19,15 +20,22 @@
   private static final long MICROS_PER_MS = 1_000;
 
   private final Calls calls;
+  private final Lane lane;
 
   /** A client that sends its requests through the given calls. */
   public StateService(Calls calls) {
+    this(calls, Lane.GENERAL);
+  }
+
+  /** A client whose requests use the connections of the given lane. */
+  public StateService(Calls calls, Lane lane) {
     this.calls = calls;
+    this.lane = lane;
   }
 
   /** Reads one key; 404 if it does not exist. */
   public void get(String key, Calls.ReplyHandler handler) {
-    calls.call(Target.STATE, "GET", "/keys/" + key, null, READ_TIMEOUT_MICROS, handler);
+    calls.call(Target.STATE, lane, "GET", "/keys/" + key, null, READ_TIMEOUT_MICROS, handler);
   }
 
   /**
@@ -38,7 +46,7 @@
    */
   public void range(String prefix, String after, int most, Calls.ReplyHandler handler) {
     String path = "/keys?under=" + prefix + (after == null ? "" : "&after=" + after);
-    calls.call(Target.STATE, "GET", path + "&most=" + most, null, RANGE_TIMEOUT_MICROS, handler);
+    calls.call(Target.STATE, lane, "GET", path + "&most=" + most, null, RANGE_TIMEOUT_MICROS, handler);
   }
 
   /**
@@ -49,25 +57,30 @@
    */
   public void watch(String prefix, long afterRevision, long holdMs, Calls.ReplyHandler handler) {
     String path = "/changes?under=" + prefix + "&after=" + afterRevision + "&hold_ms=" + holdMs;
-    calls.call(
-        Target.STATE, "GET", path, null, holdMs * MICROS_PER_MS + WATCH_SLACK_MICROS, handler);
+    calls.call(Target.STATE, lane, "GET", path, null, holdMs * MICROS_PER_MS + WATCH_SLACK_MICROS, handler);
   }
 
   /** Grants a lease: keys that are written with it are deleted when it ends. */
   public void openHold(long ttlMs, long timeoutMicros, Calls.ReplyHandler handler) {
     ObjectNode body = Codec.map().put("ttl_ms", ttlMs);
-    calls.call(Target.STATE, "POST", "/holds", body, timeoutMicros, handler);
+    calls.call(Target.STATE, lane, "POST", "/holds", body, timeoutMicros, handler);
   }
 
   /** Renews a lease for its full time. */
   public void extendHold(long hold, long timeoutMicros, Calls.ReplyHandler handler) {
     calls.call(
-        Target.STATE, "POST", "/holds/" + hold + "/extend", Codec.map(), timeoutMicros, handler);
+        Target.STATE,
+        lane,
+        "POST",
+        "/holds/" + hold + "/extend",
+        Codec.map(),
+        timeoutMicros,
+        handler);
   }
 
   /** Revokes a lease, and deletes the keys written with it. */
   public void dropHold(long hold, Calls.ReplyHandler handler) {
-    calls.call(Target.STATE, "DELETE", "/holds/" + hold, null, READ_TIMEOUT_MICROS, handler);
+    calls.call(Target.STATE, lane, "DELETE", "/holds/" + hold, null, READ_TIMEOUT_MICROS, handler);
   }
 
   /**
@@ -98,7 +111,7 @@
         }
       }
     }
-    calls.call(Target.STATE, "POST", "/commit", body, timeoutMicros, handler);
+    calls.call(Target.STATE, lane, "POST", "/commit", body, timeoutMicros, handler);
   }
 
   /** The keys named in a 409. */
