--- /dev/null
+++ b/src/main/java/org/dewreach/machine/ImageCache.java
@@ -0,0 +1,74 @@
+package org.dewreach.machine;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.function.Predicate;
+import org.dewreach.wire.JobRequest;
+
+/**
+ * The images that a machine has or fetches, as far as its tasks have shown.
+ *
+ * <p>A machine keeps the most recently used images that fit into its cache, and fetches of several
+ * images share its rate.
+ */
+final class ImageCache {
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  /** An image that a task needed. */
+  private record Image(double gb, boolean fetched) {}
+
+  /** By name, the least recently used first. */
+  private final Map<String, Image> images = new LinkedHashMap<>();
+
+  private final double capacityGb;
+  private final double fetchGbPerS;
+
+  ImageCache(double capacityGb, double fetchGbPerS) {
+    this.capacityGb = capacityGb;
+    this.fetchGbPerS = fetchGbPerS;
+  }
+
+  /** True if the image is there or being fetched. */
+  boolean has(String image) {
+    return images.containsKey(image);
+  }
+
+  /** Time until a task's image would be there, with the fetches in progress sharing the rate. */
+  long fetchMicros(JobRequest spec) {
+    Image known = images.get(spec.image());
+    if (known != null && known.fetched()) {
+      return 0;
+    }
+    double gb = known == null ? spec.imageGb() : 0;
+    for (Image image : images.values()) {
+      gb += image.fetched() ? 0 : image.gb();
+    }
+    return fetchGbPerS > 0 ? Math.round(gb / fetchGbPerS * MICROS_PER_SECOND) : 0;
+  }
+
+  /** The image of a job is there. */
+  void fetched(JobRequest spec) {
+    images.put(spec.image(), new Image(spec.imageGb(), true));
+  }
+
+  /** A task needs its image; the least recently used ones make way for it. */
+  void use(JobRequest spec) {
+    Image known = images.remove(spec.image());
+    images.put(spec.image(), known != null ? known : new Image(spec.imageGb(), false));
+    double sum = 0;
+    for (Image image : images.values()) {
+      sum += image.gb();
+    }
+    while (sum > capacityGb && images.size() > 1) {
+      sum -= images.remove(images.keySet().iterator().next()).gb();
+    }
+  }
+
+  /** A task has left: a fetch that no other task waits for is given up. */
+  void release(String image, Predicate<String> stillNeeded) {
+    Image known = images.get(image);
+    if (known != null && !known.fetched() && !stillNeeded.test(image)) {
+      images.remove(image);
+    }
+  }
+}
--- a/src/main/java/org/dewreach/machine/Machine.java
+++ b/src/main/java/org/dewreach/machine/Machine.java
@@ -17,16 +17,14 @@
   /** Answers in a row that did not arrive, from which a machine is taken for deaf. Ours. */
   private static final int DEAF_AFTER = 2;
 
-  /** An image that a task needed here. */
-  private record Image(double gb, boolean fetched) {}
-
   private final String name;
   private final MachineType type;
   private final String zone;
   private final boolean spot;
   private final Map<TaskName, Task> tasks = new LinkedHashMap<>();
   private final Set<String> erredJobs = new HashSet<>();
-  private final Map<String, Image> images = new LinkedHashMap<>();
+  private final ImageCache images;
+  private final ResourceUsage used = new ResourceUsage();
   private final boolean commandedBefore;
   private MachinePhase phase;
   private String address;
@@ -38,10 +36,6 @@
   private long knownSince;
   private long idleSince;
   private long recallAt = -1;
-  private double usedCpus;
-  private double usedGpus;
-  private double usedMemoryGb;
-  private final int[] boundByUrgency = new int[Urgency.values().length];
   private int errors;
   private long setAsideAt = -1;
   private boolean retiring;
@@ -57,6 +51,11 @@
   private int unheeded;
   private Anew anew = Anew.NO;
 
+  /**
+   * A machine that nothing is bound to.
+   *
+   * @param phase how it was found; {@link MachinePhase#UNHEARD} if an earlier leader recorded it
+   */
   public Machine(
       String name,
       String address,
@@ -68,6 +67,7 @@
     this.name = name;
     this.address = address;
     this.type = type;
+    this.images = new ImageCache(type.cacheGb(), type.fetchGbPerS());
     this.zone = zone;
     this.spot = spot;
     this.phase = phase;
@@ -93,30 +93,37 @@
     phase = next;
   }
 
+  /** Its unique name. */
   public String name() {
     return name;
   }
 
+  /** Where its worker takes commands. */
   public String address() {
     return address;
   }
 
+  /** Its worker told where it takes commands. */
   public void address(String newAddress) {
     address = newAddress;
   }
 
+  /** Its type. */
   public MachineType type() {
     return type;
   }
 
+  /** Its zone. */
   public String zone() {
     return zone;
   }
 
+  /** True if the cloud may take it away. */
   public boolean spot() {
     return spot;
   }
 
+  /** Its state. */
   public MachinePhase phase() {
     return phase;
   }
@@ -134,6 +141,7 @@
     toProve = true;
   }
 
+  /** True if only a report that shows our own token is believed. */
   public boolean hasToProve() {
     return toProve;
   }
@@ -143,6 +151,7 @@
     return accountedFor;
   }
 
+  /** It is known what is left of the tasks of earlier leaders. */
   public void markAccountedFor() {
     accountedFor = true;
   }
@@ -152,6 +161,7 @@
     return anew;
   }
 
+  /** Sets whether its worker may have begun anew. */
   public void anew(Anew now) {
     anew = now;
   }
@@ -166,22 +176,27 @@
     return unheeded >= DEAF_AFTER;
   }
 
+  /** True if it is recorded durably: it may be given commands. */
   public boolean recorded() {
     return recorded;
   }
 
+  /** Sets whether it is recorded durably. */
   public void recorded(boolean now) {
     recorded = now;
   }
 
+  /** The session of the last report taken, or -1. */
   public long session() {
     return session;
   }
 
+  /** The sequence of the last report taken, or -1. */
   public long sequence() {
     return sequence;
   }
 
+  /** When it last reported by itself. */
   public long lastReport() {
     return lastReport;
   }
@@ -227,26 +242,32 @@
     return lastAnswer;
   }
 
+  /** A report was answered under our term. */
   public void answered(long nowMicros) {
     lastAnswer = nowMicros;
   }
 
+  /** Since when it is known of. */
   public long knownSince() {
     return knownSince;
   }
 
+  /** Sets since when it is known of. */
   public void knownSince(long micros) {
     knownSince = micros;
   }
 
+  /** Since when no task has been bound to it. */
   public long idleSince() {
     return idleSince;
   }
 
+  /** When the cloud takes it away, or -1. */
   public long recallAt() {
     return recallAt;
   }
 
+  /** Sets when the cloud takes it away. */
   public void recallAt(long micros) {
     recallAt = micros;
   }
@@ -256,6 +277,7 @@
     return retiring;
   }
 
+  /** Sets whether it is to run empty. */
   public void retiring(boolean now) {
     retiring = now;
   }
@@ -270,6 +292,7 @@
     return setAsideAt;
   }
 
+  /** It is taken for faulty. */
   public void setAside(long nowMicros) {
     setAsideAt = nowMicros;
   }
@@ -285,6 +308,7 @@
     return refusedAt;
   }
 
+  /** Its worker refused a start. */
   public void refusedAt(long nowMicros) {
     refusedAt = nowMicros;
   }
@@ -305,18 +329,22 @@
     return directTasks.contains(task);
   }
 
+  /** True if the attempt was started directly in this session. */
   public boolean wasStartedDirectly(long attempt) {
     return directAttempts.contains(attempt);
   }
 
+  /** Direct starts in this session. */
   public int directStarts() {
     return directAttempts.size();
   }
 
+  /** True while a direct command has no outcome. */
   public boolean directInFlight() {
     return directInFlight;
   }
 
+  /** Sets whether a direct command has no outcome. */
   public void directInFlight(boolean now) {
     directInFlight = now;
   }
@@ -326,13 +354,14 @@
     return directAgainAt;
   }
 
+  /** Sets the time before which no direct command is sent. */
   public void directAgainAt(long micros) {
     directAgainAt = micros;
   }
 
   /** True if the image is there, as far as we have seen, or on its way for another task. */
   public boolean hasImage(String image) {
-    return images.containsKey(image);
+    return images.has(image);
   }
 
   /**
@@ -340,47 +369,12 @@
    * the machine's rate.
    */
   public long fetchMicros(JobRequest spec) {
-    Image known = images.get(spec.image());
-    if (known != null && known.fetched()) {
-      return 0;
-    }
-    double gb = known == null ? spec.imageGb() : 0;
-    for (Image image : images.values()) {
-      gb += image.fetched() ? 0 : image.gb();
-    }
-    return type.fetchGbPerS() > 0 ? Math.round(gb / type.fetchGbPerS() * 1e6) : 0;
+    return images.fetchMicros(spec);
   }
 
   /** A task runs, so its image is here. */
   public void fetched(JobRequest spec) {
-    images.put(spec.image(), new Image(spec.imageGb(), true));
-  }
-
-  /** A task needs the image here; the machine keeps the most recently used ones. */
-  private void useImage(JobRequest spec) {
-    Image known = images.remove(spec.image());
-    images.put(spec.image(), known != null ? known : new Image(spec.imageGb(), false));
-    double sum = 0;
-    for (Image image : images.values()) {
-      sum += image.gb();
-    }
-    while (sum > type.cacheGb() && images.size() > 1) {
-      sum -= images.remove(images.keySet().iterator().next()).gb();
-    }
-  }
-
-  /** A fetch that no task waits for any more is given up. */
-  private void dropFetch(String image) {
-    Image known = images.get(image);
-    if (known == null || known.fetched()) {
-      return;
-    }
-    for (Task task : tasks.values()) {
-      if (task.spec().image().equals(image)) {
-        return;
-      }
-    }
-    images.remove(image);
+    images.fetched(spec);
   }
 
   /** Jobs whose tasks failed here since a task last completed here. */
@@ -393,6 +387,7 @@
     return errors;
   }
 
+  /** A task failed here. */
   public void erred() {
     errors++;
   }
@@ -403,63 +398,60 @@
     erredJobs.clear();
   }
 
+  /** The tasks bound to it. */
   public Collection<Task> tasks() {
     return tasks.values();
   }
 
+  /** The task of that name, or null if it is not bound here. */
   public Task task(TaskName taskName) {
     return tasks.get(taskName);
   }
 
+  /** Binds a task. */
   public void bind(Task task) {
     if (tasks.put(task.name(), task) != null) {
       throw new IllegalStateException(task.name() + " is bound to " + name + " already");
     }
-    boundByUrgency[task.spec().urgency().ordinal()]++;
-    usedCpus += task.spec().cpus();
-    usedGpus += task.spec().gpus();
-    usedMemoryGb += task.spec().memoryGb();
-    useImage(task.spec());
+    used.add(task.spec());
+    images.use(task.spec());
   }
 
+  /** A task is proven gone. */
   public void unbind(Task task, long nowMicros) {
     if (!tasks.remove(task.name(), task)) {
       throw new IllegalStateException(task.name() + " is not bound to " + name);
     }
-    boundByUrgency[task.spec().urgency().ordinal()]--;
-    usedCpus -= task.spec().cpus();
-    usedGpus -= task.spec().gpus();
-    usedMemoryGb -= task.spec().memoryGb();
-    dropFetch(task.spec().image());
+    used.remove(task.spec());
+    images.release(task.spec().image(), this::needsImage);
     if (tasks.isEmpty()) {
-      // Sums of decimal amounts keep a rest; an empty machine is free in full.
-      usedCpus = 0;
-      usedGpus = 0;
-      usedMemoryGb = 0;
+      used.clear();
       idleSince = nowMicros;
     }
   }
 
   /** True if a task of lesser urgency is bound here. */
   public boolean hasLessUrgent(Urgency than) {
-    for (Urgency urgency : Urgency.values()) {
-      if (boundByUrgency[urgency.ordinal()] > 0 && than.above(urgency)) {
-        return true;
-      }
-    }
-    return false;
+    return used.hasLessUrgent(than);
+  }
+
+  private boolean needsImage(String image) {
+    return tasks.values().stream().anyMatch(task -> task.spec().image().equals(image));
   }
 
+  /** CPUs that no bound task takes. */
   public double freeCpus() {
-    return type.cpus() - usedCpus;
+    return type.cpus() - used.cpus();
   }
 
+  /** GPUs that no bound task takes. */
   public double freeGpus() {
-    return type.gpus() - usedGpus;
+    return type.gpus() - used.gpus();
   }
 
+  /** Memory that no bound task takes. */
   public double freeMemoryGb() {
-    return type.memoryGb() - usedMemoryGb;
+    return type.memoryGb() - used.memoryGb();
   }
 
   /** True if new tasks may be placed here. */
--- /dev/null
+++ b/src/main/java/org/dewreach/machine/ResourceUsage.java
@@ -0,0 +1,57 @@
+package org.dewreach.machine;
+
+import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.Urgency;
+
+/** What the tasks that are bound to a machine take of it. */
+final class ResourceUsage {
+  private final int[] tasksByUrgency = new int[Urgency.values().length];
+  private double cpus;
+  private double gpus;
+  private double memoryGb;
+
+  double cpus() {
+    return cpus;
+  }
+
+  double gpus() {
+    return gpus;
+  }
+
+  double memoryGb() {
+    return memoryGb;
+  }
+
+  /** A task was bound. */
+  void add(JobRequest spec) {
+    tasksByUrgency[spec.urgency().ordinal()]++;
+    cpus += spec.cpus();
+    gpus += spec.gpus();
+    memoryGb += spec.memoryGb();
+  }
+
+  /** A task has left. */
+  void remove(JobRequest spec) {
+    tasksByUrgency[spec.urgency().ordinal()]--;
+    cpus -= spec.cpus();
+    gpus -= spec.gpus();
+    memoryGb -= spec.memoryGb();
+  }
+
+  /** The last task has left: sums of decimal amounts keep a rest, and nothing is in use. */
+  void clear() {
+    cpus = 0;
+    gpus = 0;
+    memoryGb = 0;
+  }
+
+  /** True if a task that the given urgency goes before is bound. */
+  boolean hasLessUrgent(Urgency than) {
+    for (Urgency urgency : Urgency.values()) {
+      if (tasksByUrgency[urgency.ordinal()] > 0 && than.above(urgency)) {
+        return true;
+      }
+    }
+    return false;
+  }
+}
