--- a/src/main/java/org/dewreach/controller/Recorder.java
+++ b/src/main/java/org/dewreach/controller/Recorder.java
@@ -11,6 +11,7 @@
 import org.dewreach.store.Condition;
 import org.dewreach.store.Keys;
 import org.dewreach.store.Write;
+import org.dewreach.store.Write.Priority;
 import org.dewreach.wire.Standing;
 
 /**
@@ -86,7 +87,7 @@
                 new Condition(Keys.job(job.id()), 0),
                 new Condition(Keys.over(job.id()), 0)),
             List.of(put, new Change(Keys.newJob(job.id()), null)),
-            true,
+            Priority.NORMAL,
             (now, outcome, revision) -> {
               job.writing(false);
               switch (outcome) {
@@ -121,7 +122,7 @@
         new Write(
             conditions,
             List.of(put),
-            true,
+            Priority.REQUEST,
             (now, outcome, revision) -> {
               job.writing(false);
               switch (outcome) {
@@ -151,10 +152,10 @@
         } else if (gate.goneInTime(job, nowMicros)) {
           job.become(JobPhase.WITHDRAWING);
           job.withdrawnAt(nowMicros);
-          write(job, true, true, nowMicros);
+          write(job, true, nowMicros);
         }
       }
-      case WITHDRAWING -> write(job, true, true, nowMicros);
+      case WITHDRAWING -> write(job, true, nowMicros);
       case WITHDRAWN -> {
         if (job.bound().isEmpty() && (job.ofThisTerm() || mayFinishWithdrawn)) {
           finish(job, nowMicros);
@@ -166,7 +167,7 @@
         } else if (nowMicros - job.progressAt() >= PROGRESS_EVERY
             && !job.done().equals(job.durable())
             && queue.waiting() < MOST_WAITING_FOR_PROGRESS) {
-          write(job, false, false, nowMicros);
+          write(job, false, nowMicros);
         }
       }
       case ACCEPTING, FINISHING, OVER -> {
@@ -175,7 +176,7 @@
     }
   }
 
-  private void write(Job job, boolean withdrawn, boolean urgent, long nowMicros) {
+  private void write(Job job, boolean withdrawn, long nowMicros) {
     BitSet snapshot = (BitSet) job.done().clone();
     Change put =
         new Change(
@@ -189,7 +190,7 @@
             new Write(
                 List.of(new Condition(Keys.job(job.id()), job.stamp())),
                 List.of(put),
-                urgent,
+                withdrawn ? Priority.REQUEST : Priority.BACKGROUND,
                 (now, outcome, revision) -> {
                   job.writing(false);
                   switch (outcome) {
@@ -225,7 +226,7 @@
                 new Condition(Keys.job(job.id()), job.stamp()),
                 new Condition(Keys.over(job.id()), 0)),
             changes,
-            !withdrawn,
+            withdrawn ? Priority.BACKGROUND : Priority.NORMAL,
             (now, outcome, revision) -> {
               job.writing(false);
               switch (outcome) {
