--- a/src/main/java/org/dewreach/controller/FleetRegister.java
+++ b/src/main/java/org/dewreach/controller/FleetRegister.java
@@ -168,8 +168,7 @@
       entry.add(machine.type().name()).add(machine.zone()).add(machine.spot());
       entry.add(machine.knownSince() + wallOffset).add(marks.contains(machine));
     }
-    Write.Priority priority =
-        page.toMark.isEmpty() ? Write.Priority.BACKGROUND : Write.Priority.NORMAL;
+    boolean urgent = !page.toMark.isEmpty();
     page.writing = true;
     page.dueAt = Long.MAX_VALUE;
     boolean taken =
@@ -178,7 +177,7 @@
             new Write(
                 List.of(new Condition(Keys.machines(page.number), page.stamp)),
                 List.of(new Change(Keys.machines(page.number), value)),
-                priority,
+                urgent,
                 (now, outcome, revision) -> written(page, marks, outcome, revision, now)));
     if (!taken) {
       page.writing = false;
--- a/src/main/java/org/dewreach/controller/Recorder.java
+++ b/src/main/java/org/dewreach/controller/Recorder.java
@@ -11,7 +11,6 @@
 import org.dewreach.store.Condition;
 import org.dewreach.store.Keys;
 import org.dewreach.store.Write;
-import org.dewreach.store.Write.Priority;
 import org.dewreach.wire.Standing;
 
 /**
@@ -87,7 +86,7 @@
                 new Condition(Keys.job(job.id()), 0),
                 new Condition(Keys.over(job.id()), 0)),
             List.of(put, new Change(Keys.newJob(job.id()), null)),
-            Priority.NORMAL,
+            true,
             (now, outcome, revision) -> {
               job.writing(false);
               switch (outcome) {
@@ -122,7 +121,7 @@
         new Write(
             conditions,
             List.of(put),
-            Priority.REQUEST,
+            true,
             (now, outcome, revision) -> {
               job.writing(false);
               switch (outcome) {
@@ -152,10 +151,10 @@
         } else if (gate.goneInTime(job, nowMicros)) {
           job.become(JobPhase.WITHDRAWING);
           job.withdrawnAt(nowMicros);
-          write(job, true, nowMicros);
+          write(job, true, true, nowMicros);
         }
       }
-      case WITHDRAWING -> write(job, true, nowMicros);
+      case WITHDRAWING -> write(job, true, true, nowMicros);
       case WITHDRAWN -> {
         if (job.bound().isEmpty() && (job.ofThisTerm() || mayFinishWithdrawn)) {
           finish(job, nowMicros);
@@ -167,7 +166,7 @@
         } else if (nowMicros - job.progressAt() >= PROGRESS_EVERY
             && !job.done().equals(job.durable())
             && queue.waiting() < MOST_WAITING_FOR_PROGRESS) {
-          write(job, false, nowMicros);
+          write(job, false, false, nowMicros);
         }
       }
       case ACCEPTING, FINISHING, OVER -> {
@@ -176,7 +175,7 @@
     }
   }
 
-  private void write(Job job, boolean withdrawn, long nowMicros) {
+  private void write(Job job, boolean withdrawn, boolean urgent, long nowMicros) {
     BitSet snapshot = (BitSet) job.done().clone();
     Change put =
         new Change(
@@ -190,7 +189,7 @@
             new Write(
                 List.of(new Condition(Keys.job(job.id()), job.stamp())),
                 List.of(put),
-                withdrawn ? Priority.REQUEST : Priority.BACKGROUND,
+                urgent,
                 (now, outcome, revision) -> {
                   job.writing(false);
                   switch (outcome) {
@@ -226,7 +225,7 @@
                 new Condition(Keys.job(job.id()), job.stamp()),
                 new Condition(Keys.over(job.id()), 0)),
             changes,
-            withdrawn ? Priority.BACKGROUND : Priority.NORMAL,
+            !withdrawn,
             (now, outcome, revision) -> {
               job.writing(false);
               switch (outcome) {
--- a/src/main/java/org/dewreach/controller/Term.java
+++ b/src/main/java/org/dewreach/controller/Term.java
@@ -333,7 +333,7 @@
         new Write(
             List.of(),
             List.of(new Change(Keys.CATALOG, MachineType.catalogNode(catalog.types()))),
-            Write.Priority.BACKGROUND,
+            false,
             (now, outcome, revision) -> {}));
   }
 
--- a/src/main/java/org/dewreach/store/CommitQueue.java
+++ b/src/main/java/org/dewreach/store/CommitQueue.java
@@ -5,7 +5,6 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
-import java.util.EnumMap;
 import java.util.Iterator;
 import java.util.List;
 import org.dewreach.wire.Codec;
@@ -42,10 +41,8 @@
   private final int txnOps;
   private final RateBudget budget;
   private final Runnable onLeaderLost;
-  private final EnumMap<Write.Priority, Deque<Write>> queues = new EnumMap<>(Write.Priority.class);
-
-  /** Changes sent for requests, less those sent for normal writes, since both were waiting. */
-  private int requestsAhead;
+  private final Deque<Write> urgent = new ArrayDeque<>();
+  private final Deque<Write> relaxed = new ArrayDeque<>();
 
   private Phase phase = Phase.IDLE;
   private boolean closed;
@@ -67,21 +64,10 @@
     this.txnOps = txnOps;
     this.budget = budget;
     this.onLeaderLost = onLeaderLost;
-    for (Write.Priority priority : Write.Priority.values()) {
-      queues.put(priority, new ArrayDeque<>());
-    }
   }
 
   public int waiting() {
-    return queued() + batch.size();
-  }
-
-  private int queued() {
-    return queues.values().stream().mapToInt(Deque::size).sum();
-  }
-
-  private Deque<Write> queueOf(Write write) {
-    return queues.get(write.priority());
+    return urgent.size() + relaxed.size() + batch.size();
   }
 
   /** True while writes do not get through: what waits for one had better come back. */
@@ -91,10 +77,10 @@
 
   /** False if the queue is full or closed; the write was not taken then. */
   public boolean add(long nowMicros, Write write) {
-    if (closed || queued() >= MOST_WAITING) {
+    if (closed || urgent.size() + relaxed.size() >= MOST_WAITING) {
       return false;
     }
-    queueOf(write).add(write);
+    (write.urgent() ? urgent : relaxed).add(write);
     pump(nowMicros);
     return true;
   }
@@ -111,9 +97,11 @@
     }
     closed = true;
     List<Write> left = new ArrayList<>(batch);
-    queues.values().forEach(left::addAll);
+    left.addAll(urgent);
+    left.addAll(relaxed);
     batch = List.of();
-    queues.values().forEach(Deque::clear);
+    urgent.clear();
+    relaxed.clear();
     for (Write write : left) {
       write.done().on(nowMicros, Write.Outcome.UNKNOWN, 0);
     }
@@ -160,61 +148,31 @@
     int ops = 0;
     int conditions = 1;
     int bytes = 0;
-    for (Deque<Write> queue = next(); queue != null; queue = next()) {
-      Write next = queue.peek();
-      int size = size(next);
-      boolean fits =
-          ops + next.changes().size() <= room
-              && conditions + next.conditions().size() <= 4 * txnOps
-              && bytes + size <= MOST_BYTES;
-      if (!fits && !gathered.isEmpty() || next.changes().size() > room) {
-        return gathered;
-      }
-      queue.poll();
-      gathered.add(next);
-      account(next);
-      ops += next.changes().size();
-      conditions += next.conditions().size();
-      bytes += size;
-      if (alone > 0) {
-        alone--;
-        return gathered;
+    for (Deque<Write> queue : List.of(urgent, relaxed)) {
+      while (!queue.isEmpty()) {
+        Write next = queue.peek();
+        int size = size(next);
+        boolean fits =
+            ops + next.changes().size() <= room
+                && conditions + next.conditions().size() <= 4 * txnOps
+                && bytes + size <= MOST_BYTES;
+        if (!fits && !gathered.isEmpty() || next.changes().size() > room) {
+          return gathered;
+        }
+        queue.poll();
+        gathered.add(next);
+        ops += next.changes().size();
+        conditions += next.conditions().size();
+        bytes += size;
+        if (alone > 0) {
+          alone--;
+          return gathered;
+        }
       }
     }
     return gathered;
   }
 
-  /**
-   * The queue whose turn it is; null if nothing waits.
-   *
-   * <p>Guards against users waiting behind a backlog, such as that of a new leader, and against
-   * that backlog never being written while users keep coming: requests and normal writes get equal
-   * shares while both wait, so each gets what it needs if that is less than half of the rate.
-   */
-  private Deque<Write> next() {
-    Deque<Write> requests = queues.get(Write.Priority.REQUEST);
-    Deque<Write> normal = queues.get(Write.Priority.NORMAL);
-    if (!requests.isEmpty() && (normal.isEmpty() || requestsAhead <= 0)) {
-      return requests;
-    }
-    if (!normal.isEmpty()) {
-      return normal;
-    }
-    Deque<Write> background = queues.get(Write.Priority.BACKGROUND);
-    return background.isEmpty() ? null : background;
-  }
-
-  private void account(Write sent) {
-    if (queues.get(Write.Priority.REQUEST).isEmpty()
-        || queues.get(Write.Priority.NORMAL).isEmpty()) {
-      requestsAhead = 0;
-    } else if (sent.priority() == Write.Priority.REQUEST) {
-      requestsAhead += sent.changes().size();
-    } else {
-      requestsAhead -= sent.changes().size();
-    }
-  }
-
   private static int size(Write write) {
     int bytes = 100;
     for (Change change : write.changes()) {
@@ -255,7 +213,7 @@
           alone = batch.size();
           for (Iterator<Write> it = new ArrayDeque<>(batch).descendingIterator(); it.hasNext(); ) {
             Write write = it.next();
-            queueOf(write).addFirst(write);
+            (write.urgent() ? urgent : relaxed).addFirst(write);
           }
           batch = List.of();
           become(Phase.IDLE);
@@ -345,7 +303,7 @@
     become(Phase.IDLE);
     for (Iterator<Write> it = new ArrayDeque<>(kept).descendingIterator(); it.hasNext(); ) {
       Write write = it.next();
-      queueOf(write).addFirst(write);
+      (write.urgent() ? urgent : relaxed).addFirst(write);
     }
     for (Write write : dropped) {
       write.done().on(nowMicros, Write.Outcome.CONFLICT, 0);
--- a/src/main/java/org/dewreach/store/Write.java
+++ b/src/main/java/org/dewreach/store/Write.java
@@ -3,18 +3,7 @@
 import java.util.List;
 
 /** Changes that take effect together or not at all. */
-public record Write(
-    List<Condition> conditions, List<Change> changes, Priority priority, Done done) {
-  /** What the write is for: decides its turn when more is to be written than the rate allows. */
-  public enum Priority {
-    /** A user waits for the answer that this write makes durable. */
-    REQUEST,
-    /** Work cannot go on without it. */
-    NORMAL,
-    /** Nobody waits for it. */
-    BACKGROUND
-  }
-
+public record Write(List<Condition> conditions, List<Change> changes, boolean urgent, Done done) {
   /** How a write ended. */
   public enum Outcome {
     /** Durable, at the revision given. */
--- a/src/test/java/org/dewreach/store/CommitQueueTest.java
+++ b/src/test/java/org/dewreach/store/CommitQueueTest.java
@@ -26,16 +26,12 @@
           () -> lost = true);
 
   private void add(String key) {
-    add(key, Write.Priority.NORMAL);
-  }
-
-  private void add(String key, Write.Priority priority) {
     queue.add(
         0,
         new Write(
             List.of(new Condition(key, 0)),
             List.of(new Change(key, CommitQueue.value())),
-            priority,
+            true,
             (now, outcome, revision) -> outcomes.add(key + " " + outcome)));
   }
 
