--- a/src/main/java/org/dewreach/controller/FleetDesk.java
+++ b/src/main/java/org/dewreach/controller/FleetDesk.java
@@ -22,6 +22,7 @@
 import org.dewreach.machine.Machine;
 import org.dewreach.machine.MachinePhase;
 import org.dewreach.placement.QueueOrder;
+import org.dewreach.placement.SortFirstFit;
 import org.dewreach.task.Task;
 import org.dewreach.task.TaskPhase;
 import org.dewreach.wire.JobRequest;
@@ -55,6 +56,11 @@
   /** Of a large fleet, one machine in this many may be given up early in a recovery. Ours. */
   private static final int STRAGGLERS_PART = 40;
 
+  private static final double MOST_MOVES_SAVED = 2;
+
+  /** A service that began lately is not moved. Ours. */
+  private static final long SETTLED = 45_000_000;
+
   /** When many machines are lost at once, they are waited for this long. Ours. */
   private static final long LOST_KEPT = 75_000_000;
 
@@ -98,7 +104,6 @@
   private final Settings settings;
   private final Tuning tuning;
   private final QueueOrder order;
-  private final Consolidation consolidation;
   private final FleetPlanner planner = new FleetPlanner();
   private final Map<String, Asked> asked = new LinkedHashMap<>();
   private final Set<String> goneNames = new LinkedHashSet<>();
@@ -107,6 +112,7 @@
   private final long wallOffset;
   private long lastRequest;
   private long roomySince;
+  private double moveBudget;
   private long nextRound;
   private long nextList;
   private boolean listing;
@@ -135,7 +141,6 @@
     this.settings = settings;
     this.tuning = tuning;
     this.order = new QueueOrder(settings.teams(), settings.objectives());
-    this.consolidation = new Consolidation(books, tuning);
     this.startedAt = nowMicros;
     this.wallOffset = wallOffset;
   }
@@ -176,7 +181,7 @@
     if (mayRent) {
       // Before all machines are accounted for, what looks idle may be needed in a moment.
       retire(nowMicros, waiting);
-      consolidation.move(nowMicros, ROUND_EVERY);
+      move(nowMicros);
       returnIdle(nowMicros);
       rent(nowMicros, waiting);
     }
@@ -436,6 +441,58 @@
     return best;
   }
 
+  /**
+   * Moves services off machines that would otherwise be kept for one or two of them. Each move
+   * costs about a second of a replica's time, so only a small share of all replicas' time is spent.
+   */
+  private void move(long nowMicros) {
+    int replicas = 0;
+    for (Machine machine : books.machines().values()) {
+      for (Task task : machine.tasks()) {
+        replicas += task.spec().shape() == Shape.SERVICE ? 1 : 0;
+      }
+    }
+    moveBudget =
+        Math.min(MOST_MOVES_SAVED, moveBudget + replicas * tuning.movedShare() * ROUND_EVERY / 1e6);
+    books.list().lookAgain();
+    for (Machine machine : books.machines().values()) {
+      if (moveBudget < 1) {
+        return;
+      }
+      if (!machine.retiring() || machine.phase() != MachinePhase.UP) {
+        continue;
+      }
+      Task movable = movable(machine, nowMicros);
+      if (movable != null) {
+        moveBudget -= 1;
+        books.stop(movable, "moved, so that its machine can be returned", nowMicros);
+        books.touch();
+      }
+    }
+  }
+
+  /** A service of a machine that has nothing else, and that could start at once elsewhere. */
+  private Task movable(Machine machine, long nowMicros) {
+    Task found = null;
+    for (Task task : machine.tasks()) {
+      boolean settled = task.phase() == TaskPhase.RUNNING && nowMicros - task.startedAt() > SETTLED;
+      if (task.spec().shape() != Shape.SERVICE || task.spec().tasks() > 1 || !settled) {
+        return null;
+      }
+      found = task;
+    }
+    if (found == null) {
+      return null;
+    }
+    JobRequest spec = found.spec();
+    Machine target =
+        books
+            .list()
+            .firstFit(
+                spec, other -> SortFirstFit.permitted(spec, other) && other.fetchMicros(spec) == 0);
+    return target == null ? null : found;
+  }
+
   private static double pricePerCpu(Machine machine) {
     MachineType type = machine.type();
     return (machine.spot() ? type.spotPrice() : type.price()) / Math.max(1, type.cpus());
--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -157,8 +157,7 @@
         && one.type().memoryGb() == other.type().memoryGb();
   }
 
-  /** True if the machine has room for one task of the job. */
-  public static boolean covers(Machine machine, JobRequest spec) {
+  private static boolean covers(Machine machine, JobRequest spec) {
     return spec.cpus() <= machine.freeCpus() + EPS
         && spec.memoryGb() <= machine.freeMemoryGb() + EPS
         && spec.gpus() <= machine.freeGpus() + EPS;
