--- /dev/null
+++ b/src/main/java/org/dewreach/controller/Consolidation.java
@@ -0,0 +1,135 @@
+package org.dewreach.controller;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.dewreach.machine.Machine;
+import org.dewreach.machine.MachinePhase;
+import org.dewreach.placement.SortFirstFit;
+import org.dewreach.task.Task;
+import org.dewreach.task.TaskPhase;
+import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.Shape;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Moves tasks that save their progress off machines that run empty and would otherwise be kept for
+ * a few long ones. A move costs the saving and a start, so it is made only for tasks with far more
+ * than that left to run.
+ */
+final class Consolidation {
+  private static final Logger LOG = LoggerFactory.getLogger(Consolidation.class);
+
+  /** From placement to running, without an image fetch. Ours. */
+  private static final long START_MICROS = 4_000_000;
+
+  /** A task is moved if it has this many times the cost of a move left to run. Ours. */
+  private static final int WORTH_MOVING = 10;
+
+  private final Books books;
+
+  Consolidation(Books books) {
+    this.books = books;
+  }
+
+  /** Stops at most one task of each machine that runs empty; the next passes place it again. */
+  void move(long nowMicros) {
+    books.list().lookAgain();
+    Set<Machine> targets = new HashSet<>();
+    for (Machine machine : emptiestFirst()) {
+      Task movable = movable(machine, nowMicros);
+      if (movable == null || targets.contains(machine)) {
+        continue;
+      }
+      Machine target = target(movable, targets);
+      if (target != null) {
+        targets.add(target);
+        books.stop(
+            movable, "moved with its progress, so that its machine can be returned", nowMicros);
+        books.touch();
+      }
+    }
+  }
+
+  /** Machines that run empty, fewest tasks first: so each move frees the most machines. */
+  private List<Machine> emptiestFirst() {
+    List<Machine> retiring = new ArrayList<>();
+    for (Machine machine : books.machines().values()) {
+      if (machine.retiring() && machine.phase() == MachinePhase.UP) {
+        retiring.add(machine);
+      }
+    }
+    retiring.sort(Comparator.comparingInt(machine -> machine.tasks().size()));
+    return retiring;
+  }
+
+  /** A task worth moving, of a machine that has only such tasks and services; or null. */
+  private static Task movable(Machine machine, long nowMicros) {
+    Task found = null;
+    for (Task task : machine.tasks()) {
+      if (worthMoving(task, nowMicros)) {
+        found = task;
+      } else if (task.spec().shape() != Shape.SERVICE) {
+        return null;
+      }
+    }
+    return found;
+  }
+
+  private static boolean worthMoving(Task task, long nowMicros) {
+    JobRequest spec = task.spec();
+    long ran = nowMicros - task.startedAt();
+    return task.phase() == TaskPhase.RUNNING
+        && spec.shape() == Shape.SWEEP
+        && spec.checkpointMicros() > 0
+        && spec.expectedMicros() - ran > WORTH_MOVING * (spec.saveMicros() + START_MICROS);
+  }
+
+  /** Where the task could start at once, or null. */
+  private Machine target(Task task, Set<Machine> taken) {
+    JobRequest spec = task.spec();
+    Machine machine =
+        books.list().firstFit(spec, other -> !taken.contains(other) && startsAtOnce(spec, other));
+    return machine != null ? machine : keepOneFor(task);
+  }
+
+  /**
+   * Work that leaves room to services on ordinary machines is sure of its room on spot ones only.
+   */
+  private static boolean startsAtOnce(JobRequest spec, Machine machine) {
+    return SortFirstFit.permitted(spec, machine)
+        && machine.fetchMicros(spec) == 0
+        && (machine.spot() || !Dispatcher.yields(spec));
+  }
+
+  /**
+   * Keeps the fullest of the machines that run empty on which the task could start at once.
+   *
+   * <p>Guards against all machines running empty side by side while demand falls, each kept for a
+   * few tasks that have no room anywhere else.
+   */
+  private Machine keepOneFor(Task task) {
+    JobRequest spec = task.spec();
+    List<Machine> retiring = emptiestFirst();
+    Collections.reverse(retiring);
+    for (Machine machine : retiring) {
+      if (machine.tasks().size() < task.machine().tasks().size()) {
+        return null;
+      }
+      if (machine != task.machine()
+          && machine.usableOnceKept()
+          && SortFirstFit.covers(machine, spec)
+          && startsAtOnce(spec, machine)) {
+        LOG.info("machine {} is kept for tasks of others", machine.name());
+        machine.retiring(false);
+        books.list().changed(machine);
+        return machine;
+      }
+    }
+    return null;
+  }
+}
--- a/src/main/java/org/dewreach/controller/FleetDesk.java
+++ b/src/main/java/org/dewreach/controller/FleetDesk.java
@@ -104,6 +104,7 @@
   private final Settings settings;
   private final Tuning tuning;
   private final QueueOrder order;
+  private final Consolidation consolidation;
   private final FleetPlanner planner = new FleetPlanner();
   private final Map<String, Asked> asked = new LinkedHashMap<>();
   private final Set<String> goneNames = new LinkedHashSet<>();
@@ -141,6 +142,7 @@
     this.settings = settings;
     this.tuning = tuning;
     this.order = new QueueOrder(settings.teams(), settings.objectives());
+    this.consolidation = new Consolidation(books);
     this.startedAt = nowMicros;
     this.wallOffset = wallOffset;
   }
@@ -182,6 +184,7 @@
       // Before all machines are accounted for, what looks idle may be needed in a moment.
       retire(nowMicros, waiting);
       move(nowMicros);
+      consolidation.move(nowMicros);
       returnIdle(nowMicros);
       rent(nowMicros, waiting);
     }
--- a/src/main/java/org/dewreach/machine/Machine.java
+++ b/src/main/java/org/dewreach/machine/Machine.java
@@ -464,10 +464,14 @@
 
   /** True if new tasks may be placed here. */
   public boolean usable() {
+    return !retiring && usableOnceKept();
+  }
+
+  /** True if it could take new tasks once it were no longer to run empty. */
+  public boolean usableOnceKept() {
     return phase == MachinePhase.UP
         && recorded
         && !setAside()
-        && !retiring
         && recallAt < 0
         && !unreached
         && !deaf()
--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -157,7 +157,8 @@
         && one.type().memoryGb() == other.type().memoryGb();
   }
 
-  private static boolean covers(Machine machine, JobRequest spec) {
+  /** True if the machine has room for one task of the job. */
+  public static boolean covers(Machine machine, JobRequest spec) {
     return spec.cpus() <= machine.freeCpus() + EPS
         && spec.memoryGb() <= machine.freeMemoryGb() + EPS
         && spec.gpus() <= machine.freeGpus() + EPS;
