--- a/src/main/java/org/dewreach/store/StateService.java
+++ b/src/main/java/org/dewreach/store/StateService.java
@@ -46,7 +46,8 @@
    */
   public void range(String prefix, String after, int most, Calls.ReplyHandler handler) {
     String path = "/keys?under=" + prefix + (after == null ? "" : "&after=" + after);
-    calls.call(Target.STATE, lane, "GET", path + "&most=" + most, null, RANGE_TIMEOUT_MICROS, handler);
+    calls.call(
+        Target.STATE, lane, "GET", path + "&most=" + most, null, RANGE_TIMEOUT_MICROS, handler);
   }
 
   /**
@@ -57,7 +58,14 @@
    */
   public void watch(String prefix, long afterRevision, long holdMs, Calls.ReplyHandler handler) {
     String path = "/changes?under=" + prefix + "&after=" + afterRevision + "&hold_ms=" + holdMs;
-    calls.call(Target.STATE, lane, "GET", path, null, holdMs * MICROS_PER_MS + WATCH_SLACK_MICROS, handler);
+    calls.call(
+        Target.STATE,
+        lane,
+        "GET",
+        path,
+        null,
+        holdMs * MICROS_PER_MS + WATCH_SLACK_MICROS,
+        handler);
   }
 
   /** Grants a lease: keys that are written with it are deleted when it ends. */
--- a/src/test/java/org/dewreach/controller/AcceptedMeanwhileTest.java
+++ b/src/test/java/org/dewreach/controller/AcceptedMeanwhileTest.java
@@ -41,7 +41,7 @@
       new CommitQueue(
           state, new Condition(Keys.LEADER, 90), 24, new RateBudget(100, 100), () -> {});
   private final Recorder recorder = new Recorder(queue, (job, now) -> true, new Ignoring());
-  private final Adopter adopter = new Adopter(state, books, recorder);
+  private final Adopter adopter = new Adopter(state, books, recorder, id -> {});
   private final LeaderDesk desk =
       new LeaderDesk(
           books,
--- a/src/test/java/org/dewreach/wire/WorkerReportTest.java
+++ b/src/test/java/org/dewreach/wire/WorkerReportTest.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.api.Test;
 
+/** What a report may hold. */
 class WorkerReportTest {
   private static ObjectNode report() {
     ObjectNode body =
