--- a/src/test/java/org/dewreach/sim/MeetingsTest.java
+++ b/src/test/java/org/dewreach/sim/MeetingsTest.java
@@ -223,11 +223,15 @@
       }
     },
 
-    /** No guard was found yet whose removal turns this one alone red. */
+    /**
+     * Guard: {@code LeaderDesk.isEnding}. Answers of the state service that take long leave time
+     * for questions between the end's write and its answer.
+     */
     REQUEST_AT_THE_END {
       @Override
       void bring(Day day) {
         day.world.users.cancelAtEnd(700, day.until(90));
+        day.world.state.slow(day.until(90));
         for (double at = 0; at < 80; at += day.between(0.5, 2)) {
           day.in(at, () -> day.world.users.arrive());
         }
@@ -411,14 +415,14 @@
       }
     },
 
-    /** No guard was found yet whose removal turns this one alone red. */
+    /** Guard: {@code LeaderDesk.isEnding}, for which jobs are called off often. */
     SLOW_STATE {
       @Override
       void bring(Day day) {
         day.world.state.slow(day.until(day.between(10, 40)));
         double refused = day.between(0, 15);
         day.refusedThenOutage(refused, day.between(0, 14), day.between(31, 45), false);
-        for (double at = 0; at < 60; at += day.between(1, 6)) {
+        for (double at = 0; at < 60; at += day.between(0.3, 2)) {
           day.in(at, () -> day.world.users.cancelNow(1, day.oneIn(3) ? 7 * S : 0));
         }
         day.quietFrom = day.until(85);
