--- a/src/main/java/org/dewreach/controller/FleetDesk.java
+++ b/src/main/java/org/dewreach/controller/FleetDesk.java
@@ -42,9 +42,6 @@
   /** Room has to be there this long before a machine is let run empty. Ours. */
   private static final long ROOMY_FOR = 10_000_000;
 
-  /** While there is room, machines start to run empty in steps of this length. Ours. */
-  private static final long RETIRE_EVERY = 5_000_000;
-
   /** A machine with more of its CPUs taken by services would only run empty after long. Ours. */
   private static final double MOST_SERVED = 0.4;
 
@@ -405,7 +402,7 @@
       }
       return;
     }
-    int most = mostRetired(nowMicros);
+    int most = Math.max(MOST_RETIRED, books.machines().size() / RETIRED_PART);
     for (int i = 0; i < most; i++) {
       Machine spare = spareMachine(nowMicros);
       if (spare == null) {
@@ -414,31 +411,7 @@
       LOG.info("machine {} is to run empty", spare.name());
       spare.retiring(true);
     }
-    roomySince = nowMicros - ROOMY_FOR + RETIRE_EVERY;
-  }
-
-  /**
-   * How many machines may start to run empty in one step: such a part of the surplus that all of it
-   * would be gone in the time that a new machine takes to come. What is rented anew if demand rises
-   * again has then cost no more than what was kept.
-   */
-  private int mostRetired(long nowMicros) {
-    long bootMicros = bootMicros();
-    double capacity = 0;
-    int machines = 0;
-    for (Machine machine : books.list().machines()) {
-      if (machine.usable()) {
-        capacity += machine.type().cpus();
-        machines++;
-      }
-    }
-    double surplus =
-        books.freeCpus(false)
-            + books.freeCpus(true)
-            - books.services().headroomCpus(bootMicros, nowMicros);
-    double part = Math.max(0, surplus) / Math.max(1, capacity) * RETIRE_EVERY / bootMicros;
-    int least = Math.max(MOST_RETIRED, books.machines().size() / RETIRED_PART);
-    return Math.max(least, (int) (machines * part));
+    roomySince = nowMicros - ROOMY_FOR / 2;
   }
 
   /** The dearest machine, among equals the last of the list, whose work has room elsewhere. */
