--- a/src/test/java/org/dewreach/sim/StaleMessageTest.java
+++ b/src/test/java/org/dewreach/sim/StaleMessageTest.java
@@ -21,13 +21,19 @@
 
   /** How a case is brought about, and what shows that it took place. */
   private enum Case {
-    /** Guards: TODO. */
+    /**
+     * Guards: {@code Term.allSeen}, {@code FleetDesk.leaseSurelyOver}, {@code
+     * Machine.commandedBefore}.
+     */
     LATE_COMMANDS {
       @Override
       void bring(Day day) {
         day.world.lateCommands(500, day.until(60));
         for (double at = 1; at < 56; at += day.between(10, 14)) {
           arriveSome(day, at, 6);
+          for (int i = 0; i < 6; i++) {
+            day.in(at + day.between(0, 2), () -> arriveAndCancel(day));
+          }
           double end = at + day.between(0.2, 2);
           unreachable(day, end + day.between(-0.3, 0.3));
           endLeader(day, end);
@@ -42,7 +48,10 @@
       }
     },
 
-    /** Guards: TODO. */
+    /**
+     * Guards: the sureness in {@code ReportDesk.take}, {@code Machine.isNewer}, {@code
+     * Term.allSeen}.
+     */
     REPORTS_KEPT_FOR_THE_NEXT_LEADER {
       @Override
       void bring(Day day) {
@@ -63,22 +72,27 @@
       }
     },
 
-    /** Guards: TODO. */
+    /** Guards: {@code Term.allSeen}, {@code FleetDesk.leaseSurelyOver}. */
     MACHINES_UP_AT_ONCE {
       @Override
       void bring(Day day) {
         day.world.cloud.upAtOnce = true;
         day.world.state.lateWrites(100 + day.random.nextInt(400), day.until(60));
-        for (double at = 1; at < 50; at += day.between(9, 12)) {
-          arriveSome(day, at, 8);
-          double end = at + day.between(1, 5);
-          if (day.oneIn(2)) {
-            // The state service does what the leader asks, but its answers are lost.
-            day.in(
-                end - day.between(0.2, 2),
-                () -> day.world.network.cut("state", day.leader(), day.until(2), false));
-          }
-          unreachable(day, end);
+        for (double at = 1; at < 50; at += day.between(12, 16)) {
+          day.in(at, () -> recallSome(day));
+          arriveSome(day, at, 4);
+          // The leader has authority for a while yet, but nothing of what it writes is carried out.
+          double lost = at + day.between(0.8, 2);
+          double end = lost + day.between(1.5, 2.5);
+          boolean requests = day.oneIn(2);
+          day.in(
+              lost,
+              () -> {
+                String from = requests ? day.leader() : "state";
+                String to = requests ? "state" : day.leader();
+                day.world.network.cut(from, to, day.until(2.5), false);
+              });
+          day.in(end, () -> cutOff(day, day.world.some(600), day.between(5, 9.5)));
           endLeader(day, end);
           cancelSome(day, at, end + 5);
         }
@@ -91,7 +105,7 @@
       }
     },
 
-    /** Guards: TODO. */
+    /** Guards: what may run unseen in {@code Dispatcher.pass}, {@code Term.allSeen}. */
     ALL_TEAMS_AT_THE_LIMIT {
       private boolean full;
 
@@ -119,6 +133,32 @@
       boolean tookPlace(Day day) {
         return day.leaders() > 0 && day.withdrawn() > 0 && full;
       }
+    },
+
+    /** Guards: {@code FleetDesk.leaseSurelyOver}, {@code Term.allSeen}. */
+    ANSWERED_UNDER_PROMISES {
+      @Override
+      void bring(Day day) {
+        double refused = day.between(1, 3);
+        // The leader answers reports until the promises end, after another has won the key; then
+        // most machines cannot be reached until their leases are over.
+        day.world.state.onLeaderKey =
+            name ->
+                day.in(
+                    day.between(1.1, 1.7),
+                    () -> {
+                      List<SimWorker> machines = day.world.workers();
+                      cutOff(
+                          day, machines.subList(Math.min(3, machines.size()), machines.size()), 14);
+                    });
+        day.in(refused, () -> day.world.state.refuse(day.leader(), day.until(25)));
+        day.quietFrom = day.until(45);
+      }
+
+      @Override
+      boolean tookPlace(Day day) {
+        return day.leaders() > 0 && day.world.leasesLost > 0;
+      }
     };
 
     abstract void bring(Day day);
@@ -133,6 +173,28 @@
       }
     }
 
+    /** A job that is called off at once, while the starts of its tasks may be on their way. */
+    static void arriveAndCancel(Day day) {
+      day.world.users.arriveLong(1, 40 * S);
+      List<String> ids = day.world.users.ids();
+      String id = ids.get(ids.size() - 1);
+      day.in(day.between(0.1, 1.5), () -> day.world.users.abort(id, 0));
+    }
+
+    /** Half of the machines are to be taken within seconds: others are rented for their tasks. */
+    static void recallSome(Day day) {
+      for (SimWorker worker : day.world.some(500)) {
+        worker.recall(4 * S);
+        day.in(4, () -> day.world.cloud.take(worker.name));
+      }
+    }
+
+    static void cutOff(Day day, List<SimWorker> machines, double seconds) {
+      for (SimWorker worker : machines) {
+        World.NODES.forEach(n -> day.world.network.part(worker.name, n, day.until(seconds), false));
+      }
+    }
+
     /** Half of the machines hear nothing, are not heard or hang, for less than a lease. */
     static void unreachable(Day day, double at) {
       day.in(at, () -> day.disturb(day.world.some(500)));
