--- a/src/test/java/org/dewreach/sim/StaleMessageTest.java
+++ b/src/test/java/org/dewreach/sim/StaleMessageTest.java
@@ -22,8 +22,8 @@
   /** How a case is brought about, and what shows that it took place. */
   private enum Case {
     /**
-     * Guards: {@code Term.allSeen}, {@code FleetDesk.leaseSurelyOver}, {@code
-     * Machine.commandedBefore}.
+     * Guards: {@code Term.allSeen}, {@code FleetDesk.leaseSurelyOver}; with seed 10 {@code
+     * Task.mayStartLate}.
      */
     LATE_COMMANDS {
       @Override
