--- a/src/test/java/org/dewreach/sim/SimCloud.java
+++ b/src/test/java/org/dewreach/sim/SimCloud.java
@@ -26,7 +26,15 @@
   private final Map<String, Host> hosts = new TreeMap<>();
   final Map<String, SimWorker> workers = new TreeMap<>();
   private final Map<String, List<String>> rentals = new HashMap<>();
-  int bootFactor = 1;
+  double bootFactor = 1;
+
+  /** Share of the machines rented that never come up, in twelfths. */
+  int neverUp = 1;
+
+  /** Machines asked for and given, and the most there were at once. */
+  int rented;
+
+  int mostAtOnce;
 
   /** New machines are up within two seconds. */
   boolean upAtOnce;
@@ -43,6 +51,11 @@
     this.random = world.random;
   }
 
+  /** Machines that are there or to come, each of which is paid for. */
+  int hosts() {
+    return hosts.size();
+  }
+
   void outage(long micros) {
     outageUntil = world.clock.now() + micros;
   }
@@ -112,12 +125,14 @@
         Host host = new Host(String.format("vm-%06d", ++last), type, zone, spot, world.clock.now());
         hosts.put(host.name(), host);
         names.add(host.name());
+        rented++;
+        mostAtOnce = Math.max(mostAtOnce, hosts.size());
         if (upAtOnce) {
           upAtOnceCount++;
           world.clock.in(200_000 + random.nextInt(1_800_000), () -> boot(host));
-        } else if (random.nextInt(12) > 0) {
-          world.clock.in(
-              type.bootMicros() * bootFactor * (60 + random.nextInt(90)) / 100, () -> boot(host));
+        } else if (random.nextInt(12) >= neverUp) {
+          double boot = type.bootMicros() * bootFactor * (60 + random.nextInt(90)) / 100;
+          world.clock.in((long) boot, () -> boot(host));
         }
       }
       if (names.isEmpty()) {
