--- a/src/main/java/org/dewreach/controller/DirectDesk.java
+++ b/src/main/java/org/dewreach/controller/DirectDesk.java
@@ -32,6 +32,9 @@
   /** Share of the state service's rates that one node without a leader takes. Ours. */
   private static final double SHARE = 0.25;
 
+  /** Reads that looking for a job takes, if it is found last or not at all. */
+  private static final int MOST_READS = 4;
+
   private final StateService state;
   private final CatalogKeeper catalog;
   private final Settings settings;
@@ -59,7 +62,8 @@
   void handle(UserRequest request, Answer answer) {
     // Renewals of the lead come first: polls in a bad moment must not use up the rate.
     boolean writing = request instanceof UserRequest.Submit;
-    if (!(writing ? writes : reads).tryTake(now)) {
+    boolean admitted = writing ? writes.tryTake(now) : reads.available(now) >= 1;
+    if (!admitted) {
       answer.later();
       return;
     }
@@ -92,33 +96,47 @@
     void on(Found found);
   }
 
+  /**
+   * Looks for a job. All reads are paid for at the start, and what is not needed is given back.
+   *
+   * <p>Guards against the requests that reach a controller while it stands still: each was counted
+   * as one read and took up to four, so all at once were more than the state service allows.
+   */
   private void read(String id, Answer answer, Then then, Runnable absent) {
+    reads.take(now, MOST_READS);
     // A job moves from the new records to the live ones and from there to the final ones, each in
     // one transaction. Most are live, so those are looked at first, and again after the new ones:
     // a job that was somewhere at the start is then met, however it moves meanwhile.
-    tryRead(
-        Keys.job(id),
+    readLive(
         id,
+        3,
         answer,
         then,
         () ->
             tryRead(
                 Keys.newJob(id),
                 id,
+                2,
                 answer,
                 then,
-                () ->
-                    tryRead(
-                        Keys.job(id), id, answer, then, () -> readOver(id, answer, then, absent))));
+                () -> readLive(id, 1, answer, then, () -> readOver(id, answer, then, absent))));
+  }
+
+  private void readLive(String id, int unused, Answer answer, Then then, Runnable absent) {
+    tryRead(Keys.job(id), id, unused, answer, then, absent);
   }
 
-  private void tryRead(String key, String id, Answer answer, Then then, Runnable absent) {
+  private void tryRead(
+      String key, String id, int unused, Answer answer, Then then, Runnable absent) {
     state.get(
         key,
         (now, status, body) -> {
           if (status == 404) {
             absent.run();
-          } else if (status != 200) {
+            return;
+          }
+          reads.giveBack(unused);
+          if (status != 200) {
             answer.later();
           } else {
             decode(key, id, body, answer, then);
--- a/src/main/java/org/dewreach/store/RateBudget.java
+++ b/src/main/java/org/dewreach/store/RateBudget.java
@@ -32,6 +32,11 @@
     tokens -= count;
   }
 
+  /** Gives back tokens that were taken and not used. */
+  public void giveBack(double count) {
+    tokens = Math.min(most, tokens + count);
+  }
+
   /** Takes one token if there is one. */
   public boolean tryTake(long nowMicros) {
     if (available(nowMicros) < 1) {
--- a/src/test/java/org/dewreach/sim/SimWorker.java
+++ b/src/test/java/org/dewreach/sim/SimWorker.java
@@ -45,6 +45,7 @@
   boolean dead;
   int leasesLost;
   int incarnation;
+  int started;
   boolean sick;
 
   /** Faults that no worker has; the checker has to find what follows from them. */
@@ -365,6 +366,7 @@
     }
     piece.standing = "running";
     piece.onMachine = true;
+    started++;
     world.checker.onStart(this, jobOf(key), indexOf(key));
     change();
     Long failsAfter = world.users.failsAfter.get(jobOf(key));
--- a/src/test/java/org/dewreach/sim/World.java
+++ b/src/test/java/org/dewreach/sim/World.java
@@ -32,6 +32,7 @@
     long freezeFor;
     long frozenUntil;
     long lastRequest;
+    int answers;
     final Map<Long, SimState.Reply> requests = new HashMap<>();
     final Map<Long, Boolean> openCalls = new HashMap<>();
   }
@@ -146,6 +147,20 @@
     }
   }
 
+  /** Cuts a controller off from everything: what is sent is lost. */
+  void cutNode(String node, long untilMicros) {
+    workers().forEach(worker -> network.part(worker.name, node, untilMicros, false));
+    List.of("state", "cloud", "user").forEach(o -> network.part(node, o, untilMicros, false));
+    NODES.stream()
+        .filter(other -> !other.equals(node))
+        .forEach(other -> network.part(node, other, untilMicros, false));
+  }
+
+  /** How many users' and workers' requests the node has answered with other than 5xx. */
+  int answersOf(String node) {
+    return nodes.get(node).answers;
+  }
+
   /** Reports of these machines arrive; answers and direct commands to them are lost. */
   void deafen(List<SimWorker> deaf, long untilMicros) {
     for (SimWorker worker : deaf) {
@@ -317,6 +332,15 @@
     return null;
   }
 
+  /** The leader, if it is not the given node: one that stands still may hold that it leads. */
+  String leadingBeside(String node) {
+    return NODES.stream()
+        .filter(name -> !name.equals(node))
+        .filter(name -> nodes.get(name).core != null && nodes.get(name).core.leading())
+        .findFirst()
+        .orElse(null);
+  }
+
   private void tick(String name, Core core) {
     if (nodes.get(name).core == core) {
       handle(name, new Event.Tick());
@@ -381,6 +405,7 @@
     if (effect instanceof Effect.Respond respond) {
       SimState.Reply reply = node.requests.remove(respond.requestId());
       if (reply != null) {
+        node.answers += respond.status() < 500 ? 1 : 0;
         reply.send(respond.status(), copy(respond.body()));
       }
     } else if (effect instanceof Effect.Call call) {
