--- a/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
+++ b/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
@@ -237,12 +237,14 @@
   /** The ways in which a controller is silent for long. */
   private enum Silence {
     DOWN,
-    CUT;
+    CUT,
+    FROZEN;
 
     void begin(World world, String node, long micros) {
       switch (this) {
         case DOWN -> world.crash(node, micros);
         case CUT -> world.cutNode(node, world.clock.now() + micros);
+        case FROZEN -> world.freeze(node, micros);
       }
     }
   }
@@ -275,6 +277,10 @@
     assertEquals(0, world.state.tooMany, "requests that the state service turned away");
   }
 
+  /**
+   * Red without counting all reads in {@code DirectDesk.read}: what users had asked a controller
+   * that stood still took 335 state requests in one second, of 250 allowed; now 147.
+   */
   @ParameterizedTest(name = "{0}")
   @EnumSource(Silence.class)
   @DisplayName("A leader silent for 100 s: others serve, and it comes back without a storm")
--- a/src/test/java/org/dewreach/sim/RulesTest.java
+++ b/src/test/java/org/dewreach/sim/RulesTest.java
@@ -498,13 +498,9 @@
     World world = new World(seed);
     world.live(150 * S, 2 * S);
     for (int at = 30; at < 150; at += 25) {
-      world.clock.at(
-          at * S,
-          () -> {
-            if (world.leading() != null) {
-              world.freeze(world.leading(), 3 * S + world.random.nextInt(20_000_000));
-            }
-          });
+      // Every other time from the middle of a user's request, so that an answer is surely held up.
+      boolean inRequest = at % 2 == 1;
+      world.clock.at(at * S, () -> freezeLeader(world, inRequest));
     }
     world.checker.quietSince = 175 * S;
     world.play(320 * S);
@@ -515,6 +511,19 @@
     }
   }
 
+  private static void freezeLeader(World world, boolean inRequest) {
+    String leader = world.leading();
+    if (leader == null) {
+      return;
+    }
+    long micros = 3 * S + world.random.nextInt(20_000_000);
+    if (inRequest) {
+      world.freezeAtRequest(leader, micros);
+    } else {
+      world.freeze(leader, micros);
+    }
+  }
+
   /** Guards against a zone's tasks that die with their leases while its controller runs on. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
