--- a/src/main/java/org/dewreach/config/Settings.java
+++ b/src/main/java/org/dewreach/config/Settings.java
@@ -59,20 +59,26 @@
 
   /** Times that concern the workers. */
   public record Workers(long reportMicros, long leaseMicros, long cancelMicros) {
-    /** Most of what cuts last; a zone that is lost for good is waited for no longer. Ours. */
+    /**
+     * Most of what cuts last; a zone that is lost for good is waited for no longer. A default of
+     * this project.
+     */
     private static final long MAX_DELEGATION_MICROS = 30_000_000;
 
     /** Clocks drift apart by at most one part in this many. */
     private static final int CLOCK_DRIFT_DIVISOR = 500;
 
-    /** What is left for delays: an answer on its way, a command, steps of timers. Ours. */
+    /**
+     * What is left for delays: an answer on its way, a command, steps of timers. A default of this
+     * project.
+     */
     private static final long DELEGATION_MARGIN_MICROS = 2_000_000;
 
     /**
      * How long a node may answer workers without its leader. A job whose tasks it may keep alive
      * for longer than {@link #goneInTimeMicros} is not told to be withdrawn before.
      */
-    public long standInMicros() {
+    public long maxDelegationMicros() {
       return goneInTimeMicros() > 0 ? MAX_DELEGATION_MICROS : 0;
     }
 
@@ -96,7 +102,7 @@
 
   /** Limits of the machine that the controller runs on. */
   public record Limits(double cpuShare, double ramMb, int maxConnections) {
-    /** Part of the sockets that is for commands to workers. Ours. */
+    /** Part of the sockets that is for commands to workers. A default of this project. */
     private static final int WORKERS_DIVISOR = 8;
 
     private static final int MIN_TO_WORKERS = 8;
--- a/src/main/java/org/dewreach/config/Tuning.java
+++ b/src/main/java/org/dewreach/config/Tuning.java
@@ -29,7 +29,7 @@
   public static final Tuning DEFAULT =
       new Tuning(
           Defaults.IDLE_KEPT_MICROS,
-          Defaults.LEAST_PAID_MICROS,
+          Defaults.MIN_PAID_MICROS,
           Defaults.WORK_OFF_MICROS,
           Defaults.LONG_WAIT_MICROS,
           Defaults.MOVED_SHARE,
@@ -39,7 +39,7 @@
   /** The values of {@link #DEFAULT}. */
   private static final class Defaults {
     static final long IDLE_KEPT_MICROS = 25_000_000;
-    static final long LEAST_PAID_MICROS = 58_000_000;
+    static final long MIN_PAID_MICROS = 58_000_000;
     static final long WORK_OFF_MICROS = 60_000_000;
     static final long LONG_WAIT_MICROS = 60_000_000;
     static final double MOVED_SHARE = 0.002;
--- a/src/main/java/org/dewreach/controller/Books.java
+++ b/src/main/java/org/dewreach/controller/ClusterState.java
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The leader's record of one term: jobs, machines and which task is bound where. */
-final class Books {
-  private static final Logger LOG = LoggerFactory.getLogger(Books.class);
+final class ClusterState {
+  private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
   private final long term;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -33,7 +33,7 @@
   private long lastAttempt;
   private boolean changed = true;
 
-  Books(long term, Map<String, Settings.Team> teams, Tuning tuning) {
+  ClusterState(long term, Map<String, Settings.Team> teams, Tuning tuning) {
     this.services = new ServiceRate(tuning.headroomSpreads());
     this.term = term;
     this.quotas = new Quotas(teams);
--- a/src/main/java/org/dewreach/controller/Loader.java
+++ b/src/main/java/org/dewreach/controller/ClusterStateLoader.java
@@ -15,10 +15,10 @@
 import org.slf4j.LoggerFactory;
 
 /** Reads what earlier leaders left: live jobs, and machines that may have been given commands. */
-final class Loader {
-  private static final Logger LOG = LoggerFactory.getLogger(Loader.class);
-  private static final int PAGE = 200;
-  private static final long RETRY = 200_000;
+final class ClusterStateLoader {
+  private static final Logger LOG = LoggerFactory.getLogger(ClusterStateLoader.class);
+  private static final int PAGE_SIZE = 200;
+  private static final long RETRY_MICROS = 200_000;
 
   private enum Phase {
     MACHINES(Keys.MACHINES),
@@ -33,25 +33,25 @@
   }
 
   private final StateService state;
-  private final Books books;
+  private final ClusterState clusterState;
   private final FleetRegister register;
-  private final CatalogKeeper catalog;
-  private final long wallOffset;
+  private final MachineCatalog catalog;
+  private final long wallOffsetMicros;
   private Phase phase = Phase.MACHINES;
   private String after;
   private boolean reading;
   private long readAt;
   private boolean closed;
 
-  Loader(
+  ClusterStateLoader(
       StateService state,
-      Books books,
+      ClusterState clusterState,
       FleetRegister register,
-      CatalogKeeper catalog,
-      long wallOffset) {
-    this.wallOffset = wallOffset;
+      MachineCatalog catalog,
+      long wallOffsetMicros) {
+    this.wallOffsetMicros = wallOffsetMicros;
     this.state = state;
-    this.books = books;
+    this.clusterState = clusterState;
     this.register = register;
     this.catalog = catalog;
   }
@@ -69,7 +69,7 @@
       return;
     }
     reading = true;
-    state.range(phase.prefix, after, PAGE, this::onPage);
+    state.range(phase.prefix, after, PAGE_SIZE, this::onPage);
   }
 
   private void onPage(long nowMicros, int status, JsonNode body) {
@@ -78,7 +78,7 @@
     }
     reading = false;
     if (status != 200) {
-      readAt = nowMicros + RETRY;
+      readAt = nowMicros + RETRY_MICROS;
       return;
     }
     for (JsonNode entry : body.path("entries")) {
@@ -110,9 +110,9 @@
     }
     register.loadedPage(number, entry.path("stamp").asLong());
     for (FleetRegister.Entry saved : FleetRegister.read(entry.path("data"))) {
-      if (!books.machines().containsKey(saved.name())) {
+      if (!clusterState.machines().containsKey(saved.name())) {
         Machine machine = machine(saved, nowMicros);
-        books.add(machine);
+        clusterState.add(machine);
         register.loaded(number, machine);
       }
     }
@@ -134,7 +134,7 @@
             saved.marked() ? MachinePhase.UNHEARD : MachinePhase.BOOTING,
             nowMicros);
     machine.recorded(saved.marked());
-    machine.knownSince(Math.min(nowMicros, saved.sinceWallMicros() - wallOffset));
+    machine.knownSince(Math.min(nowMicros, saved.sinceWallMicros() - wallOffsetMicros));
     return machine;
   }
 
@@ -148,6 +148,6 @@
             saved.withdrawn() ? JobPhase.WITHDRAWN : JobPhase.LIVE);
     job.stamp(entry.path("stamp").asLong());
     job.restore(saved.done());
-    books.jobs().put(job.id(), job);
+    clusterState.jobs().put(job.id(), job);
   }
 }
--- a/src/main/java/org/dewreach/controller/Consolidation.java
+++ b/src/main/java/org/dewreach/controller/Consolidation.java
@@ -11,8 +11,8 @@
 import org.dewreach.placement.SortFirstFit;
 import org.dewreach.task.Task;
 import org.dewreach.task.TaskPhase;
+import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobRequest;
-import org.dewreach.wire.Shape;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -24,21 +24,24 @@
 final class Consolidation {
   private static final Logger LOG = LoggerFactory.getLogger(Consolidation.class);
 
-  /** From placement to running, without an image fetch. Ours. */
+  /** From placement to running, without an image fetch. A default of this project. */
   private static final long START_MICROS = 4_000_000;
 
-  /** A task is moved if it has this many times the cost of a move left to run. Ours. */
+  /**
+   * A task is moved if it has this many times the cost of a move left to run. A default of this
+   * project.
+   */
   private static final int WORTH_MOVING = 10;
 
-  private final Books books;
+  private final ClusterState clusterState;
 
-  Consolidation(Books books) {
-    this.books = books;
+  Consolidation(ClusterState clusterState) {
+    this.clusterState = clusterState;
   }
 
   /** Stops at most one task of each machine that runs empty; the next passes place it again. */
   void move(long nowMicros) {
-    books.list().lookAgain();
+    clusterState.list().lookAgain();
     Set<Machine> targets = new HashSet<>();
     for (Machine machine : emptiestFirst()) {
       Task movable = movable(machine, nowMicros);
@@ -48,9 +51,9 @@
       Machine target = target(movable, targets);
       if (target != null) {
         targets.add(target);
-        books.stop(
+        clusterState.stop(
             movable, "moved with its progress, so that its machine can be returned", nowMicros);
-        books.touch();
+        clusterState.touch();
       }
     }
   }
@@ -58,7 +61,7 @@
   /** Machines that run empty, fewest tasks first: so each move frees the most machines. */
   private List<Machine> emptiestFirst() {
     List<Machine> retiring = new ArrayList<>();
-    for (Machine machine : books.machines().values()) {
+    for (Machine machine : clusterState.machines().values()) {
       if (machine.retiring() && machine.phase() == MachinePhase.UP) {
         retiring.add(machine);
       }
@@ -73,7 +76,7 @@
     for (Task task : machine.tasks()) {
       if (worthMoving(task, nowMicros)) {
         found = task;
-      } else if (task.spec().shape() != Shape.SERVICE) {
+      } else if (task.spec().jobKind() != JobKind.SERVICE) {
         return null;
       }
     }
@@ -84,7 +87,7 @@
     JobRequest spec = task.spec();
     long ran = nowMicros - task.startedAt();
     return task.phase() == TaskPhase.RUNNING
-        && spec.shape() == Shape.SWEEP
+        && spec.jobKind() == JobKind.SWEEP
         && spec.checkpointMicros() > 0
         && spec.expectedMicros() - ran > WORTH_MOVING * (spec.saveMicros() + START_MICROS);
   }
@@ -93,7 +96,9 @@
   private Machine target(Task task, Set<Machine> taken) {
     JobRequest spec = task.spec();
     Machine machine =
-        books.list().firstFit(spec, other -> !taken.contains(other) && startsAtOnce(spec, other));
+        clusterState
+            .list()
+            .firstFit(spec, other -> !taken.contains(other) && startsAtOnce(spec, other));
     return machine != null ? machine : keepOneFor(task);
   }
 
@@ -126,7 +131,7 @@
           && startsAtOnce(spec, machine)) {
         LOG.info("machine {} is kept for tasks of others", machine.name());
         machine.retiring(false);
-        books.list().changed(machine);
+        clusterState.list().changed(machine);
         return machine;
       }
     }
--- a/src/main/java/org/dewreach/controller/Core.java
+++ b/src/main/java/org/dewreach/controller/Core.java
@@ -7,13 +7,13 @@
 import org.dewreach.cloud.CloudService;
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
+import org.dewreach.leadership.DelegateRenewer;
 import org.dewreach.leadership.Election;
-import org.dewreach.leadership.StandIn;
 import org.dewreach.peer.Forwarded;
 import org.dewreach.port.Calls;
+import org.dewreach.port.ConnectionPool;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
-import org.dewreach.port.Lane;
 import org.dewreach.port.Target;
 import org.dewreach.store.StateService;
 import org.dewreach.wire.Codec;
@@ -28,40 +28,40 @@
   private static final Logger LOG = LoggerFactory.getLogger(Core.class);
 
   /** Users wait 2 s for the answer to a query, of which some is left for reading the record. */
-  private static final long FORWARD_TIMEOUT = 1_200_000;
+  private static final long FORWARD_TIMEOUT_MICROS = 1_200_000;
 
   /**
    * A leader that has been silent lately is not waited for longer than this: the job can be kept
    * without it. One that answers is only slow, and keeping jobs without it would add to its load:
    * each then takes three state changes instead of one.
    */
-  private static final long FORWARD_SUBMIT_TIMEOUT = 150_000;
+  private static final long FORWARD_SUBMIT_TIMEOUT_MICROS = 150_000;
 
   /** As long as the leader answers others. */
-  private static final long SLOW_SUBMIT_TIMEOUT = 600_000;
+  private static final long SLOW_SUBMIT_TIMEOUT_MICROS = 600_000;
 
   /** A leader that answered within this time is alive. */
-  private static final long ANSWERED_LATELY = 300_000;
+  private static final long RECENT_REPLY_MICROS = 300_000;
 
   /** A leader that did not answer is left alone for this long, where there is another way. */
-  private static final long LEADER_PAUSE = 500_000;
+  private static final long LEADER_PAUSE_MICROS = 500_000;
 
   /** After a request that no leader took, the other nodes are asked who leads. */
-  private static final long DOUBT = 3_000_000;
+  private static final long LEADER_DOUBT_MICROS = 3_000_000;
 
   private static final int BUSY_RETRY_S = 2;
 
-  private static final long SUMMARY_EVERY = 30_000_000;
+  private static final long SUMMARY_INTERVAL_MICROS = 30_000_000;
 
   /** A node started in an outage asks the others soon. */
-  private static final long STARTED_ALONE = 1_000_000;
+  private static final long STARTED_ALONE_MICROS = 1_000_000;
 
-  private static final long OWN_LOAN_EVERY = 500_000;
+  private static final long OWN_DELEGATION_INTERVAL_MICROS = 500_000;
 
-  private static final long ASK_PEERS_EVERY = 500_000;
+  private static final long ASK_PEERS_INTERVAL_MICROS = 500_000;
 
   /** Longer than a watch of the leader key stays open without an answer. */
-  private static final long STATE_SILENT = 10_000_000;
+  private static final long STATE_SILENT_MICROS = 10_000_000;
 
   /** Read-only numbers, at the internal address. */
   public static final String STATS_PATH = "/stats";
@@ -71,14 +71,14 @@
   private final Calls calls = new Calls(this::actsUntil);
   private final StateService state = new StateService(calls);
   private final CloudService cloud;
-  private final CatalogKeeper catalog;
+  private final MachineCatalog catalog;
   private final Election election;
-  private final DirectDesk direct;
-  private final StandIn standIn;
-  private final long wallOffset;
-  private Term term;
+  private final LeaderlessRequestHandler direct;
+  private final DelegateRenewer delegateRenewer;
+  private final long wallOffsetMicros;
+  private LeadershipTerm term;
   private long now;
-  private final Load load = new Load();
+  private final LoadLimiter load = new LoadLimiter();
   private final WaitingReports waitingReports;
   private long nextSummary;
   private boolean ready;
@@ -89,8 +89,8 @@
   private long leaderAnsweredAt;
   private long doubtUntil;
   private long firstEventAt = -1;
-  private long nextOwnLoan;
-  private long ownLoan;
+  private long nextOwnDelegation;
+  private long ownDelegationUntil;
 
   /**
    * A controller.
@@ -106,14 +106,14 @@
       long wallOffsetMicros) {
     this.settings = settings;
     this.tuning = tuning;
-    this.wallOffset = wallOffsetMicros;
+    this.wallOffsetMicros = wallOffsetMicros;
     this.cloud = new CloudService(calls, settings.cloudLimits().rps());
-    this.catalog = new CatalogKeeper(state, cloud);
+    this.catalog = new MachineCatalog(state, cloud);
     this.election =
         new Election(
             // Guards against a renewal that waits behind users' reads and comes after the hold
             // ended.
-            new StateService(calls, Lane.AUTHORITY),
+            new StateService(calls, ConnectionPool.LEADERSHIP),
             calls,
             settings.members().stream().map(Settings.Member::name).toList(),
             settings.name(),
@@ -121,8 +121,8 @@
             random,
             this);
     this.waitingReports = new WaitingReports(settings.limits().maxConnections());
-    this.standIn = new StandIn(calls, state, settings);
-    this.direct = new DirectDesk(state, catalog, settings, boot, wallOffsetMicros);
+    this.delegateRenewer = new DelegateRenewer(calls, state, settings);
+    this.direct = new LeaderlessRequestHandler(state, catalog, settings, boot, wallOffsetMicros);
   }
 
   /** Handles one event; the effects are to be carried out in order. */
@@ -130,7 +130,7 @@
     now = Math.max(now, nowMicros);
     if (firstEventAt < 0) {
       firstEventAt = now;
-      nextSummary = now + SUMMARY_EVERY;
+      nextSummary = now + SUMMARY_INTERVAL_MICROS;
     }
     direct.now(now);
     if (event instanceof Event.Request request) {
@@ -152,39 +152,39 @@
       waitingReports.takeDue(undecided(), now, this::answerReport);
     }
     askPeers();
-    standIn();
+    delegateRenewer();
     if (now >= nextSummary) {
-      nextSummary = now + SUMMARY_EVERY;
+      nextSummary = now + SUMMARY_INTERVAL_MICROS;
       LOG.info("load: {}", load.summary());
     }
   }
 
   /** Keeps up what this node may answer workers should it lose the others. */
-  private void standIn() {
+  private void delegateRenewer() {
     if (leading()) {
-      if (now >= nextOwnLoan) {
-        nextOwnLoan = now + OWN_LOAN_EVERY;
-        ownLoan = term.lendToSelf(settings.zone(), now);
+      if (now >= nextOwnDelegation) {
+        nextOwnDelegation = now + OWN_DELEGATION_INTERVAL_MICROS;
+        ownDelegationUntil = term.delegateToSelf(settings.zone(), now);
       }
-      standIn.leading(term.number(), Math.max(0, ownLoan - now), now);
+      delegateRenewer.leading(term.number(), Math.max(0, ownDelegationUntil - now), now);
       return;
     }
-    standIn.over(election.leaderAbsent() ? Long.MAX_VALUE : election.latestTerm());
-    standIn.tick(election.leader(), now);
+    delegateRenewer.over(election.leaderAbsent() ? Long.MAX_VALUE : election.latestTerm());
+    delegateRenewer.tick(election.leader(), now);
   }
 
   /** A node that the state service does not answer learns from the others who leads. */
   private void askPeers() {
     boolean cut =
         election.lastContact() < 0
-            ? now - firstEventAt > STARTED_ALONE
-            : now - election.lastContact() > STATE_SILENT;
+            ? now - firstEventAt > STARTED_ALONE_MICROS
+            : now - election.lastContact() > STATE_SILENT_MICROS;
     // A leader without authority may have been followed by another one without noticing.
     boolean ask = term == null ? cut || now < doubtUntil : !election.hasAuthority(now);
     if (!ask || now < askPeersAt || settings.members().isEmpty()) {
       return;
     }
-    askPeersAt = now + ASK_PEERS_EVERY;
+    askPeersAt = now + ASK_PEERS_INTERVAL_MICROS;
     Settings.Member member = settings.members().get(nextPeer++ % settings.members().size());
     calls.call(
         new Target.Member(member.name()),
@@ -196,7 +196,7 @@
           if (status == 200 && body != null && body.path("leader").isTextual()) {
             String leader = body.path("leader").textValue();
             election.hint(leader, body.path("term").asLong(0), at);
-            standIn.over(body.path("term").asLong(0));
+            delegateRenewer.over(body.path("term").asLong(0));
           }
         });
   }
@@ -216,11 +216,11 @@
 
   @Override
   public void onElected(long nowMicros, long number) {
-    // What an earlier term of this node lent it, the books of this one do not know of.
-    ownLoan = 0;
-    nextOwnLoan = nowMicros;
+    // What an earlier term of this node lent it, the cluster state of this one does not know of.
+    ownDelegationUntil = 0;
+    nextOwnDelegation = nowMicros;
     term =
-        new Term(
+        new LeadershipTerm(
             number,
             calls,
             state,
@@ -231,14 +231,14 @@
             election::hasAuthority,
             () -> election.lost(now, "a write showed the key lost"),
             () -> election.resign(now, "no worker is heard here"),
-            standIn::answeredAt,
+            delegateRenewer::answeredAt,
             nowMicros,
-            wallOffset);
+            wallOffsetMicros);
   }
 
   @Override
   public void onDeposed(long nowMicros, long number) {
-    Term old = term;
+    LeadershipTerm old = term;
     term = null;
     if (old != null) {
       old.close(nowMicros);
@@ -282,7 +282,10 @@
     }
   }
 
-  /** True for a moment: until it is known who leads, and until a new leader has read the books. */
+  /**
+   * True for a moment: until it is known who leads, and until a new leader has loaded the cluster
+   * state.
+   */
   private boolean undecided() {
     return election.deciding() || term != null && !term.loaded();
   }
@@ -292,8 +295,8 @@
       term.report(requestId, report, now);
       return;
     }
-    if (standIn.answers(report, now)) {
-      calls.respondUntil(requestId, 200, standIn.answer(), standIn.until());
+    if (delegateRenewer.answers(report, now)) {
+      calls.respondUntil(requestId, 200, delegateRenewer.answer(), delegateRenewer.until());
       return;
     }
     String leader = election.leader();
@@ -323,7 +326,7 @@
       calls.respondRetry(request.requestId(), 503, null, BUSY_RETRY_S);
       return;
     }
-    Load.Entry entry = load.enter(now);
+    LoadLimiter.Entry entry = load.enter(now);
     Answer answer = answer(request.requestId(), entry);
     if (term != null) {
       // Before a leader may act, or knows what is there, jobs are kept and read without it.
@@ -369,7 +372,7 @@
     return null;
   }
 
-  private Answer answer(long requestId, Load.Entry entry) {
+  private Answer answer(long requestId, LoadLimiter.Entry entry) {
     return (status, body, retryAfterS) -> {
       load.leave(entry, status, now);
       if (retryAfterS > 0) {
@@ -386,7 +389,7 @@
    * <p>Refusals too: what the term looked up and did not find, a later one may have taken over.
    */
   private Answer underAuthority(Answer answer) {
-    Term asked = term;
+    LeadershipTerm asked = term;
     return (status, body, retryAfterS) -> {
       boolean tells = status < 500;
       if (!tells || term == asked && election.hasAuthority(now)) {
@@ -403,7 +406,7 @@
       askedLeader = leader;
       leaderAnsweredAt = now;
     }
-    boolean doubtful = now - leaderAnsweredAt > ANSWERED_LATELY;
+    boolean doubtful = now - leaderAnsweredAt > RECENT_REPLY_MICROS;
     boolean submit = parsed instanceof UserRequest.Submit;
     boolean brief = submit && doubtful;
     calls.call(
@@ -411,7 +414,9 @@
         "POST",
         Forwarded.PATH,
         Forwarded.request(request.method(), request.path(), request.body()),
-        brief ? FORWARD_SUBMIT_TIMEOUT : submit ? SLOW_SUBMIT_TIMEOUT : FORWARD_TIMEOUT,
+        brief
+            ? FORWARD_SUBMIT_TIMEOUT_MICROS
+            : submit ? SLOW_SUBMIT_TIMEOUT_MICROS : FORWARD_TIMEOUT_MICROS,
         (at, status, body) -> {
           int given = status == 200 && body != null ? body.path("status").asInt(503) : 503;
           boolean busy = status == 200 && Forwarded.isBusy(body);
@@ -429,8 +434,8 @@
             // Guards against polls that fail for a while because the leader could not answer one of
             // them: in an outage it still knows most jobs, and nobody else knows any.
             if (status != 200 || Forwarded.isNotLeading(body)) {
-              leaderAgainAt = at + LEADER_PAUSE;
-              doubtUntil = at + DOUBT;
+              leaderAgainAt = at + LEADER_PAUSE_MICROS;
+              doubtUntil = at + LEADER_DOUBT_MICROS;
             }
             direct.handle(parsed, answer);
           }
@@ -458,15 +463,15 @@
       calls.respond(request.requestId(), 200, stats());
       return;
     }
-    if (request.path().equals(Election.PROMISE_PATH) && request.body() != null) {
-      boolean given = election.promise(request.body().path("term").asLong(), now);
+    if (request.path().equals(Election.GRANT_PATH) && request.body() != null) {
+      boolean given = election.grant(request.body().path("term").asLong(), now);
       calls.respond(request.requestId(), 200, Codec.map().put("given", given));
       return;
     }
-    if (request.path().equals(StandIn.PATH) && request.body() != null) {
-      boolean acts = leading();
-      ObjectNode lent = acts ? term.onStandInAsked(request.body(), now) : null;
-      calls.respond(request.requestId(), 200, acts ? lent : Codec.map().put("term", 0));
+    if (request.path().equals(DelegateRenewer.PATH) && request.body() != null) {
+      boolean leads = leading();
+      ObjectNode delegation = leads ? term.onDelegationRequest(request.body(), now) : null;
+      calls.respond(request.requestId(), 200, leads ? delegation : Codec.map().put("term", 0));
       return;
     }
     if (!request.path().equals(Forwarded.PATH) || request.body() == null) {
@@ -476,8 +481,8 @@
     JsonNode body = request.body();
     JsonNode inner = body.get("body");
     UserRequest parsed = route(body.path("method").asText(), body.path("path").asText(), inner);
-    boolean acts = term != null && term.loaded() && election.hasAuthority(now);
-    if (parsed == null || parsed.jobId() == null || !acts) {
+    boolean leads = term != null && term.loaded() && election.hasAuthority(now);
+    if (parsed == null || parsed.jobId() == null || !leads) {
       calls.respond(request.requestId(), 200, Forwarded.notLeading());
       return;
     }
@@ -485,7 +490,7 @@
       calls.respond(request.requestId(), 200, Forwarded.busy());
       return;
     }
-    Load.Entry entry = load.enter(now);
+    LoadLimiter.Entry entry = load.enter(now);
     Answer answer =
         (status, answerBody, retryAfterS) -> {
           load.leave(entry, status, now);
--- a/src/main/java/org/dewreach/controller/DirectOrders.java
+++ b/src/main/java/org/dewreach/controller/DirectCommandSender.java
@@ -6,18 +6,18 @@
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import org.dewreach.machine.Anew;
 import org.dewreach.machine.Machine;
 import org.dewreach.machine.MachinePhase;
+import org.dewreach.machine.RestartSuspicion;
 import org.dewreach.port.Calls;
 import org.dewreach.port.Target;
 import org.dewreach.task.DirectStart;
 import org.dewreach.task.Task;
 import org.dewreach.task.TaskPhase;
 import org.dewreach.wire.Codec;
+import org.dewreach.wire.JobKind;
 import org.dewreach.wire.MalformedException;
-import org.dewreach.wire.Order;
-import org.dewreach.wire.Shape;
+import org.dewreach.wire.WorkerCommand;
 import org.dewreach.wire.WorkerReport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -33,14 +33,14 @@
  * could take the place of the old one there. So that the reports stay small, only so many attempts
  * of a session are started directly; the others wait for the report.
  */
-final class DirectOrders {
-  private static final Logger LOG = LoggerFactory.getLogger(DirectOrders.class);
-  private static final long TIMEOUT = 2_500_000;
+final class DirectCommandSender {
+  private static final Logger LOG = LoggerFactory.getLogger(DirectCommandSender.class);
+  private static final long TIMEOUT_MICROS = 2_500_000;
 
-  /** Direct starts in one session, for services and for other work. Ours. */
-  private static final int MOST_SERVICES = 80;
+  /** Direct starts in one session, for services and for other work. A default of this project. */
+  private static final int MAX_SERVICES = 80;
 
-  private static final int MOST_OTHERS = 40;
+  private static final int MAX_OTHERS = 40;
 
   /** Takes the report that answers a command. */
   interface Reports {
@@ -49,7 +49,7 @@
 
   private final long term;
   private final Calls calls;
-  private final Books books;
+  private final ClusterState clusterState;
   private final Reports reports;
   private final int mostInFlight;
   private int inFlight;
@@ -61,11 +61,12 @@
    * @param mostInFlight commands on their way at once; what is over waits, for a moment or for the
    *     machine's next report
    */
-  DirectOrders(long term, Calls calls, Books books, Reports reports, int mostInFlight) {
+  DirectCommandSender(
+      long term, Calls calls, ClusterState clusterState, Reports reports, int mostInFlight) {
     this.mostInFlight = mostInFlight;
     this.term = term;
     this.calls = calls;
-    this.books = books;
+    this.clusterState = clusterState;
     this.reports = reports;
   }
 
@@ -75,7 +76,7 @@
 
   void send(long nowMicros) {
     // Only machines with something new: looking at all of them in each pass cost more than placing.
-    Iterator<Machine> it = books.toCommand().iterator();
+    Iterator<Machine> it = clusterState.toCommand().iterator();
     while (it.hasNext() && inFlight < mostInFlight) {
       Machine machine = it.next();
       boolean reachable =
@@ -94,15 +95,15 @@
   /**
    * Asks a machine for its count, after a report that shows an older one and no token.
    *
-   * <p>Such a report is a late copy of the machine's first, or the first of a worker that began
-   * anew with the same name. The latter would carry out a late copy of a direct start once more; so
-   * what was bound there stays bound until the machine is returned, which is done at once.
+   * <p>Such a report is a late copy of the machine's first, or the first of a worker that restarted
+   * with the same name. The latter would carry out a late copy of a direct start once more; so what
+   * was bound there stays bound until the machine is returned, which is done at once.
    */
   void askForCount(Machine machine) {
-    if (machine.anew() != Anew.NO) {
+    if (machine.restartSuspicion() != RestartSuspicion.NONE) {
       return;
     }
-    machine.anew(Anew.ASKED);
+    machine.restartSuspicion(RestartSuspicion.CHECKING);
     long session = machine.session();
     long sequence = machine.sequence();
     calls.call(
@@ -110,7 +111,7 @@
         "GET",
         "/status",
         null,
-        TIMEOUT,
+        TIMEOUT_MICROS,
         (now, status, answer) -> {
           if (closed || status != 200) {
             return;
@@ -121,7 +122,7 @@
                 report.session() < session
                     || report.session() == session && report.sequence() < sequence;
             if (report.machine().equals(machine.name())) {
-              machine.anew(lower ? Anew.SURE : Anew.NO);
+              machine.restartSuspicion(lower ? RestartSuspicion.CONFIRMED : RestartSuspicion.NONE);
             }
           } catch (MalformedException e) {
             LOG.info("status of {} not understood: {}", machine.name(), e.getMessage());
@@ -130,21 +131,21 @@
   }
 
   private void send(Machine machine, long nowMicros) {
-    List<Order> orders = new ArrayList<>();
+    List<WorkerCommand> commands = new ArrayList<>();
     List<Task> started = new ArrayList<>();
     for (Task task : machine.tasks()) {
       if (task.phase() == TaskPhase.ASSIGNED && mayStartDirectly(machine, task)) {
-        orders.add(new Order.Start(task.name(), task.attempt()));
+        commands.add(new WorkerCommand.Start(task.name(), task.attempt()));
         started.add(task);
         machine.startedDirectly(task.name(), task.attempt());
       } else if (task.phase() == TaskPhase.STOPPING
           && !task.haltSentDirectly()
           && task.spec().checkpointMicros() == 0) {
         task.markHaltSentDirectly();
-        orders.add(new Order.Halt(task.name(), task.attempt(), 0));
+        commands.add(new WorkerCommand.Halt(task.name(), task.attempt(), 0));
       }
     }
-    if (orders.isEmpty()) {
+    if (commands.isEmpty()) {
       return;
     }
     for (Task task : started) {
@@ -153,8 +154,8 @@
     }
     ObjectNode body = Codec.map().put("warrant", term).put("tenure", machine.session());
     ArrayNode list = body.putArray("orders");
-    orders.forEach(order -> list.add(order.toNode()));
-    LOG.debug("direct to {}: {}", machine.name(), orders);
+    commands.forEach(command -> list.add(command.toNode()));
+    LOG.debug("direct to {}: {}", machine.name(), commands);
     machine.directInFlight(true);
     inFlight++;
     calls.call(
@@ -162,12 +163,12 @@
         "POST",
         "/do",
         body,
-        TIMEOUT,
+        TIMEOUT_MICROS,
         (now, status, answer) -> onAnswer(machine, started, now, status, answer));
   }
 
   private static boolean mayStartDirectly(Machine machine, Task task) {
-    int most = task.spec().shape() == Shape.SERVICE ? MOST_SERVICES : MOST_OTHERS;
+    int most = task.spec().jobKind() == JobKind.SERVICE ? MAX_SERVICES : MAX_OTHERS;
     return machine.directStarts() < most;
   }
 
@@ -184,9 +185,9 @@
     }
     if (!answered) {
       LOG.info("machine {}: direct command without answer ({})", machine.name(), status);
-      machine.directAgainAt(nowMicros + TIMEOUT);
+      machine.directAgainAt(nowMicros + TIMEOUT_MICROS);
       machine.notReached();
-      books.touch();
+      clusterState.touch();
       return;
     }
     try {
--- a/src/main/java/org/dewreach/controller/Dispatcher.java
+++ b/src/main/java/org/dewreach/controller/Dispatcher.java
@@ -16,25 +16,25 @@
 import org.dewreach.placement.SortFirstFit;
 import org.dewreach.task.Task;
 import org.dewreach.task.TaskPhase;
+import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobRequest;
-import org.dewreach.wire.Shape;
 import org.dewreach.wire.TaskName;
 
 /** Walks the queue and places what fits. A job that does not fit does not stop those behind it. */
 final class Dispatcher {
-  private static final long REFUSAL_PAUSE = 3_000_000;
+  private static final long REFUSAL_PAUSE_MICROS = 3_000_000;
 
   /** Tasks of a job that are passed over, each for its earlier direct start, for one that fits. */
-  private static final int MOST_PASSED_OVER = 20;
+  private static final int MAX_PASSED_OVER = 20;
 
   /**
    * A job that has waited for its first task for this long gets that from the room kept for
-   * services. Ours.
+   * services. A default of this project.
    */
-  private static final long KEPT_FROM = 60_000_000;
+  private static final long RESERVED_CAPACITY_AFTER_MICROS = 60_000_000;
 
   /** Bounds the work of one pass; what is left is placed in the next. */
-  private static final int MOST_PLACED = 400;
+  private static final int MAX_PLACED = 400;
 
   /**
    * What is waiting after a pass.
@@ -44,9 +44,9 @@
    */
   record Waiting(Job job, int tasks) {}
 
-  private final Books books;
+  private final ClusterState clusterState;
   private final QueueOrder order;
-  private final long wallOffset;
+  private final long wallOffsetMicros;
   private final Map<String, Long> startWithin = new HashMap<>();
   private double headroom;
   private double ordinaryFree;
@@ -55,13 +55,13 @@
   private boolean barred;
 
   Dispatcher(
-      Books books,
+      ClusterState clusterState,
       QueueOrder order,
       List<Settings.Objective> objectives,
       Tuning tuning,
-      long wallOffset) {
-    this.wallOffset = wallOffset;
-    this.books = books;
+      long wallOffsetMicros) {
+    this.wallOffsetMicros = wallOffsetMicros;
+    this.clusterState = clusterState;
     this.order = order;
     for (Settings.Objective objective : objectives) {
       if (objective.kind().equals("wait") && objective.lane() != null) {
@@ -81,45 +81,45 @@
   List<Waiting> pass(long nowMicros, Predicate<Job> allSeen, long bootMicros) {
     List<Waiting> waiting = new ArrayList<>();
     Map<Job, Integer> reserved = new HashMap<>();
-    for (Job job : books.jobs().values()) {
+    for (Job job : clusterState.jobs().values()) {
       if (!allSeen.test(job)) {
         int unseen = job.pending();
         if (unseen > 0) {
-          books.quotas().add(job.spec(), unseen);
+          clusterState.quotas().add(job.spec(), unseen);
           reserved.put(job, unseen);
         }
       }
     }
     List<Job> queue =
         order.order(
-            books.jobs().values(),
+            clusterState.jobs().values(),
             job -> job.startable() && job.pending() > 0 && !reserved.containsKey(job),
-            nowMicros + wallOffset);
-    books.list().lookAgain();
-    headroom = books.services().headroomCpus(bootMicros, nowMicros);
+            nowMicros + wallOffsetMicros);
+    clusterState.list().lookAgain();
+    headroom = clusterState.services().headroomCpus(bootMicros, nowMicros);
     boolean measured = false;
     Set<String> full = new HashSet<>();
     int placed = 0;
     for (Job job : queue) {
       if (!measured && job.spec().spot()) {
         // Services come first in the queue, so what they take is gone from this already.
-        ordinaryFree = books.freeCpus(false);
+        ordinaryFree = clusterState.freeCpus(false);
         measured = true;
       }
       if (job.notBefore() > nowMicros || onTrial(job)) {
         continue;
       }
-      int room = books.quotas().room(job.spec(), job.pending());
-      if (room == 0) {
+      int freeCapacity = clusterState.quotas().freeCapacity(job.spec(), job.pending());
+      if (freeCapacity == 0) {
         continue;
       }
       int started = 0;
-      if (placed < MOST_PLACED && !full.contains(likeness(job, nowMicros))) {
+      if (placed < MAX_PLACED && !full.contains(likeness(job, nowMicros))) {
         // A gang larger than a pass has to be placed in one all the same.
-        boolean gang = job.spec().shape() == Shape.GANG;
-        int most = gang ? room : Math.min(room, MOST_PLACED - placed);
+        boolean gang = job.spec().jobKind() == JobKind.GANG;
+        int most = gang ? freeCapacity : Math.min(freeCapacity, MAX_PLACED - placed);
         // Guards against replicas that need each other's zone and lost it late: never one alone.
-        boolean one = job.doubtful() || QueueOrder.toBegin(job, nowMicros + wallOffset);
+        boolean one = job.doubtful() || QueueOrder.toBegin(job, nowMicros + wallOffsetMicros);
         if (one && !whole(job)) {
           most = 1;
         }
@@ -127,16 +127,16 @@
         placed += started;
       }
       // Nothing is rented, and nobody stopped, for a job that fails everywhere.
-      if (started < room && !job.doubtful()) {
+      if (started < freeCapacity && !job.doubtful()) {
         if (started == 0 && !barred) {
           full.add(likeness(job, nowMicros));
         }
-        waiting.add(new Waiting(job, room - started));
+        waiting.add(new Waiting(job, freeCapacity - started));
       }
     }
-    reserved.forEach((job, unseen) -> books.quotas().add(job.spec(), -unseen));
-    if (placed >= MOST_PLACED) {
-      books.touch();
+    reserved.forEach((job, unseen) -> clusterState.quotas().add(job.spec(), -unseen));
+    if (placed >= MAX_PLACED) {
+      clusterState.touch();
     }
     return waiting;
   }
@@ -154,7 +154,7 @@
   /** Jobs with the same likeness fit on the same machines. */
   private String likeness(Job job, long nowMicros) {
     JobRequest spec = job.spec();
-    boolean special = spec.together() || spec.scatter() || spec.shape() == Shape.GANG;
+    boolean special = spec.together() || spec.scatter() || spec.jobKind() == JobKind.GANG;
     if (special || !job.suspects(nowMicros).isEmpty() || keptFrom(job, nowMicros)) {
       return job.id();
     }
@@ -169,7 +169,7 @@
     return yields(job.spec())
         && job.doneCount() == 0
         && !job.hasBound()
-        && nowMicros + wallOffset - job.acceptedWallMicros() > KEPT_FROM;
+        && nowMicros + wallOffsetMicros - job.acceptedWallMicros() > RESERVED_CAPACITY_AFTER_MICROS;
   }
 
   /**
@@ -178,25 +178,26 @@
    */
   private static boolean whole(Job job) {
     JobRequest spec = job.spec();
-    return spec.shape() == Shape.GANG
-        || spec.together() && spec.shape() == Shape.SERVICE && job.bound().isEmpty();
+    return spec.jobKind() == JobKind.GANG
+        || spec.together() && spec.jobKind() == JobKind.SERVICE && job.bound().isEmpty();
   }
 
-  private int place(Job job, int room, long nowMicros) {
+  private int place(Job job, int freeCapacity, long nowMicros) {
     JobRequest spec = job.spec();
     int wanted = job.pending();
     boolean whole = whole(job);
     barred = false;
-    if (whole && room < wanted || spec.shape() == Shape.GANG && !job.bound().isEmpty()) {
+    if (whole && freeCapacity < wanted
+        || spec.jobKind() == JobKind.GANG && !job.bound().isEmpty()) {
       return 0;
     }
     for (String zone : zones(job)) {
-      List<Task> placed = fit(job, Math.min(room, wanted), zone, nowMicros);
+      List<Task> placed = fit(job, Math.min(freeCapacity, wanted), zone, nowMicros);
       if (placed.size() == wanted || !whole && !placed.isEmpty()) {
         return placed.size();
       }
       // No start was sent for any of these: they are taken back in the record.
-      placed.forEach(task -> books.unbind(task, "does not fit whole", nowMicros));
+      placed.forEach(task -> clusterState.unbind(task, "does not fit whole", nowMicros));
     }
     return 0;
   }
@@ -213,7 +214,7 @@
       return List.of(job.bound().values().iterator().next().machine().zone());
     }
     List<String> zones = new ArrayList<>();
-    for (Machine machine : books.list().machines()) {
+    for (Machine machine : clusterState.list().machines()) {
       if (!zones.contains(machine.zone())) {
         zones.add(machine.zone());
       }
@@ -234,7 +235,7 @@
     List<Task> placed = new ArrayList<>();
     long within = startWithin.getOrDefault(spec.lane(), 0L);
     // The tasks of a gang find each other by their attempt: it is one for all of them.
-    long gangAttempt = spec.shape() == Shape.GANG ? books.nextAttempt() : 0;
+    long gangAttempt = spec.jobKind() == JobKind.GANG ? clusterState.nextAttempt() : 0;
     boolean yields = yields(spec);
     boolean keptFrom = keptFrom(job, nowMicros);
     int passedOver = 0;
@@ -243,10 +244,10 @@
       TaskName name = new TaskName(job.id(), index);
       boolean[] hadStart = {false};
       Machine machine =
-          books.list().firstFit(spec, allowed.and(m -> !barred(m, name, hadStart)), within);
+          clusterState.list().firstFit(spec, allowed.and(m -> !barred(m, name, hadStart)), within);
       if (machine == null) {
         barred |= hadStart[0];
-        if (!hadStart[0] || ++passedOver > MOST_PASSED_OVER) {
+        if (!hadStart[0] || ++passedOver > MAX_PASSED_OVER) {
           break;
         }
         // Guards against one task that may not go there again keeping its job, and all like it,
@@ -255,14 +256,14 @@
         continue;
       }
       if (yields && !machine.spot()) {
-        boolean allowedIn = keptFrom && (placed.isEmpty() || spec.shape() == Shape.GANG);
+        boolean allowedIn = keptFrom && (placed.isEmpty() || spec.jobKind() == JobKind.GANG);
         if (ordinaryFree - spec.cpus() < headroom && !allowedIn) {
           break;
         }
         ordinaryFree -= spec.cpus();
       }
-      long attempt = gangAttempt > 0 ? gangAttempt : books.nextAttempt();
-      placed.add(books.bind(job, index, attempt, machine, TaskPhase.ASSIGNED, nowMicros));
+      long attempt = gangAttempt > 0 ? gangAttempt : clusterState.nextAttempt();
+      placed.add(clusterState.bind(job, index, attempt, machine, TaskPhase.ASSIGNED, nowMicros));
       index = job.pendingAfter(index);
     }
     return placed;
@@ -276,11 +277,11 @@
 
   /** True for work that leaves room for services to come on ordinary machines. */
   static boolean yields(JobRequest spec) {
-    return spec.shape() != Shape.SERVICE && spec.spot();
+    return spec.jobKind() != JobKind.SERVICE && spec.spot();
   }
 
   static boolean refusedLately(Machine machine, long nowMicros) {
-    return nowMicros - machine.refusedAt() <= REFUSAL_PAUSE;
+    return nowMicros - machine.refusedAt() <= REFUSAL_PAUSE_MICROS;
   }
 
   private Predicate<Machine> allowed(Job job, long nowMicros) {
--- a/src/main/java/org/dewreach/controller/FleetDesk.java
+++ b/src/main/java/org/dewreach/controller/FleetManager.java
@@ -17,105 +17,130 @@
 import org.dewreach.fleet.FleetPlanner.Need;
 import org.dewreach.fleet.FleetPlanner.Rental;
 import org.dewreach.job.Job;
-import org.dewreach.leadership.Lending;
-import org.dewreach.machine.Anew;
+import org.dewreach.leadership.LeaseDelegations;
 import org.dewreach.machine.Machine;
 import org.dewreach.machine.MachinePhase;
+import org.dewreach.machine.RestartSuspicion;
 import org.dewreach.placement.QueueOrder;
 import org.dewreach.placement.SortFirstFit;
 import org.dewreach.task.Task;
 import org.dewreach.task.TaskPhase;
+import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobRequest;
 import org.dewreach.wire.ListedMachine;
 import org.dewreach.wire.MachineType;
 import org.dewreach.wire.MalformedException;
-import org.dewreach.wire.Shape;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Rents, watches and returns machines. */
-final class FleetDesk {
-  private static final Logger LOG = LoggerFactory.getLogger(FleetDesk.class);
+final class FleetManager {
+  private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
 
-  private static final long ROUND_EVERY = 1_000_000;
+  private static final long ROUND_INTERVAL_MICROS = 1_000_000;
 
-  /** Room has to be there this long before a machine is let run empty. Ours. */
-  private static final long ROOMY_FOR = 10_000_000;
+  /**
+   * Room has to be there this long before a machine is let run empty. A default of this project.
+   */
+  private static final long SPARE_CAPACITY_PERIOD_MICROS = 10_000_000;
 
-  /** A machine with more of its CPUs taken by services would only run empty after long. Ours. */
-  private static final double MOST_SERVED = 0.4;
+  /**
+   * A machine with more of its CPUs taken by services would only run empty after long. A default of
+   * this project.
+   */
+  private static final double MAX_SERVICE_SHARE = 0.4;
 
-  private static final int MOST_RETIRED = 3;
+  private static final int MAX_RETIRED = 3;
 
-  /** Estimates are often wrong by half, so a task is given up only if it is this far off. Ours. */
+  /**
+   * Estimates are often wrong by half, so a task is given up only if it is this far off. A default
+   * of this project.
+   */
   private static final double HOPELESS_FACTOR = 1.6;
 
-  /** Of a large fleet, one machine in this many may start to run empty at a time. Ours. */
-  private static final int RETIRED_PART = 25;
+  /**
+   * Of a large fleet, one machine in this many may start to run empty at a time. A default of this
+   * project.
+   */
+  private static final int RETIRED_DIVISOR = 25;
 
-  /** Of a large fleet, one machine in this many may be given up early in a recovery. Ours. */
-  private static final int STRAGGLERS_PART = 40;
+  /**
+   * Of a large fleet, one machine in this many may be given up early in a recovery. A default of
+   * this project.
+   */
+  private static final int STRAGGLERS_DIVISOR = 40;
 
-  private static final double MOST_MOVES_SAVED = 2;
+  private static final double MAX_MOVES_SAVED = 2;
 
-  /** A service that began lately is not moved. Ours. */
-  private static final long SETTLED = 45_000_000;
+  /** A service that began lately is not moved. A default of this project. */
+  private static final long SETTLED_AFTER_MICROS = 45_000_000;
 
-  /** When many machines are lost at once, they are waited for this long. Ours. */
-  private static final long LOST_KEPT = 75_000_000;
+  /**
+   * When many machines are lost at once, they are waited for this long. A default of this project.
+   */
+  private static final long LOST_MACHINE_KEPT_MICROS = 75_000_000;
 
-  /** So many machines do not fall silent at once, unless it is us. Ours. */
-  private static final int LEAST_FOR_CUT = 3;
+  /** So many machines do not fall silent at once, unless it is us. A default of this project. */
+  private static final int MIN_SILENT_FOR_PARTITION = 3;
 
   /** What a worker spends on a node that does not answer, with the pause before the next. */
-  private static final long LOST_TRY = 5_000_000;
+  private static final long LOST_MACHINE_RETRY_MICROS = 5_000_000;
 
-  private static final int MOST_RETURNED = 100;
+  private static final int MAX_RETURNED = 100;
 
-  /** A large fleet takes several calls of a small rate to list; reports tell most of it. Ours. */
-  private static final long LIST_EVERY = 5_000_000;
+  /**
+   * A large fleet takes several calls of a small rate to list; reports tell most of it. A default
+   * of this project.
+   */
+  private static final long LIST_INTERVAL_MICROS = 5_000_000;
 
-  private static final int MOST_REMEMBERED = 4_000;
-  private static final int MOST_RENT_TRIES = 4;
+  private static final int MAX_REMEMBERED = 4_000;
+  private static final int MAX_RENT_TRIES = 4;
 
-  /** A machine that is set aside keeps its tasks for so long, in which it may be cleared. Ours. */
-  private static final long TRIED_ELSEWHERE = 8_000_000;
+  /**
+   * A machine that is set aside keeps its tasks for so long, in which it may be cleared. A default
+   * of this project.
+   */
+  private static final long SUSPECT_MACHINE_GRACE_MICROS = 8_000_000;
 
-  /** It keeps them for this long while a job that failed there is still tried elsewhere. Ours. */
-  private static final long LONGEST_TRIAL = 60_000_000;
+  /**
+   * It keeps them for this long while a job that failed there is still tried elsewhere. A default
+   * of this project.
+   */
+  private static final long MAX_SUSPECT_MACHINE_TRIAL_MICROS = 60_000_000;
 
   /** A rental request on its way. */
-  private static final class Asked {
+  private static final class RentalRequest {
     final String name;
     final Rental rental;
     int tries;
     long nextTry;
     boolean inFlight;
 
-    Asked(String name, Rental rental) {
+    RentalRequest(String name, Rental rental) {
       this.name = name;
       this.rental = rental;
     }
   }
 
   private final long term;
-  private final Books books;
+  private final ClusterState clusterState;
   private final FleetRegister register;
-  private final Lending lending;
+  private final LeaseDelegations delegations;
   private final CloudService cloud;
-  private final CatalogKeeper catalog;
+  private final MachineCatalog catalog;
   private final Settings settings;
   private final Tuning tuning;
   private final QueueOrder order;
   private final Consolidation consolidation;
   private final FleetPlanner planner = new FleetPlanner();
-  private final Map<String, Asked> asked = new LinkedHashMap<>();
+  private final Map<String, RentalRequest> rentalRequests = new LinkedHashMap<>();
   private final Set<String> goneNames = new LinkedHashSet<>();
   private final Set<String> returning = new HashSet<>();
   private long startedAt;
-  private final long wallOffset;
+  private final long wallOffsetMicros;
   private long lastRequest;
-  private long roomySince;
+  private long spareCapacitySince;
   private double moveBudget;
   private long nextRound;
   private long nextList;
@@ -125,29 +150,29 @@
   private long giveAgainAt;
   private boolean closed;
 
-  FleetDesk(
+  FleetManager(
       long term,
-      Books books,
+      ClusterState clusterState,
       FleetRegister register,
-      Lending lending,
+      LeaseDelegations delegations,
       CloudService cloud,
-      CatalogKeeper catalog,
+      MachineCatalog catalog,
       Settings settings,
       Tuning tuning,
       long nowMicros,
-      long wallOffset) {
+      long wallOffsetMicros) {
     this.term = term;
-    this.books = books;
+    this.clusterState = clusterState;
     this.register = register;
-    this.lending = lending;
+    this.delegations = delegations;
     this.cloud = cloud;
     this.catalog = catalog;
     this.settings = settings;
     this.tuning = tuning;
     this.order = new QueueOrder(settings.teams(), settings.objectives());
-    this.consolidation = new Consolidation(books);
+    this.consolidation = new Consolidation(clusterState);
     this.startedAt = nowMicros;
-    this.wallOffset = wallOffset;
+    this.wallOffsetMicros = wallOffsetMicros;
   }
 
   void close() {
@@ -155,18 +180,18 @@
   }
 
   /** From now on, and not before, this leader alone answers workers. */
-  void acts(long nowMicros) {
+  void onAuthorityGained(long nowMicros) {
     startedAt = nowMicros;
   }
 
   /** True if the worker has surely killed all its tasks, or never had any. */
   boolean leaseSurelyOver(Machine machine, long nowMicros) {
-    if (machine.anew() != Anew.NO) {
-      // A worker that began anew has a lease of its own, and takes late copies of our starts.
+    if (machine.restartSuspicion() != RestartSuspicion.NONE) {
+      // A worker that restarted has a lease of its own, and takes late copies of our starts.
       return false;
     }
     long from = Math.max(startedAt, machine.lastAnswer());
-    from = Math.max(from, lending.answeredUntil(machine.zone(), nowMicros));
+    from = Math.max(from, delegations.answeredUntil(machine.zone(), nowMicros));
     long lease = settings.workers().leaseMicros();
     return nowMicros > from + lease + lease / 500 + 300_000;
   }
@@ -180,7 +205,7 @@
     if (nowMicros < nextRound) {
       return;
     }
-    nextRound = nowMicros + ROUND_EVERY;
+    nextRound = nowMicros + ROUND_INTERVAL_MICROS;
     watchSilent(nowMicros);
     drain(nowMicros);
     if (mayRent) {
@@ -217,24 +242,26 @@
    */
   private long arrival() {
     long lastReport = settings.workers().reportMicros() * 5 / 4;
-    return lastReport + settings.members().size() * LOST_TRY + 1_000_000;
+    return lastReport + settings.members().size() * LOST_MACHINE_RETRY_MICROS + 1_000_000;
   }
 
   private void watchSilent(long nowMicros) {
     List<Machine> silent = new ArrayList<>();
-    List<Machine> deaf = new ArrayList<>();
+    List<Machine> missesReplies = new ArrayList<>();
     int heard = 0;
     int lost = 0;
-    for (Machine machine : books.machines().values()) {
+    for (Machine machine : clusterState.machines().values()) {
       switch (machine.phase()) {
         case UNHEARD, GREETED, UP, DRAINING -> {
-          boolean mayBeAnew = machine.anew() == Anew.ASKED && isSilent(machine, nowMicros);
-          if (machine.anew() == Anew.SURE || mayBeAnew) {
-            giveUp(machine, "its worker began anew", nowMicros);
+          boolean mayHaveRestarted =
+              machine.restartSuspicion() == RestartSuspicion.CHECKING
+                  && isSilent(machine, nowMicros);
+          if (machine.restartSuspicion() == RestartSuspicion.CONFIRMED || mayHaveRestarted) {
+            giveUp(machine, "its worker restarted", nowMicros);
           } else if (isSilent(machine, nowMicros)) {
             silent.add(machine);
-          } else if (machine.deaf()) {
-            deaf.add(machine);
+          } else if (machine.missesReplies()) {
+            missesReplies.add(machine);
           } else {
             heard++;
           }
@@ -247,7 +274,7 @@
         }
         case LOST -> {
           lost++;
-          if (nowMicros - Math.max(startedAt, machine.lastReport()) > LOST_KEPT) {
+          if (nowMicros - Math.max(startedAt, machine.lastReport()) > LOST_MACHINE_KEPT_MICROS) {
             giveUp(machine, "lost and not back", nowMicros);
           }
         }
@@ -256,15 +283,15 @@
         }
       }
     }
-    int missed = deaf.size();
+    int missed = missesReplies.size();
     int reached = 0;
     long quietAfter = 2 * settings.workers().reportMicros() + 500_000;
-    for (Machine machine : books.machines().values()) {
+    for (Machine machine : clusterState.machines().values()) {
       boolean expected =
           machine.phase() == MachinePhase.UNHEARD
               || machine.phase() == MachinePhase.UP
               || machine.phase() == MachinePhase.DRAINING;
-      if (expected && !machine.deaf()) {
+      if (expected && !machine.missesReplies()) {
         boolean quiet = nowMicros - Math.max(startedAt, machine.lastReport()) > quietAfter;
         if (quiet) {
           // What is placed there now would be bound until it is known what became of it.
@@ -275,7 +302,7 @@
       }
     }
     // Machines that have just come up may be heard all the same.
-    boolean most = missed >= LEAST_FOR_CUT && missed >= 3 * reached;
+    boolean most = missed >= MIN_SILENT_FOR_PARTITION && missed >= 3 * reached;
     // Twice in a row: a process that was held up sees its backlog of reports in between.
     cutOffRounds = most && nowMicros > startedAt + arrival() ? cutOffRounds + 1 : 0;
     // When many fall silent at once it is rather us who are cut off: wait for the leases then. The
@@ -287,7 +314,7 @@
     silent.removeIf(machine -> machine.phase() == MachinePhase.RETURNING);
     for (Machine machine : silent) {
       if (leaseSurelyOver(machine, nowMicros)) {
-        books.unbindAll(machine, "its lease is over", nowMicros);
+        clusterState.unbindAll(machine, "its lease is over", nowMicros);
         machine.markAccountedFor();
         if (few) {
           giveUp(machine, "silent, lease over", nowMicros);
@@ -295,7 +322,7 @@
           // Guards against renting a whole zone anew that is back within a minute, images and all.
           LOG.info("machine {} is lost", machine.name());
           machine.become(MachinePhase.LOST, nowMicros);
-          books.touch();
+          clusterState.touch();
         }
       } else if (few) {
         giveUp(machine, "silent", nowMicros);
@@ -303,7 +330,7 @@
     }
     if (few) {
       // Nothing placed there starts, and its session will end: the return is proof enough.
-      deaf.forEach(machine -> giveUp(machine, "does not take answers", nowMicros));
+      missesReplies.forEach(machine -> giveUp(machine, "does not take answers", nowMicros));
     }
   }
 
@@ -316,12 +343,12 @@
       return;
     }
     List<Machine> unheard = new ArrayList<>();
-    for (Machine machine : books.machines().values()) {
+    for (Machine machine : clusterState.machines().values()) {
       if (machine.phase() == MachinePhase.UNHEARD) {
         unheard.add(machine);
       }
     }
-    if (unheard.size() <= heard / STRAGGLERS_PART) {
+    if (unheard.size() <= heard / STRAGGLERS_DIVISOR) {
       unheard.forEach(machine -> giveUp(machine, "not heard under this term", nowMicros));
     }
   }
@@ -329,11 +356,11 @@
   private void giveUp(Machine machine, String why, long nowMicros) {
     LOG.info("machine {} is to be returned: {}", machine.name(), why);
     machine.become(MachinePhase.RETURNING, nowMicros);
-    books.touch();
+    clusterState.touch();
   }
 
   private void drain(long nowMicros) {
-    for (Machine machine : List.copyOf(books.machines().values())) {
+    for (Machine machine : List.copyOf(clusterState.machines().values())) {
       boolean faulty = surelyFaulty(machine, nowMicros);
       boolean leaving = machine.recallAt() >= 0 || faulty;
       if (!leaving || machine.phase() == MachinePhase.RETURNING) {
@@ -342,7 +369,7 @@
       if (machine.phase() == MachinePhase.UP) {
         LOG.info("machine {} drains: {}", machine.name(), faulty ? "set aside" : "to be taken");
         machine.become(MachinePhase.DRAINING, nowMicros);
-        books.touch();
+        clusterState.touch();
       }
       if (machine.phase() != MachinePhase.DRAINING) {
         continue;
@@ -353,10 +380,10 @@
           long lead = task.spec().saveMicros() + 2 * settings.workers().reportMicros();
           // What cannot save may still complete before the machine is taken. What surely will not
           // had better begin anew elsewhere now than once it is lost.
-          if (task.spec().shape() == Shape.SERVICE
+          if (task.spec().jobKind() == JobKind.SERVICE
               || saves && nowMicros + lead > machine.recallAt()
               || !saves && hopeless(task, machine.recallAt() - nowMicros, nowMicros)) {
-            books.stop(task, "its machine is to be taken", nowMicros);
+            clusterState.stop(task, "its machine is to be taken", nowMicros);
           }
         }
       }
@@ -378,9 +405,10 @@
     }
     boolean onTrial =
         machine.erredJobs().stream()
-            .map(books.jobs()::get)
+            .map(clusterState.jobs()::get)
             .anyMatch(job -> job != null && job.unproven());
-    return nowMicros - machine.setAsideAt() > (onTrial ? LONGEST_TRIAL : TRIED_ELSEWHERE);
+    return nowMicros - machine.setAsideAt()
+        > (onTrial ? MAX_SUSPECT_MACHINE_TRIAL_MICROS : SUSPECT_MACHINE_GRACE_MICROS);
   }
 
   /** True if a task has far more left to run, by its owner's estimate, than the time given. */
@@ -405,23 +433,23 @@
    */
   private void retire(long nowMicros, List<Dispatcher.Waiting> waiting) {
     if (!waiting.isEmpty()) {
-      roomySince = nowMicros;
-      for (Machine machine : books.machines().values()) {
+      spareCapacitySince = nowMicros;
+      for (Machine machine : clusterState.machines().values()) {
         if (machine.retiring() && machine.phase() == MachinePhase.UP) {
           LOG.info("machine {} is needed again", machine.name());
           machine.retiring(false);
-          books.touch();
+          clusterState.touch();
         }
       }
       return;
     }
-    if (nowMicros - roomySince <= ROOMY_FOR) {
+    if (nowMicros - spareCapacitySince <= SPARE_CAPACITY_PERIOD_MICROS) {
       if (spareMachine(nowMicros) == null) {
-        roomySince = nowMicros;
+        spareCapacitySince = nowMicros;
       }
       return;
     }
-    int most = Math.max(MOST_RETIRED, books.machines().size() / RETIRED_PART);
+    int most = Math.max(MAX_RETIRED, clusterState.machines().size() / RETIRED_DIVISOR);
     for (int i = 0; i < most; i++) {
       Machine spare = spareMachine(nowMicros);
       if (spare == null) {
@@ -430,16 +458,16 @@
       LOG.info("machine {} is to run empty", spare.name());
       spare.retiring(true);
     }
-    roomySince = nowMicros - ROOMY_FOR / 2;
+    spareCapacitySince = nowMicros - SPARE_CAPACITY_PERIOD_MICROS / 2;
   }
 
   /** The dearest machine, among equals the last of the list, whose work has room elsewhere. */
   private Machine spareMachine(long nowMicros) {
-    double ordinary = books.freeCpus(false);
-    double spot = books.freeCpus(true);
-    double headroom = books.services().headroomCpus(bootMicros(), nowMicros);
+    double ordinary = clusterState.freeCpus(false);
+    double spot = clusterState.freeCpus(true);
+    double headroom = clusterState.services().headroomCpus(bootMicros(), nowMicros);
     Machine best = null;
-    for (Machine machine : books.list().machines()) {
+    for (Machine machine : clusterState.list().machines()) {
       if (!machine.usable() || nowMicros - machine.knownSince() < tuning.leastPaidMicros()) {
         continue;
       }
@@ -449,13 +477,13 @@
       }
       // What it offers now, and the room that its tasks would take elsewhere.
       double capacity = machine.type().cpus();
-      boolean room =
+      boolean freeCapacity =
           machine.spot()
               ? spot + ordinary - headroom >= capacity
               : ordinary - machine.freeCpus() - services >= headroom
                   && spot + ordinary - headroom >= capacity;
-      if (room
-          && services <= capacity * MOST_SERVED
+      if (freeCapacity
+          && services <= capacity * MAX_SERVICE_SHARE
           && (best == null || pricePerCpu(machine) >= pricePerCpu(best) - 1e-9)) {
         best = machine;
       }
@@ -469,15 +497,17 @@
    */
   private void move(long nowMicros) {
     int replicas = 0;
-    for (Machine machine : books.machines().values()) {
+    for (Machine machine : clusterState.machines().values()) {
       for (Task task : machine.tasks()) {
-        replicas += task.spec().shape() == Shape.SERVICE ? 1 : 0;
+        replicas += task.spec().jobKind() == JobKind.SERVICE ? 1 : 0;
       }
     }
     moveBudget =
-        Math.min(MOST_MOVES_SAVED, moveBudget + replicas * tuning.movedShare() * ROUND_EVERY / 1e6);
-    books.list().lookAgain();
-    for (Machine machine : books.machines().values()) {
+        Math.min(
+            MAX_MOVES_SAVED,
+            moveBudget + replicas * tuning.movedShare() * ROUND_INTERVAL_MICROS / 1e6);
+    clusterState.list().lookAgain();
+    for (Machine machine : clusterState.machines().values()) {
       if (moveBudget < 1) {
         return;
       }
@@ -487,8 +517,8 @@
       Task movable = movable(machine, nowMicros);
       if (movable != null) {
         moveBudget -= 1;
-        books.stop(movable, "moved, so that its machine can be returned", nowMicros);
-        books.touch();
+        clusterState.stop(movable, "moved, so that its machine can be returned", nowMicros);
+        clusterState.touch();
       }
     }
   }
@@ -497,8 +527,9 @@
   private Task movable(Machine machine, long nowMicros) {
     Task found = null;
     for (Task task : machine.tasks()) {
-      boolean settled = task.phase() == TaskPhase.RUNNING && nowMicros - task.startedAt() > SETTLED;
-      if (task.spec().shape() != Shape.SERVICE || task.spec().tasks() > 1 || !settled) {
+      boolean settled =
+          task.phase() == TaskPhase.RUNNING && nowMicros - task.startedAt() > SETTLED_AFTER_MICROS;
+      if (task.spec().jobKind() != JobKind.SERVICE || task.spec().tasks() > 1 || !settled) {
         return null;
       }
       found = task;
@@ -508,7 +539,7 @@
     }
     JobRequest spec = found.spec();
     Machine target =
-        books
+        clusterState
             .list()
             .firstFit(
                 spec, other -> SortFirstFit.permitted(spec, other) && other.fetchMicros(spec) == 0);
@@ -521,7 +552,7 @@
   }
 
   private void returnIdle(long nowMicros) {
-    for (Machine machine : books.machines().values()) {
+    for (Machine machine : clusterState.machines().values()) {
       long kept = machine.retiring() ? 0 : tuning.idleKeptMicros();
       if (machine.phase() == MachinePhase.UP
           && machine.tasks().isEmpty()
@@ -537,8 +568,8 @@
       return;
     }
     List<String> names = new ArrayList<>();
-    for (Machine machine : books.machines().values()) {
-      if (machine.phase() == MachinePhase.RETURNING && names.size() < MOST_RETURNED) {
+    for (Machine machine : clusterState.machines().values()) {
+      if (machine.phase() == MachinePhase.RETURNING && names.size() < MAX_RETURNED) {
         names.add(machine.name());
       }
     }
@@ -559,7 +590,7 @@
             return;
           }
           for (String name : names) {
-            Machine machine = books.machines().get(name);
+            Machine machine = clusterState.machines().get(name);
             if (machine != null) {
               forget(machine, "returned", now);
             }
@@ -568,10 +599,10 @@
   }
 
   private void forget(Machine machine, String why, long nowMicros) {
-    books.gone(machine, why, nowMicros);
+    clusterState.gone(machine, why, nowMicros);
     register.forget(machine, nowMicros);
     goneNames.add(machine.name());
-    if (goneNames.size() > MOST_REMEMBERED) {
+    if (goneNames.size() > MAX_REMEMBERED) {
       goneNames.remove(goneNames.iterator().next());
     }
   }
@@ -582,16 +613,16 @@
   }
 
   private void rent(long nowMicros, List<Dispatcher.Waiting> waiting) {
-    for (Asked request : List.copyOf(asked.values())) {
+    for (RentalRequest request : List.copyOf(rentalRequests.values())) {
       if (!request.inFlight && nowMicros >= request.nextTry && cloud.mayCall(nowMicros)) {
         send(request, nowMicros);
       }
     }
-    if (catalog.types().isEmpty() || asked.size() >= 6) {
+    if (catalog.types().isEmpty() || rentalRequests.size() >= 6) {
       return;
     }
     double batchCpus = 0;
-    for (Machine machine : books.machines().values()) {
+    for (Machine machine : clusterState.machines().values()) {
       boolean counts =
           machine.phase() == MachinePhase.UP || machine.phase() == MachinePhase.BOOTING;
       if (counts && machine.spot()) {
@@ -625,17 +656,22 @@
     if (needs.isEmpty()) {
       return;
     }
-    List<Kind> askedFor = new ArrayList<>();
-    for (Asked request : asked.values()) {
-      askedFor.addAll(Collections.nCopies(request.rental.count(), request.rental.kind()));
+    List<Kind> requestedKinds = new ArrayList<>();
+    for (RentalRequest request : rentalRequests.values()) {
+      requestedKinds.addAll(Collections.nCopies(request.rental.count(), request.rental.kind()));
     }
     for (Rental rental :
         planner.plan(
-            needs, books.machines().values(), askedFor, catalog.types(), longBacklog, nowMicros)) {
-      if (asked.size() < 6 && cloud.mayCall(nowMicros)) {
+            needs,
+            clusterState.machines().values(),
+            requestedKinds,
+            catalog.types(),
+            longBacklog,
+            nowMicros)) {
+      if (rentalRequests.size() < 6 && cloud.mayCall(nowMicros)) {
         // The term makes the name unique among leaders, the counter within the term.
-        Asked request = new Asked("dw-" + term + "-" + ++lastRequest, rental);
-        asked.put(request.name, request);
+        RentalRequest request = new RentalRequest("dw-" + term + "-" + ++lastRequest, rental);
+        rentalRequests.put(request.name, request);
         send(request, nowMicros);
       }
     }
@@ -645,13 +681,13 @@
   private int worthRenting(Dispatcher.Waiting item, long nowMicros) {
     Job job = item.job();
     JobRequest spec = job.spec();
-    if (spec.shape() == Shape.SERVICE) {
+    if (spec.jobKind() == JobKind.SERVICE) {
       return item.tasks();
     }
     long horizon = tuning.workOffMicros();
     long allowed = order.allowedMicros(spec);
     if (allowed >= 0) {
-      long dueAt = job.acceptedWallMicros() - wallOffset + allowed;
+      long dueAt = job.acceptedWallMicros() - wallOffsetMicros + allowed;
       horizon = Math.max(spec.expectedMicros(), (dueAt - nowMicros) / 2);
     }
     horizon = Math.max(horizon, 15_000_000);
@@ -663,7 +699,7 @@
 
   private long slackMicros(Job job, long nowMicros) {
     long allowed = order.allowedMicros(job.spec());
-    long dueAt = job.acceptedWallMicros() - wallOffset + allowed;
+    long dueAt = job.acceptedWallMicros() - wallOffsetMicros + allowed;
     return allowed < 0 ? Long.MAX_VALUE / 4 : dueAt - nowMicros - job.spec().expectedMicros();
   }
 
@@ -673,12 +709,12 @@
     if (allowed < 0) {
       return (tuning.longWaitMicros() / 1e6);
     }
-    long dueAt = job.acceptedWallMicros() - wallOffset + allowed;
+    long dueAt = job.acceptedWallMicros() - wallOffsetMicros + allowed;
     double spare = (dueAt - nowMicros - job.spec().expectedMicros()) / 2e6;
     return Math.max(10, Math.min((tuning.longWaitMicros() / 1e6), spare));
   }
 
-  private void send(Asked request, long nowMicros) {
+  private void send(RentalRequest request, long nowMicros) {
     Rental rental = request.rental;
     Kind kind = rental.kind();
     request.inFlight = true;
@@ -709,29 +745,29 @@
               || status == 0) {
             // Carried out or not: the same name again gives the same machines.
             request.nextTry = now + 1_500_000;
-            if (request.tries >= MOST_RENT_TRIES) {
-              asked.remove(request.name);
+            if (request.tries >= MAX_RENT_TRIES) {
+              rentalRequests.remove(request.name);
             }
           } else {
             LOG.info("renting {} refused: {}", request.name, status);
             planner.refused(kind, now);
-            asked.remove(request.name);
+            rentalRequests.remove(request.name);
           }
         });
   }
 
-  private void onRented(Asked request, JsonNode body, long nowMicros) {
-    asked.remove(request.name);
+  private void onRented(RentalRequest request, JsonNode body, long nowMicros) {
+    rentalRequests.remove(request.name);
     Kind kind = request.rental.kind();
     int count = 0;
     for (JsonNode host : body.path("hosts")) {
       count++;
       String name = host.asText();
-      if (!books.machines().containsKey(name) && !isGone(name)) {
+      if (!clusterState.machines().containsKey(name) && !isGone(name)) {
         Machine machine =
             new Machine(
                 name, "", kind.type(), kind.zone(), kind.spot(), MachinePhase.BOOTING, nowMicros);
-        books.add(machine);
+        clusterState.add(machine);
         register.note(machine, nowMicros);
       }
     }
@@ -748,7 +784,7 @@
       return;
     }
     listing = true;
-    nextList = nowMicros + Math.max(LIST_EVERY, settings.cloudLimits().listLagMicros());
+    nextList = nowMicros + Math.max(LIST_INTERVAL_MICROS, settings.cloudLimits().listLagMicros());
     page(null, nowMicros);
   }
 
@@ -781,7 +817,7 @@
     if (isGone(listed.name())) {
       return;
     }
-    Machine machine = books.machines().get(listed.name());
+    Machine machine = clusterState.machines().get(listed.name());
     if (machine == null) {
       MachineType type = catalog.type(listed.type());
       if (type == null) {
@@ -798,11 +834,11 @@
               MachinePhase.BOOTING,
               nowMicros);
       machine.knownSince(nowMicros - listed.ageMicros());
-      books.add(machine);
+      clusterState.add(machine);
       register.note(machine, nowMicros);
     }
     if (listed.failed() && machine.phase() != MachinePhase.RETURNING) {
-      books.unbindAll(machine, "it failed", nowMicros);
+      clusterState.unbindAll(machine, "it failed", nowMicros);
       giveUp(machine, "failed", nowMicros);
     }
   }
--- a/src/main/java/org/dewreach/controller/FleetRegister.java
+++ b/src/main/java/org/dewreach/controller/FleetRegister.java
@@ -21,20 +21,26 @@
  * The durable list of machines that a later leader has to wait for, many to a record.
  *
  * <p>A machine is noted when it was rented, so that its boot is waited for, and marked before its
- * first command, so that nothing is started anew that may run there. One record for each machine
+ * first command, so that nothing is started again that may run there. One record for each machine
  * took three writes for each, and a fleet of hundreds used up the state service's rate for most of
  * a minute. Each record is conditional on its own stamp, so a late copy of an earlier form, which
  * lacks machines, is never applied.
  */
 final class FleetRegister {
-  /** Marks gathered before a write: a machine waits this long for its first command. Ours. */
-  private static final long MARKS_EVERY = 100_000;
-
-  /** Notes and removals may wait; a note that is lost costs a wait, a removal too. Ours. */
-  private static final long OTHERS_EVERY = 2_000_000;
+  /**
+   * Marks gathered before a write: a machine waits this long for its first command. A default of
+   * this project.
+   */
+  private static final long MARKS_INTERVAL_MICROS = 100_000;
+
+  /**
+   * Notes and removals may wait; a note that is lost costs a wait, a removal too. A default of this
+   * project.
+   */
+  private static final long OTHERS_INTERVAL_MICROS = 2_000_000;
 
   /** More of the value's limit than this is not used, whatever the coding adds. */
-  private static final double FILLED = 0.7;
+  private static final double MAX_FILL_SHARE = 0.7;
 
   /** What an entry takes beside its texts. */
   private static final int ENTRY_BYTES = 48;
@@ -61,15 +67,16 @@
 
   private final CommitQueue queue;
   private final int pageBytes;
-  private final long wallOffset;
-  private final Recorder.Listener listener;
+  private final long wallOffsetMicros;
+  private final JobRecordWriter.Listener listener;
   private final Map<Integer, Page> pages = new TreeMap<>();
   private final Map<Machine, Page> pageOf = new HashMap<>();
 
-  FleetRegister(CommitQueue queue, int valueBytes, long wallOffset, Recorder.Listener listener) {
+  FleetRegister(
+      CommitQueue queue, int valueBytes, long wallOffsetMicros, JobRecordWriter.Listener listener) {
     this.queue = queue;
-    this.pageBytes = (int) (valueBytes * FILLED);
-    this.wallOffset = wallOffset;
+    this.pageBytes = (int) (valueBytes * MAX_FILL_SHARE);
+    this.wallOffsetMicros = wallOffsetMicros;
     this.listener = listener;
   }
 
@@ -89,9 +96,9 @@
   /** A machine was rented, or found. */
   void note(Machine machine, long nowMicros) {
     if (!pageOf.containsKey(machine)) {
-      Page page = pageWithRoom(machine);
+      Page page = pageWithSpace(machine);
       put(page, machine);
-      page.due(nowMicros + OTHERS_EVERY);
+      page.due(nowMicros + OTHERS_INTERVAL_MICROS);
     }
   }
 
@@ -102,11 +109,11 @@
     }
     Page page = pageOf.get(machine);
     if (page == null) {
-      page = pageWithRoom(machine);
+      page = pageWithSpace(machine);
       put(page, machine);
     }
     if (!page.marked.contains(machine) && page.toMark.add(machine)) {
-      page.due(nowMicros + MARKS_EVERY);
+      page.due(nowMicros + MARKS_INTERVAL_MICROS);
     }
   }
 
@@ -118,7 +125,7 @@
       page.toMark.remove(machine);
       page.marked.remove(machine);
       page.bytes -= bytes(machine);
-      page.due(nowMicros + OTHERS_EVERY);
+      page.due(nowMicros + OTHERS_INTERVAL_MICROS);
     }
   }
 
@@ -134,7 +141,7 @@
     return pages.computeIfAbsent(number, Page::new);
   }
 
-  private Page pageWithRoom(Machine machine) {
+  private Page pageWithSpace(Machine machine) {
     int number = 0;
     for (Page page : pages.values()) {
       if (page.bytes + bytes(machine) <= pageBytes) {
@@ -166,7 +173,7 @@
     for (Machine machine : page.machines) {
       ArrayNode entry = list.putArray(machine.name());
       entry.add(machine.type().name()).add(machine.zone()).add(machine.spot());
-      entry.add(machine.knownSince() + wallOffset).add(marks.contains(machine));
+      entry.add(machine.knownSince() + wallOffsetMicros).add(marks.contains(machine));
     }
     boolean urgent = !page.toMark.isEmpty();
     page.writing = true;
@@ -181,7 +188,7 @@
                 (now, outcome, revision) -> written(page, marks, outcome, revision, now)));
     if (!taken) {
       page.writing = false;
-      page.due(nowMicros + OTHERS_EVERY);
+      page.due(nowMicros + OTHERS_INTERVAL_MICROS);
     }
   }
 
--- a/src/main/java/org/dewreach/controller/Recorder.java
+++ b/src/main/java/org/dewreach/controller/JobRecordWriter.java
@@ -11,17 +11,17 @@
 import org.dewreach.store.Condition;
 import org.dewreach.store.Keys;
 import org.dewreach.store.Write;
-import org.dewreach.wire.Standing;
+import org.dewreach.wire.JobState;
 
 /**
  * What the leader writes: one write in flight for each job, so that each is conditional on the
  * stamp of the one before and a late copy of any can change nothing.
  */
-final class Recorder {
+final class JobRecordWriter {
   /** Progress is only saved work: it is gathered so that it leaves the rate to users' writes. */
-  private static final long PROGRESS_EVERY = 4_000_000;
+  private static final long PROGRESS_INTERVAL_MICROS = 4_000_000;
 
-  private static final int MOST_WAITING_FOR_PROGRESS = 12;
+  private static final int MAX_WAITING_FOR_PROGRESS = 12;
 
   /** Told when something became durable. */
   interface Listener {
@@ -48,7 +48,7 @@
   private final Listener listener;
   private boolean mayFinishWithdrawn;
 
-  Recorder(CommitQueue queue, Gate gate, Listener listener) {
+  JobRecordWriter(CommitQueue queue, Gate gate, Listener listener) {
     this.queue = queue;
     this.gate = gate;
     this.listener = listener;
@@ -163,9 +163,9 @@
       case LIVE -> {
         if (job.complete()) {
           finish(job, nowMicros);
-        } else if (nowMicros - job.progressAt() >= PROGRESS_EVERY
+        } else if (nowMicros - job.progressAt() >= PROGRESS_INTERVAL_MICROS
             && !job.done().equals(job.durable())
-            && queue.waiting() < MOST_WAITING_FOR_PROGRESS) {
+            && queue.waiting() < MAX_WAITING_FOR_PROGRESS) {
           write(job, false, false, nowMicros);
         }
       }
@@ -215,9 +215,9 @@
 
   private void finish(Job job, long nowMicros) {
     boolean withdrawn = job.phase() == JobPhase.WITHDRAWN;
-    Standing standing = withdrawn ? Standing.WITHDRAWN : Standing.DONE;
+    JobState jobState = withdrawn ? JobState.WITHDRAWN : JobState.DONE;
     List<Change> changes = new ArrayList<>();
-    changes.add(new Change(Keys.over(job.id()), JobRecord.encodeOver(standing, job.doneCount())));
+    changes.add(new Change(Keys.over(job.id()), JobRecord.encodeOver(jobState, job.doneCount())));
     changes.add(new Change(Keys.job(job.id()), null));
     Write write =
         new Write(
--- a/src/main/java/org/dewreach/controller/LeaderDesk.java
+++ b/src/main/java/org/dewreach/controller/JobRequestHandler.java
@@ -15,59 +15,62 @@
 import org.dewreach.store.StateService;
 import org.dewreach.wire.Codec;
 import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobState;
 import org.dewreach.wire.MalformedException;
-import org.dewreach.wire.Standing;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The leader's answers to users. Nothing is told that is not durable. */
-final class LeaderDesk {
-  private static final Logger LOG = LoggerFactory.getLogger(LeaderDesk.class);
-  private static final int MOST_REMEMBERED = 5_000;
+final class JobRequestHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(JobRequestHandler.class);
+  private static final int MAX_REMEMBERED = 5_000;
 
-  /** Users wait 5 s; halts that are heard at all take less than this. Ours. */
-  private static final long HALTS_FOR = 1_500_000;
+  /** Users wait 5 s; halts that are heard at all take less than this. A default of this project. */
+  private static final long HALT_MICROS = 1_500_000;
 
   /** A question about a job that is about to end, and what answers it then. */
   private record AwaitingEnd(Answer answer, Runnable then) {}
 
   /** The final state of a job. */
-  record Final(Standing standing, int done) {}
+  record Final(JobState jobState, int done) {}
 
-  /** Share of the state service's rate for looking up what the books do not have. Ours. */
+  /**
+   * Share of the state service's rate for looking up what the cluster state does not have. A
+   * default of this project.
+   */
   private static final double LOOK_UP_SHARE = 0.3;
 
-  private final Books books;
-  private final Recorder recorder;
-  private final Adopter adopter;
+  private final ClusterState clusterState;
+  private final JobRecordWriter recordWriter;
+  private final LeaderlessJobImporter jobImporter;
   private final RateBudget lookUps;
   private final StateService state;
-  private final CatalogKeeper catalog;
+  private final MachineCatalog catalog;
   private final Settings settings;
-  private final long wallOffset;
+  private final long wallOffsetMicros;
   private final Cache<String, Final> over =
-      Caffeine.newBuilder().maximumSize(MOST_REMEMBERED).executor(Runnable::run).build();
+      Caffeine.newBuilder().maximumSize(MAX_REMEMBERED).executor(Runnable::run).build();
   private final Map<String, List<Answer>> awaitingAcceptance = new HashMap<>();
   private final Map<String, List<Answer>> awaitingWithdrawal = new HashMap<>();
   private final Map<String, List<AwaitingEnd>> awaitingEnd = new HashMap<>();
 
-  LeaderDesk(
-      Books books,
-      Recorder recorder,
-      Adopter adopter,
+  JobRequestHandler(
+      ClusterState clusterState,
+      JobRecordWriter recordWriter,
+      LeaderlessJobImporter jobImporter,
       StateService state,
-      CatalogKeeper catalog,
+      MachineCatalog catalog,
       Settings settings,
-      long wallOffset) {
-    this.books = books;
-    this.recorder = recorder;
-    this.adopter = adopter;
+      long wallOffsetMicros) {
+    this.clusterState = clusterState;
+    this.recordWriter = recordWriter;
+    this.jobImporter = jobImporter;
     double rps = settings.stateLimits().rps() * LOOK_UP_SHARE;
     this.lookUps = new RateBudget(rps, rps);
     this.state = state;
     this.catalog = catalog;
     this.settings = settings;
-    this.wallOffset = wallOffset;
+    this.wallOffsetMicros = wallOffsetMicros;
   }
 
   void handle(UserRequest request, Answer answer, long nowMicros) {
@@ -82,20 +85,20 @@
 
   private void submit(UserRequest.Submit submit, Answer answer, long nowMicros) {
     String id = submit.jobId();
-    Job known = books.jobs().get(id);
+    Job known = clusterState.jobs().get(id);
     if (known != null) {
       if (known.phase() == JobPhase.ACCEPTING) {
         await(awaitingAcceptance, id, answer);
       } else if (isEnding(known)) {
         awaitEnd(id, answer, () -> submit(submit, answer, nowMicros), nowMicros);
       } else {
-        answer.send(200, known.standing().answer(id), 0);
+        answer.send(200, known.jobState().answer(id), 0);
       }
       return;
     }
     Final done = over.getIfPresent(id);
     if (done != null) {
-      answer.send(200, done.standing().answer(id), 0);
+      answer.send(200, done.jobState().answer(id), 0);
       return;
     }
     JobRequest spec;
@@ -105,7 +108,7 @@
       unlessKnown(id, answer, 400, e.getMessage(), nowMicros);
       return;
     }
-    if (!catalog.known() || recorder.stalled(nowMicros)) {
+    if (!catalog.known() || recordWriter.stalled(nowMicros)) {
       answer.later();
       return;
     }
@@ -114,18 +117,21 @@
       unlessKnown(id, answer, 422, refusal, nowMicros);
       return;
     }
-    Job job = new Job(spec, nowMicros + wallOffset, true, JobPhase.ACCEPTING);
-    books.jobs().put(id, job);
+    Job job = new Job(spec, nowMicros + wallOffsetMicros, true, JobPhase.ACCEPTING);
+    clusterState.jobs().put(id, job);
     await(awaitingAcceptance, id, answer);
-    if (!recorder.accept(job, nowMicros, () -> knownAlready(job, nowMicros))) {
-      books.jobs().remove(id);
+    if (!recordWriter.accept(job, nowMicros, () -> knownAlready(job, nowMicros))) {
+      clusterState.jobs().remove(id);
       awaitingAcceptance.remove(id).forEach(Answer::later);
     }
   }
 
-  /** A record exists although the books lack it: the job is over, or was accepted without us. */
+  /**
+   * A record exists although the cluster state lacks it: the job is over, or was accepted without
+   * us.
+   */
   private void knownAlready(Job job, long nowMicros) {
-    books.jobs().remove(job.id());
+    clusterState.jobs().remove(job.id());
     List<Answer> answers = awaitingAcceptance.remove(job.id());
     if (answers != null) {
       lookUp(
@@ -135,7 +141,7 @@
               if (found == null) {
                 answer.later();
               } else {
-                answer.send(200, found.standing().answer(job.id()), 0);
+                answer.send(200, found.jobState().answer(job.id()), 0);
               }
             }
           },
@@ -149,14 +155,14 @@
     lookUp(
         id,
         found -> {
-          if (found == null && books.jobs().containsKey(id)) {
+          if (found == null && clusterState.jobs().containsKey(id)) {
             // Accepted while we looked.
             answer.later();
           } else if (found == null) {
             LOG.info("submission of {} answered {}: {}", id, status, why);
             answer.send(status, Codec.map().put("error", why), 0);
           } else {
-            answer.send(200, found.standing().answer(id), 0);
+            answer.send(200, found.jobState().answer(id), 0);
           }
         },
         answer::later,
@@ -168,9 +174,9 @@
   }
 
   /**
-   * Reads the state of a job that the books do not have: accepted without us, or over; null if
-   * there is none. A job moves from the new records into our books, and from there to the final
-   * ones, so looking in this order misses none.
+   * Reads the state of a job that the cluster state does not have: accepted without us, or over;
+   * null if there is none. A job moves from the new records into our cluster state, and from there
+   * to the final ones, so looking in this order misses none.
    */
   private void lookUp(String id, Found then, Runnable unknown, long nowMicros) {
     if (!lookUps.tryTake(nowMicros)) {
@@ -182,9 +188,9 @@
         (now, status, body) -> {
           if (status == 200) {
             boolean withdrawn = body.path("data").path("off").asBoolean(false);
-            adopter.adopt(Keys.newJob(id), body.path("data"), body.path("stamp").asLong(), now);
-            then.on(new Final(withdrawn ? Standing.WITHDRAWN : Standing.PENDING, 0));
-          } else if (status != 404 || books.jobs().containsKey(id)) {
+            jobImporter.adopt(Keys.newJob(id), body.path("data"), body.path("stamp").asLong(), now);
+            then.on(new Final(withdrawn ? JobState.WITHDRAWN : JobState.PENDING, 0));
+          } else if (status != 404 || clusterState.jobs().containsKey(id)) {
             unknown.run();
           } else {
             lookUpOver(id, then, unknown);
@@ -207,7 +213,7 @@
           try {
             Final found =
                 new Final(
-                    Standing.of(body.path("data").path("standing").asText()),
+                    JobState.of(body.path("data").path("standing").asText()),
                     body.path("data").path("done").asInt());
             over.put(id, found);
             then.on(found);
@@ -230,12 +236,12 @@
    */
   private static boolean isEnding(Job job) {
     return job.phase() == JobPhase.WITHDRAWING
-        || job.phase() == JobPhase.FINISHING && job.finalStanding() == Standing.DONE;
+        || job.phase() == JobPhase.FINISHING && job.finalState() == JobState.DONE;
   }
 
   /** Answers once the job's end is known; at once with 503 if writes do not get through. */
   private void awaitEnd(String id, Answer answer, Runnable then, long nowMicros) {
-    if (recorder.stalled(nowMicros)) {
+    if (recordWriter.stalled(nowMicros)) {
       answer.later();
     } else {
       awaitingEnd.computeIfAbsent(id, key -> new ArrayList<>(1)).add(new AwaitingEnd(answer, then));
@@ -250,28 +256,28 @@
   }
 
   private void query(String id, Answer answer, long nowMicros) {
-    Job job = books.jobs().get(id);
+    Job job = clusterState.jobs().get(id);
     if (job != null) {
       if (job.phase() == JobPhase.ACCEPTING) {
         answer.later();
       } else if (isEnding(job)) {
         awaitEnd(id, answer, () -> query(id, answer, nowMicros), nowMicros);
       } else {
-        answer.send(200, job.standing().answer(id, job.doneCount(), job.running()), 0);
+        answer.send(200, job.jobState().answer(id, job.doneCount(), job.running()), 0);
       }
       return;
     }
     Final done = over.getIfPresent(id);
     if (done != null) {
-      answer.send(200, done.standing().answer(id, done.done(), 0), 0);
+      answer.send(200, done.jobState().answer(id, done.done(), 0), 0);
       return;
     }
     lookUp(
         id,
         found -> {
           if (found != null) {
-            answer.send(200, found.standing().answer(id, found.done(), 0), 0);
-          } else if (books.jobs().containsKey(id)) {
+            answer.send(200, found.jobState().answer(id, found.done(), 0), 0);
+          } else if (clusterState.jobs().containsKey(id)) {
             // Accepted while we looked.
             answer.later();
           } else {
@@ -283,20 +289,20 @@
   }
 
   private void withdraw(String id, Answer answer, long nowMicros) {
-    Job job = books.jobs().get(id);
+    Job job = clusterState.jobs().get(id);
     if (job == null) {
       Final done = over.getIfPresent(id);
       if (done != null) {
-        answer.send(200, done.standing().answer(id), 0);
+        answer.send(200, done.jobState().answer(id), 0);
         return;
       }
       lookUp(
           id,
           found -> {
-            boolean over = found != null && found.standing() != Standing.PENDING;
+            boolean over = found != null && found.jobState() != JobState.PENDING;
             if (over) {
-              answer.send(200, found.standing().answer(id), 0);
-            } else if (found != null || books.jobs().containsKey(id)) {
+              answer.send(200, found.jobState().answer(id), 0);
+            } else if (found != null || clusterState.jobs().containsKey(id)) {
               // Accepted while we looked, or without us and just taken over.
               answer.later();
             } else {
@@ -309,10 +315,10 @@
     }
     switch (job.phase()) {
       case ACCEPTING -> answer.later();
-      case WITHDRAWN -> answer.send(200, Standing.WITHDRAWN.answer(id), 0);
+      case WITHDRAWN -> answer.send(200, JobState.WITHDRAWN.answer(id), 0);
       case FINISHING, OVER -> {
-        if (job.finalStanding() == Standing.WITHDRAWN) {
-          answer.send(200, Standing.WITHDRAWN.answer(id), 0);
+        if (job.finalState() == JobState.WITHDRAWN) {
+          answer.send(200, JobState.WITHDRAWN.answer(id), 0);
         } else {
           await(awaitingWithdrawal, id, answer);
         }
@@ -332,9 +338,9 @@
         // At once, not with the next reports, and also while nothing can be written: its user is
         // told when they are gone.
         List.copyOf(job.bound().values())
-            .forEach(task -> books.stop(task, "to be withdrawn", nowMicros));
-        books.touch();
-        recorder.pump(job, nowMicros);
+            .forEach(task -> clusterState.stop(task, "to be withdrawn", nowMicros));
+        clusterState.touch();
+        recordWriter.pump(job, nowMicros);
       }
     }
   }
@@ -344,13 +350,13 @@
    * come back, whatever they wait for.
    */
   void tick(long nowMicros) {
-    if (recorder.stalled(nowMicros)) {
+    if (recordWriter.stalled(nowMicros)) {
       sendBack();
     }
   }
 
   private static boolean haltsLong(Job job, long nowMicros) {
-    return nowMicros - job.withdrawAskedAt() > HALTS_FOR;
+    return nowMicros - job.withdrawAskedAt() > HALT_MICROS;
   }
 
   /** Its tasks cannot be stopped just now: its user is to ask again. */
@@ -363,7 +369,7 @@
 
   void onAccepted(Job job) {
     // One that was accepted without us may have been withdrawn without us too.
-    answerAll(awaitingAcceptance, job.id(), 201, job.standing());
+    answerAll(awaitingAcceptance, job.id(), 201, job.jobState());
   }
 
   /**
@@ -378,21 +384,21 @@
   }
 
   void onWithdrawn(Job job) {
-    answerAll(awaitingWithdrawal, job.id(), 200, Standing.WITHDRAWN);
+    answerAll(awaitingWithdrawal, job.id(), 200, JobState.WITHDRAWN);
     onEnd(job.id());
   }
 
   void onOver(Job job) {
-    over.put(job.id(), new Final(job.finalStanding(), job.doneCount()));
-    answerAll(awaitingWithdrawal, job.id(), 200, job.finalStanding());
+    over.put(job.id(), new Final(job.finalState(), job.doneCount()));
+    answerAll(awaitingWithdrawal, job.id(), 200, job.finalState());
     onEnd(job.id());
   }
 
   private static void answerAll(
-      Map<String, List<Answer>> waiting, String id, int status, Standing standing) {
+      Map<String, List<Answer>> waiting, String id, int status, JobState jobState) {
     List<Answer> answers = waiting.remove(id);
     if (answers != null) {
-      answers.forEach(answer -> answer.send(status, standing.answer(id), 0));
+      answers.forEach(answer -> answer.send(status, jobState.answer(id), 0));
     }
   }
 
--- a/src/main/java/org/dewreach/controller/Adopter.java
+++ b/src/main/java/org/dewreach/controller/LeaderlessJobImporter.java
@@ -17,11 +17,11 @@
  * <p>Nobody starts a task of such a job before a leader moved its record, in one transaction that
  * is conditional on the leader key; so under the term that moved it none can have been started.
  */
-final class Adopter {
-  private static final Logger LOG = LoggerFactory.getLogger(Adopter.class);
-  private static final int PAGE = 100;
+final class LeaderlessJobImporter {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderlessJobImporter.class);
+  private static final int PAGE_SIZE = 100;
   private static final long WATCH_MS = 8_000;
-  private static final long RETRY = 400_000;
+  private static final long RETRY_MICROS = 400_000;
 
   private enum Phase {
     /** Nothing to read; a watch tells of more. */
@@ -33,8 +33,8 @@
   }
 
   private final StateService state;
-  private final Books books;
-  private final Recorder recorder;
+  private final ClusterState clusterState;
+  private final JobRecordWriter recordWriter;
   private final Consumer<String> onNotTakenOver;
   private Phase phase = Phase.LISTING;
   private String after;
@@ -49,11 +49,15 @@
    *
    * @param onNotTakenOver told each job that is not taken over after all, or not yet
    */
-  Adopter(StateService state, Books books, Recorder recorder, Consumer<String> onNotTakenOver) {
+  LeaderlessJobImporter(
+      StateService state,
+      ClusterState clusterState,
+      JobRecordWriter recordWriter,
+      Consumer<String> onNotTakenOver) {
     this.onNotTakenOver = onNotTakenOver;
     this.state = state;
-    this.books = books;
-    this.recorder = recorder;
+    this.clusterState = clusterState;
+    this.recordWriter = recordWriter;
   }
 
   void close() {
@@ -67,7 +71,7 @@
   void tick(long nowMicros) {
     if (!closed && phase == Phase.LISTING && nowMicros >= againAt) {
       become(Phase.READING);
-      state.range(Keys.NEW, after, PAGE, this::onPage);
+      state.range(Keys.NEW, after, PAGE_SIZE, this::onPage);
     }
   }
 
@@ -77,7 +81,7 @@
     }
     become(Phase.LISTING);
     if (status != 200) {
-      againAt = nowMicros + RETRY;
+      againAt = nowMicros + RETRY_MICROS;
       return;
     }
     againAt = nowMicros;
@@ -116,7 +120,7 @@
     }
     watching = false;
     if (status != 200) {
-      lookAgain(nowMicros + RETRY);
+      lookAgain(nowMicros + RETRY_MICROS);
       return;
     }
     for (JsonNode change : body.path("log")) {
@@ -138,22 +142,22 @@
       return;
     }
     String id = saved.spec().id();
-    if (books.jobs().containsKey(id)) {
+    if (clusterState.jobs().containsKey(id)) {
       // Being accepted or taken over here: if that meets the new record, it is looked at again.
       return;
     }
     Job job = new Job(saved.spec(), saved.acceptedWallMicros(), true, JobPhase.ACCEPTING);
-    books.jobs().put(id, job);
+    clusterState.jobs().put(id, job);
     boolean taken =
-        recorder.adopt(job, stamp, saved.withdrawn(), nowMicros, () -> again(job, nowMicros));
+        recordWriter.adopt(job, stamp, saved.withdrawn(), nowMicros, () -> again(job, nowMicros));
     if (!taken) {
-      again(job, nowMicros + RETRY);
+      again(job, nowMicros + RETRY_MICROS);
     }
   }
 
   /** The record changed meanwhile, or there was no room for the write: read all of them again. */
   private void again(Job job, long atMicros) {
-    books.jobs().remove(job.id(), job);
+    clusterState.jobs().remove(job.id(), job);
     onNotTakenOver.accept(job.id());
     lookAgain(atMicros);
   }
--- a/src/main/java/org/dewreach/controller/DirectDesk.java
+++ b/src/main/java/org/dewreach/controller/LeaderlessRequestHandler.java
@@ -13,8 +13,8 @@
 import org.dewreach.store.RateBudget;
 import org.dewreach.store.StateService;
 import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobState;
 import org.dewreach.wire.MalformedException;
-import org.dewreach.wire.Standing;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -25,35 +25,42 @@
  * takes it over, in one transaction; so it needs no leader to be accepted or withdrawn, and nobody
  * starts it before. Other jobs are changed by leaders alone.
  */
-final class DirectDesk {
-  private static final Logger LOG = LoggerFactory.getLogger(DirectDesk.class);
-  private static final long TIMEOUT = 1_500_000;
+final class LeaderlessRequestHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderlessRequestHandler.class);
+  private static final long TIMEOUT_MICROS = 1_500_000;
 
-  /** Share of the state service's rates that one node without a leader takes. Ours. */
-  private static final double SHARE = 0.25;
+  /**
+   * Share of the state service's rates that one node without a leader takes. A default of this
+   * project.
+   */
+  private static final double STATE_RATE_SHARE = 0.25;
 
   /** Reads that looking for a job takes, if it is found last or not at all. */
-  private static final int MOST_READS = 4;
+  private static final int MAX_READS = 4;
 
   private final StateService state;
-  private final CatalogKeeper catalog;
+  private final MachineCatalog catalog;
   private final Settings settings;
   private final String boot;
-  private final long wallOffset;
+  private final long wallOffsetMicros;
   private final RateBudget reads;
   private final RateBudget writes;
   private long lastWrite;
   private long now;
 
-  DirectDesk(
-      StateService state, CatalogKeeper catalog, Settings settings, String boot, long wallOffset) {
+  LeaderlessRequestHandler(
+      StateService state,
+      MachineCatalog catalog,
+      Settings settings,
+      String boot,
+      long wallOffsetMicros) {
     this.state = state;
     this.catalog = catalog;
     this.settings = settings;
     this.boot = boot;
-    this.wallOffset = wallOffset;
-    double rps = settings.stateLimits().rps() * SHARE;
-    double writeRps = settings.stateLimits().writeRps() * SHARE;
+    this.wallOffsetMicros = wallOffsetMicros;
+    double rps = settings.stateLimits().rps() * STATE_RATE_SHARE;
+    double writeRps = settings.stateLimits().writeRps() * STATE_RATE_SHARE;
     this.reads = new RateBudget(rps, rps);
     this.writes = new RateBudget(writeRps, writeRps);
   }
@@ -86,9 +93,9 @@
 
   /** A job as found in the state service, under the key given: not over if it has a record. */
   private record Found(
-      String key, String id, JobRecord live, long stamp, Standing standing, int done) {
+      String key, String id, JobRecord live, long stamp, JobState jobState, int done) {
     void send(Answer answer, boolean counts) {
-      answer.send(200, counts ? standing.answer(id, done, 0) : standing.answer(id), 0);
+      answer.send(200, counts ? jobState.answer(id, done, 0) : jobState.answer(id), 0);
     }
   }
 
@@ -103,7 +110,7 @@
    * as one read and took up to four, so all at once were more than the state service allows.
    */
   private void read(String id, Answer answer, Then then, Runnable absent) {
-    reads.take(now, MOST_READS);
+    reads.take(now, MAX_READS);
     // A job moves from the new records to the live ones and from there to the final ones, each in
     // one transaction. Most are live, so those are looked at first, and again after the new ones:
     // a job that was somewhere at the start is then met, however it moves meanwhile.
@@ -148,9 +155,9 @@
     try {
       JobRecord job = JobRecord.decode(body.path("data"));
       int done = job.done().cardinality();
-      Standing standing =
-          job.withdrawn() ? Standing.WITHDRAWN : done > 0 ? Standing.RUNNING : Standing.PENDING;
-      then.on(new Found(key, id, job, body.path("stamp").asLong(), standing, done));
+      JobState jobState =
+          job.withdrawn() ? JobState.WITHDRAWN : done > 0 ? JobState.RUNNING : JobState.PENDING;
+      then.on(new Found(key, id, job, body.path("stamp").asLong(), jobState, done));
     } catch (MalformedException e) {
       LOG.error("record of {} not understood: {}", id, e.getMessage());
       answer.later();
@@ -168,8 +175,8 @@
           } else {
             try {
               JsonNode data = body.path("data");
-              Standing standing = Standing.of(data.path("standing").asText());
-              then.on(new Found(Keys.over(id), id, null, 0, standing, data.path("done").asInt()));
+              JobState jobState = JobState.of(data.path("standing").asText());
+              then.on(new Found(Keys.over(id), id, null, 0, jobState, data.path("done").asInt()));
             } catch (MalformedException e) {
               LOG.error("final record of {} not understood", id);
               answer.later();
@@ -212,10 +219,10 @@
             new Condition(Keys.over(id), 0)),
         List.of(new Change(Keys.newJob(id), data)),
         0,
-        TIMEOUT,
+        TIMEOUT_MICROS,
         (now, status, body) -> {
           if (status == 200) {
-            answer.send(201, Standing.PENDING.answer(id), 0);
+            answer.send(201, JobState.PENDING.answer(id), 0);
           } else if (status == 409) {
             unlessKnown(id, answer, answer::later);
           } else {
@@ -242,10 +249,10 @@
         List.of(new Condition(found.key(), found.stamp())),
         List.of(new Change(found.key(), data)),
         0,
-        TIMEOUT,
+        TIMEOUT_MICROS,
         (now, status, body) -> {
           if (status == 200) {
-            answer.send(200, Standing.WITHDRAWN.answer(found.id()), 0);
+            answer.send(200, JobState.WITHDRAWN.answer(found.id()), 0);
           } else {
             answer.later();
           }
@@ -257,7 +264,7 @@
   }
 
   private long wallMicros() {
-    return now + wallOffset;
+    return now + wallOffsetMicros;
   }
 
   private String mark() {
--- a/src/main/java/org/dewreach/controller/Term.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -14,7 +14,7 @@
 import org.dewreach.fleet.FleetPlanner;
 import org.dewreach.job.Job;
 import org.dewreach.job.JobPhase;
-import org.dewreach.leadership.Lending;
+import org.dewreach.leadership.LeaseDelegations;
 import org.dewreach.machine.Machine;
 import org.dewreach.machine.MachinePhase;
 import org.dewreach.placement.QueueOrder;
@@ -28,27 +28,27 @@
 import org.dewreach.store.StateService;
 import org.dewreach.store.Write;
 import org.dewreach.wire.Codec;
+import org.dewreach.wire.JobKind;
 import org.dewreach.wire.MachineType;
-import org.dewreach.wire.Shape;
 import org.dewreach.wire.WorkerReport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** One term of this node as leader, from the winning of the key to its loss. */
-final class Term implements Recorder.Listener {
-  private static final Logger LOG = LoggerFactory.getLogger(Term.class);
+final class LeadershipTerm implements JobRecordWriter.Listener {
+  private static final Logger LOG = LoggerFactory.getLogger(LeadershipTerm.class);
 
   /** Placement looks at changes that came close together in one pass. */
-  private static final long PASS_EVERY = 80_000;
+  private static final long PLACEMENT_INTERVAL_MICROS = 80_000;
 
-  /** Jobs and machines up to which passes come that often. Ours. */
-  private static final int LOOKED_AT = 1_000;
+  /** Jobs and machines up to which passes come that often. A default of this project. */
+  private static final int FULL_RATE_MAX_ITEMS = 1_000;
 
   /** Time-dependent pauses end unnoticed by events, so a pass is made now and then anyway. */
-  private static final long PASS_AT_LEAST = 500_000;
+  private static final long MAX_PLACEMENT_INTERVAL_MICROS = 500_000;
 
   /** How often it is looked at which machines are still to be accounted for. */
-  private static final long ACCOUNT_EVERY = 50_000;
+  private static final long ACCOUNT_INTERVAL_MICROS = 50_000;
 
   /** Named states of a term. */
   private enum Phase {
@@ -65,23 +65,23 @@
   private final long number;
   private final Calls calls;
   private final StateService state;
-  private final CatalogKeeper catalog;
+  private final MachineCatalog catalog;
   private final LongPredicate authority;
   private final Runnable onBroken;
   private final Runnable onCutOff;
-  private final Books books;
+  private final ClusterState clusterState;
   private final CommitQueue queue;
-  private final Recorder recorder;
+  private final JobRecordWriter recordWriter;
   private final FleetRegister register;
-  private final Loader loader;
-  private final ReportDesk reports;
-  private final Adopter adopter;
-  private final LeaderDesk users;
+  private final ClusterStateLoader loader;
+  private final ReportHandler reports;
+  private final LeaderlessJobImporter jobImporter;
+  private final JobRequestHandler users;
   private final Settings settings;
-  private final Lending lending;
-  private final FleetDesk fleet;
+  private final LeaseDelegations delegations;
+  private final FleetManager fleet;
   private final Dispatcher dispatcher;
-  private final DirectOrders direct;
+  private final DirectCommandSender direct;
   private final Preemption preemption;
   private Phase phase = Phase.LOADING;
   private boolean acted;
@@ -98,20 +98,20 @@
 
   private List<Dispatcher.Waiting> waiting = List.of();
 
-  Term(
+  LeadershipTerm(
       long number,
       Calls calls,
       StateService state,
       CloudService cloud,
-      CatalogKeeper catalog,
+      MachineCatalog catalog,
       Settings settings,
       Tuning tuning,
       LongPredicate authority,
       Runnable onBroken,
       Runnable onCutOff,
-      LongSupplier stoodInAt,
+      LongSupplier ownRenewalAt,
       long nowMicros,
-      long wallOffset) {
+      long wallOffsetMicros) {
     this.onCutOff = onCutOff;
     this.number = number;
     this.calls = calls;
@@ -119,7 +119,7 @@
     this.catalog = catalog;
     this.authority = authority;
     this.onBroken = onBroken;
-    this.books = new Books(number, settings.teams(), tuning);
+    this.clusterState = new ClusterState(number, settings.teams(), tuning);
     double writes = settings.stateLimits().writeRps();
     this.queue =
         new CommitQueue(
@@ -129,37 +129,45 @@
             // A tenth is left to the election and to what other nodes may write.
             new RateBudget(writes * 0.9, writes * 0.9),
             onBroken);
-    this.recorder = new Recorder(queue, this::goneInTime, this);
-    this.register = new FleetRegister(queue, settings.stateLimits().valueBytes(), wallOffset, this);
-    this.loader = new Loader(state, books, register, catalog, wallOffset);
-    this.reports = new ReportDesk(number, books);
-    this.adopter = new Adopter(state, books, recorder, this::onNotTakenOver);
-    this.users = new LeaderDesk(books, recorder, adopter, state, catalog, settings, wallOffset);
+    this.recordWriter = new JobRecordWriter(queue, this::goneInTime, this);
+    this.register =
+        new FleetRegister(queue, settings.stateLimits().valueBytes(), wallOffsetMicros, this);
+    this.loader = new ClusterStateLoader(state, clusterState, register, catalog, wallOffsetMicros);
+    this.reports = new ReportHandler(number, clusterState);
+    this.jobImporter =
+        new LeaderlessJobImporter(state, clusterState, recordWriter, this::onNotTakenOver);
+    this.users =
+        new JobRequestHandler(
+            clusterState, recordWriter, jobImporter, state, catalog, settings, wallOffsetMicros);
     this.settings = settings;
-    this.lending = new Lending(number, settings, stoodInAt);
+    this.delegations = new LeaseDelegations(number, settings, ownRenewalAt);
     this.fleet =
-        new FleetDesk(
+        new FleetManager(
             number,
-            books,
+            clusterState,
             register,
-            lending,
+            delegations,
             cloud,
             catalog,
             settings,
             tuning,
             nowMicros,
-            wallOffset);
-    this.preemption = new Preemption(books);
+            wallOffsetMicros);
+    this.preemption = new Preemption(clusterState);
     this.direct =
-        new DirectOrders(
-            number, calls, books, this::directReport, settings.limits().connectionsToWorkers());
+        new DirectCommandSender(
+            number,
+            calls,
+            clusterState,
+            this::directReport,
+            settings.limits().connectionsToWorkers());
     this.dispatcher =
         new Dispatcher(
-            books,
+            clusterState,
             new QueueOrder(settings.teams(), settings.objectives()),
             settings.objectives(),
             tuning,
-            wallOffset);
+            wallOffsetMicros);
   }
 
   private void become(Phase next) {
@@ -176,8 +184,8 @@
     return phase == Phase.RECOVERING || phase == Phase.ACTIVE;
   }
 
-  Books books() {
-    return books;
+  ClusterState clusterState() {
+    return clusterState;
   }
 
   void tick(long nowMicros) {
@@ -193,20 +201,22 @@
       }
       become(Phase.RECOVERING);
       LOG.info(
-          "term {}: {} jobs, {} machines", number, books.jobs().size(), books.machines().size());
-      unaccounted.addAll(books.machines().values());
+          "term {}: {} jobs, {} machines",
+          number,
+          clusterState.jobs().size(),
+          clusterState.machines().size());
+      unaccounted.addAll(clusterState.machines().values());
       account(nowMicros);
     }
     if (!authority.test(nowMicros)) {
       return;
     }
-    lending.acts(nowMicros);
+    delegations.onAuthorityGained(nowMicros);
     if (!acted) {
       acted = true;
-      // Guards against leases counted from before an earlier leader's last answer: under promises
-      // it
+      // Guards against leases counted from before an earlier leader's last answer: under grants it
       // goes on until this one may act.
-      fleet.acts(nowMicros);
+      fleet.onAuthorityGained(nowMicros);
     }
     if (phase == Phase.RECOVERING) {
       account(nowMicros);
@@ -215,9 +225,9 @@
       saveCatalog(nowMicros);
     }
     register.tick(nowMicros);
-    adopter.tick(nowMicros);
+    jobImporter.tick(nowMicros);
     place(nowMicros);
-    fleet.tick(nowMicros, waiting, phase == Phase.ACTIVE || books.machines().isEmpty());
+    fleet.tick(nowMicros, waiting, phase == Phase.ACTIVE || clusterState.machines().isEmpty());
     if (fleet.cutOff()) {
       // Guards against a leader that holds its key and hears no worker until all leases are over.
       LOG.info("term {}: no worker is heard here, another node is to lead", number);
@@ -240,7 +250,7 @@
     int up = 0;
     double cpus = 0;
     double free = 0;
-    for (Machine machine : books.machines().values()) {
+    for (Machine machine : clusterState.machines().values()) {
       tasks += machine.tasks().size();
       if (machine.phase() == MachinePhase.UP) {
         up++;
@@ -256,8 +266,8 @@
         "term {}: {} jobs, {} machines ({} up, {} of {} CPUs free), {} tasks bound, {} waiting,"
             + " {} writes queued",
         number,
-        books.jobs().size(),
-        books.machines().size(),
+        clusterState.jobs().size(),
+        clusterState.machines().size(),
         up,
         free,
         cpus,
@@ -269,15 +279,15 @@
   /** Numbers for operators. */
   void fill(ObjectNode node) {
     int tasks = 0;
-    for (Machine machine : books.machines().values()) {
+    for (Machine machine : clusterState.machines().values()) {
       tasks += machine.tasks().size();
     }
     int queued = 0;
     for (Dispatcher.Waiting item : waiting) {
       queued += item.tasks();
     }
-    node.put("phase", phase.name()).put("jobs", books.jobs().size());
-    node.put("machines", books.machines().size()).put("tasks_bound", tasks);
+    node.put("phase", phase.name()).put("jobs", clusterState.jobs().size());
+    node.put("machines", clusterState.machines().size()).put("tasks_bound", tasks);
     node.put("tasks_waiting", queued).put("writes_queued", queue.waiting());
   }
 
@@ -291,7 +301,7 @@
     if (nowMicros < nextAccount) {
       return;
     }
-    nextAccount = nowMicros + ACCOUNT_EVERY;
+    nextAccount = nowMicros + ACCOUNT_INTERVAL_MICROS;
     unaccounted.removeIf(machine -> !mayRunUnseen(machine, nowMicros));
     unaccountedKinds.clear();
     for (Machine machine : unaccounted) {
@@ -300,8 +310,8 @@
     }
     if (unaccounted.isEmpty()) {
       become(Phase.ACTIVE);
-      recorder.allowFinishingWithdrawn();
-      books.touch();
+      recordWriter.allowFinishingWithdrawn();
+      clusterState.touch();
     }
   }
 
@@ -338,27 +348,30 @@
   }
 
   private void place(long nowMicros) {
-    boolean due = nowMicros - lastPass >= PASS_AT_LEAST;
-    if (nowMicros - lastPass < passEvery() || !(books.takeChanged() || due)) {
+    boolean due = nowMicros - lastPass >= MAX_PLACEMENT_INTERVAL_MICROS;
+    if (nowMicros - lastPass < passEvery() || !(clusterState.takeChanged() || due)) {
       return;
     }
     lastPass = nowMicros;
     waiting = dispatcher.pass(nowMicros, this::allSeen, fleet.bootMicros());
     if (phase == Phase.ACTIVE) {
-      preemption.makeRoom(waiting, nowMicros);
+      preemption.evictIdleConnection(waiting, nowMicros);
     }
     direct.send(nowMicros);
   }
 
   /** A pass looks at all jobs and machines: the more there are, the more changes share one. */
   private long passEvery() {
-    int looked = books.jobs().size() + books.machines().size();
-    return Math.min(PASS_AT_LEAST, Math.max(PASS_EVERY, PASS_EVERY * looked / LOOKED_AT));
+    int looked = clusterState.jobs().size() + clusterState.machines().size();
+    return Math.min(
+        MAX_PLACEMENT_INTERVAL_MICROS,
+        Math.max(
+            PLACEMENT_INTERVAL_MICROS, PLACEMENT_INTERVAL_MICROS * looked / FULL_RATE_MAX_ITEMS));
   }
 
   private void pumpJobs(long nowMicros) {
-    for (Job job : new ArrayList<>(books.jobs().values())) {
-      recorder.pump(job, nowMicros);
+    for (Job job : new ArrayList<>(clusterState.jobs().values())) {
+      recordWriter.pump(job, nowMicros);
       if (phase == Phase.CLOSED) {
         return;
       }
@@ -368,43 +381,44 @@
     }
   }
 
-  // Stand-ins
+  // delegates
 
   /** A node asks for how long it may answer its zone's workers when it loses this one. */
-  ObjectNode onStandInAsked(JsonNode asked, long nowMicros) {
-    String zone = lending.zone(asked.path("node").asText());
-    return lending.onAsked(asked, zone == null ? 0 : lendable(zone, nowMicros), nowMicros);
+  ObjectNode onDelegationRequest(JsonNode delegationRequest, long nowMicros) {
+    String zone = delegations.zone(delegationRequest.path("node").asText());
+    return delegations.onRequest(
+        delegationRequest, zone == null ? 0 : delegableMicros(zone, nowMicros), nowMicros);
   }
 
   /** Until when this node itself may answer its zone's workers, should it lose its authority. */
-  long lendToSelf(String zone, long nowMicros) {
-    long until = nowMicros + lendable(zone, nowMicros);
-    lending.lentToSelf(until);
+  long delegateToSelf(String zone, long nowMicros) {
+    long until = nowMicros + delegableMicros(zone, nowMicros);
+    delegations.delegatedToSelf(until);
     return until;
   }
 
   /** For how long from now the workers of a zone may be answered without this leader. */
-  private long lendable(String zone, long nowMicros) {
+  private long delegableMicros(String zone, long nowMicros) {
     if (!loaded()) {
       return 0;
     }
     Settings.Workers workers = settings.workers();
-    long lent = workers.standInMicros();
-    for (Job job : books.jobs().values()) {
+    long delegatedMicros = workers.maxDelegationMicros();
+    for (Job job : clusterState.jobs().values()) {
       // Its tasks must be gone in time even if no command reaches them any more: so once it is
       // told, and so that it can be told before long.
       long until =
           switch (job.phase()) {
-            case HALTING -> job.withdrawAskedAt() + workers.standInMicros();
+            case HALTING -> job.withdrawAskedAt() + workers.maxDelegationMicros();
             case WITHDRAWING, WITHDRAWN -> job.withdrawnAt() + workers.goneInTimeMicros();
             // When a withdrawn job is being finished its tasks are gone.
             case ACCEPTING, LIVE, FINISHING, OVER -> Long.MAX_VALUE;
           };
-      if (until - nowMicros < lent && mayRunIn(job, zone)) {
-        lent = until - nowMicros;
+      if (until - nowMicros < delegatedMicros && mayRunIn(job, zone)) {
+        delegatedMicros = until - nowMicros;
       }
     }
-    return Math.max(0, lent);
+    return Math.max(0, delegatedMicros);
   }
 
   private boolean mayRunIn(Job job, String zone) {
@@ -424,20 +438,20 @@
     }
     long latest = nowMicros + Math.max(0, settings.workers().goneInTimeMicros());
     return settings.zones().stream()
-        .noneMatch(zone -> mayRunIn(job, zone) && lending.lentUntil(zone) > latest);
+        .noneMatch(zone -> mayRunIn(job, zone) && delegations.delegatedUntil(zone) > latest);
   }
 
   // Reports
 
   void report(long requestId, WorkerReport report, long nowMicros) {
-    // Guards against leases kept alive without knowing which jobs were cancelled: until the books
-    // are read, no worker is answered here. An outage that began in that moment would last as long
-    // as promises do, and with it the tasks of a cancelled job whose machine had hung.
+    // Guards against leases kept alive without knowing which jobs were cancelled: until the cluster
+    // state is read, no worker is answered here. An outage that began in that moment would last as
+    // long as grants do, and with it the tasks of a cancelled job whose machine had hung.
     if (!loaded() || !authority.test(nowMicros) || report.token() > number) {
       calls.respond(requestId, 503, null);
       return;
     }
-    Machine machine = books.machines().get(report.machine());
+    Machine machine = clusterState.machines().get(report.machine());
     if (machine == null) {
       machine = met(report, nowMicros);
       if (machine == null) {
@@ -456,7 +470,7 @@
       }
       // Held up on the way, or passed by the answer to a direct command: nothing in it is news.
       if (fleet.isSilent(machine, nowMicros)) {
-        // Only copies are left of it, or its worker began anew with an old count: an answer would
+        // Only copies are left of it, or its worker restarted with an old count: an answer would
         // keep that alive without end.
         calls.respond(requestId, 503, null);
         return;
@@ -499,9 +513,9 @@
   private void pumpExited(WorkerReport report, long nowMicros) {
     for (WorkerReport.ReportedTask task : report.tasks()) {
       if (task.state() == WorkerReport.TaskState.EXITED) {
-        Job job = books.jobs().get(task.name().jobId());
+        Job job = clusterState.jobs().get(task.name().jobId());
         if (job != null) {
-          recorder.pump(job, nowMicros);
+          recordWriter.pump(job, nowMicros);
           if (phase == Phase.CLOSED) {
             return;
           }
@@ -527,7 +541,7 @@
             MachinePhase.BOOTING,
             nowMicros);
     machine.toProve();
-    books.add(machine);
+    clusterState.add(machine);
     return machine;
   }
 
@@ -544,10 +558,10 @@
   @Override
   public void onAccepted(Job job, long nowMicros) {
     LOG.info("job {} accepted: {} tasks", job.id(), job.spec().tasks());
-    if (job.spec().shape() == Shape.SERVICE) {
-      books.services().arrived(job.spec(), nowMicros);
+    if (job.spec().jobKind() == JobKind.SERVICE) {
+      clusterState.services().arrived(job.spec(), nowMicros);
     }
-    books.touch();
+    clusterState.touch();
     users.onAccepted(job);
   }
 
@@ -563,14 +577,14 @@
 
   @Override
   public void onOver(Job job, long nowMicros) {
-    LOG.info("job {} over: {}", job.id(), job.finalStanding().word());
-    books.jobs().remove(job.id());
+    LOG.info("job {} over: {}", job.id(), job.finalState().word());
+    clusterState.jobs().remove(job.id());
     users.onOver(job);
   }
 
   @Override
   public void onMarked(long nowMicros) {
-    books.touch();
+    clusterState.touch();
   }
 
   @Override
@@ -585,7 +599,7 @@
     }
     become(Phase.CLOSED);
     loader.close();
-    adopter.close();
+    jobImporter.close();
     fleet.close();
     direct.close();
     queue.close(nowMicros);
--- a/src/main/java/org/dewreach/controller/Load.java
+++ b/src/main/java/org/dewreach/controller/LoadLimiter.java
@@ -12,17 +12,17 @@
  * when they do not. It is fed with event time, so the core stays free of clocks. Health checks and
  * workers are not counted, and so never shed.
  */
-final class Load {
+final class LoadLimiter {
   private static final int FIRST_LIMIT = 100;
-  private static final int LEAST_LIMIT = 20;
-  private static final int MOST_LIMIT = 400;
+  private static final int MIN_LIMIT = 20;
+  private static final int MAX_LIMIT = 400;
 
   /**
    * An answer that took longer is a sign of too much at once. Ours; users wait for 2 s at least.
    */
   private static final long SLOW_MICROS = 1_500_000;
 
-  private static final long MOST_MICROS = 60_000_000;
+  private static final long MAX_MICROS = 60_000_000;
 
   /** A request that was let in. */
   record Entry(long sinceMicros, int inProgress) {}
@@ -30,11 +30,11 @@
   private final AIMDLimit limit =
       AIMDLimit.newBuilder()
           .initialLimit(FIRST_LIMIT)
-          .minLimit(LEAST_LIMIT)
-          .maxLimit(MOST_LIMIT)
+          .minLimit(MIN_LIMIT)
+          .maxLimit(MAX_LIMIT)
           .timeout(SLOW_MICROS, TimeUnit.MICROSECONDS)
           .build();
-  private final Histogram times = new Histogram(MOST_MICROS, 2);
+  private final Histogram times = new Histogram(MAX_MICROS, 2);
   private int inProgress;
   private long answered;
   private long turnedAway;
@@ -55,7 +55,7 @@
 
   void leave(Entry entry, int status, long nowMicros) {
     inProgress--;
-    long took = Math.min(MOST_MICROS, Math.max(0, nowMicros - entry.sinceMicros()));
+    long took = Math.min(MAX_MICROS, Math.max(0, nowMicros - entry.sinceMicros()));
     times.recordValue(took);
     if (status >= 500) {
       // Told to come back for another reason than load: that time says nothing about it.
--- a/src/main/java/org/dewreach/controller/CatalogKeeper.java
+++ b/src/main/java/org/dewreach/controller/MachineCatalog.java
@@ -14,10 +14,10 @@
  * The machine types. The leader asks the cloud and leaves a copy in the state service, so that a
  * node that starts while the cloud is down can still judge submissions.
  */
-final class CatalogKeeper {
-  private static final Logger LOG = LoggerFactory.getLogger(CatalogKeeper.class);
-  private static final long REFRESH = 60_000_000;
-  private static final long RETRY = 2_000_000;
+final class MachineCatalog {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineCatalog.class);
+  private static final long REFRESH_MICROS = 60_000_000;
+  private static final long RETRY_MICROS = 2_000_000;
 
   private final StateService state;
   private final CloudService cloud;
@@ -27,7 +27,7 @@
   private boolean fromCloud;
   private long nextAsk;
 
-  CatalogKeeper(StateService state, CloudService cloud) {
+  MachineCatalog(StateService state, CloudService cloud) {
     this.state = state;
     this.cloud = cloud;
   }
@@ -73,7 +73,8 @@
             } else if (status != 404) {
               triedStore = false;
             }
-            nextAsk = now + (status == 200 && !leading ? REFRESH : status == 404 ? 0 : 500_000);
+            nextAsk =
+                now + (status == 200 && !leading ? REFRESH_MICROS : status == 404 ? 0 : 500_000);
           });
       return;
     }
@@ -84,9 +85,9 @@
           asking = false;
           if (status == 200 && take(body)) {
             fromCloud = true;
-            nextAsk = now + REFRESH;
+            nextAsk = now + REFRESH_MICROS;
           } else {
-            nextAsk = now + RETRY;
+            nextAsk = now + RETRY_MICROS;
           }
         });
   }
--- a/src/main/java/org/dewreach/controller/ReportDesk.java
+++ b/src/main/java/org/dewreach/controller/ReportHandler.java
@@ -13,9 +13,9 @@
 import org.dewreach.task.Task;
 import org.dewreach.task.TaskPhase;
 import org.dewreach.wire.Codec;
-import org.dewreach.wire.Order;
-import org.dewreach.wire.Shape;
+import org.dewreach.wire.JobKind;
 import org.dewreach.wire.TaskName;
+import org.dewreach.wire.WorkerCommand;
 import org.dewreach.wire.WorkerReport;
 import org.dewreach.wire.WorkerReport.Cause;
 import org.dewreach.wire.WorkerReport.ReportedTask;
@@ -24,38 +24,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads workers' reports into the books and answers with what has to change.
+ * Reads workers' reports into the cluster state and answers with what has to change.
  *
  * <p>A worker has one report in flight and drops a response after 4 s, so its next report tells
- * surely whether the commands of a response were carried out. {@link DirectOrders} says what holds
- * for those sent directly.
+ * surely whether the commands of a response were carried out. {@link DirectCommandSender} says what
+ * holds for those sent directly.
  */
-final class ReportDesk {
-  private static final Logger LOG = LoggerFactory.getLogger(ReportDesk.class);
+final class ReportHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
 
   /** Keeps a response well within 64 KiB. */
-  private static final int MOST_ORDERS = 300;
+  private static final int MAX_ORDERS = 300;
 
   /** A machine on which tasks of this many jobs failed in a row is not given more. */
-  private static final int MOST_ERRED_JOBS = 2;
+  private static final int MAX_ERRED_JOBS = 2;
 
   /** Nor one on which this many tasks failed in a row of a job that completes them elsewhere. */
-  private static final int MOST_ERRORS = 3;
+  private static final int MAX_ERRORS = 3;
 
-  private static final long GRACE_SLACK = 5_000_000;
+  private static final long GRACE_SLACK_MICROS = 5_000_000;
 
-  /** A replica that has run for this long works there. Ours. */
-  private static final long RUNS_WELL = 30_000_000;
+  /** A replica that has run for this long works there. A default of this project. */
+  private static final long RUNS_WELL_MICROS = 30_000_000;
 
-  /** The other attempt that a worker tells of is halted with its next reports. Ours. */
-  private static final long IN_USE_PAUSE = 10_000_000;
+  /**
+   * The other attempt that a worker tells of is halted with its next reports. A default of this
+   * project.
+   */
+  private static final long IN_USE_PAUSE_MICROS = 10_000_000;
 
   private final long term;
-  private final Books books;
+  private final ClusterState clusterState;
 
-  ReportDesk(long term, Books books) {
+  ReportHandler(long term, ClusterState clusterState) {
     this.term = term;
-    this.books = books;
+    this.clusterState = clusterState;
   }
 
   /**
@@ -66,7 +69,7 @@
   ObjectNode take(Machine machine, WorkerReport report, boolean answerable, long nowMicros) {
     boolean sessionOver = machine.session() >= 0 && report.session() > machine.session();
     if (sessionOver) {
-      books.unbindAll(machine, "its worker began session " + report.session(), nowMicros);
+      clusterState.unbindAll(machine, "its worker began session " + report.session(), nowMicros);
     }
     boolean first = machine.session() < 0;
     long previousAt = machine.lastReport();
@@ -89,14 +92,14 @@
       judgeHearing(machine, report, sessionOver, previousAt);
     }
     settlePhase(machine, report, sure, nowMicros);
-    List<Order> halts = new ArrayList<>();
-    List<Order> clears = new ArrayList<>();
+    List<WorkerCommand> halts = new ArrayList<>();
+    List<WorkerCommand> clears = new ArrayList<>();
     Set<TaskName> seen = new HashSet<>();
     for (ReportedTask reported : report.tasks()) {
       seen.add(reported.name());
       read(machine, reported, sure, halts, clears, nowMicros);
     }
-    List<Order> starts = new ArrayList<>();
+    List<WorkerCommand> starts = new ArrayList<>();
     if (sure) {
       for (Task task : List.copyOf(machine.tasks())) {
         settleBound(
@@ -104,17 +107,17 @@
       }
     }
     ObjectNode response = Codec.map().put("warrant", term);
-    ArrayNode orders = response.putArray("orders");
+    ArrayNode commands = response.putArray("orders");
     // Without a report that is sure there are only halts of what is withdrawn. Guards against
     // leases
     // renewed by one new leader after the other, of which each waits for a report with its token.
     if (answerable && machine.recorded()) {
-      for (List<Order> group : sure ? List.of(halts, clears, starts) : List.of(halts)) {
-        for (Order order : group) {
-          if (orders.size() < MOST_ORDERS) {
-            LOG.debug("order to {}: {}", machine.name(), order);
-            sent(machine, order, nowMicros);
-            orders.add(order.toNode());
+      for (List<WorkerCommand> group : sure ? List.of(halts, clears, starts) : List.of(halts)) {
+        for (WorkerCommand command : group) {
+          if (commands.size() < MAX_ORDERS) {
+            LOG.debug("order to {}: {}", machine.name(), command);
+            sent(machine, command, nowMicros);
+            commands.add(command.toNode());
           }
         }
       }
@@ -141,18 +144,18 @@
                 && !shown.contains(task.name());
       }
     }
-    boolean was = machine.deaf();
-    machine.heeded(!tokenMissing && !startMissing && !sessionOver);
-    if (machine.deaf() != was) {
+    boolean was = machine.missesReplies();
+    machine.replyTaken(!tokenMissing && !startMissing && !sessionOver);
+    if (machine.missesReplies() != was) {
       LOG.info(
           "machine {} {}", machine.name(), was ? "takes answers again" : "does not take answers");
-      books.touch();
+      clusterState.touch();
     }
   }
 
-  private void sent(Machine machine, Order order, long nowMicros) {
-    if (order instanceof Order.Start) {
-      Task task = machine.task(order.task());
+  private void sent(Machine machine, WorkerCommand command, long nowMicros) {
+    if (command instanceof WorkerCommand.Start) {
+      Task task = machine.task(command.task());
       if (task.phase() == TaskPhase.ASSIGNED) {
         task.become(TaskPhase.STARTING, nowMicros);
       }
@@ -166,7 +169,7 @@
         if (machine.phase() != next) {
           LOG.info("machine {} {} -> {}", machine.name(), machine.phase(), next);
           machine.become(next, nowMicros);
-          books.touch();
+          clusterState.touch();
         }
       }
       case UP, DRAINING, RETURNING, GONE -> {
@@ -183,11 +186,11 @@
       Machine machine,
       ReportedTask reported,
       boolean sure,
-      List<Order> halts,
-      List<Order> clears,
+      List<WorkerCommand> halts,
+      List<WorkerCommand> clears,
       long nowMicros) {
     TaskName name = reported.name();
-    Job job = books.jobs().get(name.jobId());
+    Job job = clusterState.jobs().get(name.jobId());
     Task task = machine.task(name);
     boolean exited = reported.state() == TaskState.EXITED;
     if (task != null && task.attempt() == reported.attempt()) {
@@ -199,7 +202,7 @@
       }
     } else if (exited && reported.cause() == Cause.DONE && job != null) {
       // Known from an earlier term, or from an attempt that we had given up.
-      books.markDone(job, name.index());
+      clusterState.markDone(job, name.index());
     }
     if (exited) {
       // The result stays reported until it is durable, so that no leader can miss it.
@@ -210,7 +213,7 @@
                   && (job.isOpen() || job.phase() == JobPhase.FINISHING)
                   && !job.durable().get(name.index());
       if (!keep) {
-        clears.add(new Order.Clear(name, reported.attempt()));
+        clears.add(new WorkerCommand.Clear(name, reported.attempt()));
       }
       return;
     }
@@ -218,7 +221,7 @@
       // It may be a late copy: a task bound by it would be stopped where it really runs. But an
       // attempt of a withdrawn job is not wanted, however old the report is.
       if (job != null && job.phase() == JobPhase.WITHDRAWN) {
-        halts.add(new Order.Halt(name, reported.attempt(), 0));
+        halts.add(new WorkerCommand.Halt(name, reported.attempt(), 0));
       }
       return;
     }
@@ -226,7 +229,7 @@
       adopt(machine, job, reported, nowMicros);
     } else {
       LOG.info("machine {}: stray {} attempt {}", machine.name(), name, reported.attempt());
-      halts.add(new Order.Halt(name, reported.attempt(), 0));
+      halts.add(new WorkerCommand.Halt(name, reported.attempt(), 0));
     }
   }
 
@@ -239,7 +242,7 @@
           case FLUSHING -> TaskPhase.STOPPING;
           case EXITED -> throw new IllegalArgumentException("exited tasks are not adopted");
         };
-    books.bind(job, reported.name().index(), reported.attempt(), machine, phase, nowMicros);
+    clusterState.bind(job, reported.name().index(), reported.attempt(), machine, phase, nowMicros);
     if (phase != TaskPhase.PULLING) {
       machine.fetched(job.spec());
     }
@@ -253,8 +256,8 @@
       case PULLING -> task.become(TaskPhase.PULLING, nowMicros);
       case RUNNING -> {
         task.become(TaskPhase.RUNNING, nowMicros);
-        boolean replica = task.spec().shape() == Shape.SERVICE;
-        if (replica && nowMicros - task.startedAt() > RUNS_WELL) {
+        boolean replica = task.spec().jobKind() == JobKind.SERVICE;
+        if (replica && nowMicros - task.startedAt() > RUNS_WELL_MICROS) {
           // A service never completes: that it runs for a while says as much.
           task.job().succeeded();
         }
@@ -266,10 +269,10 @@
 
   private void onExit(Machine machine, Task task, Cause cause, long nowMicros) {
     Job job = task.job();
-    books.unbind(task, "exited: " + cause, nowMicros);
+    clusterState.unbind(task, "exited: " + cause, nowMicros);
     switch (cause) {
       case DONE -> {
-        books.markDone(job, task.index());
+        clusterState.markDone(job, task.index());
         machine.worked();
       }
       case ERROR -> {
@@ -287,7 +290,7 @@
         }
       }
       case FULL -> machine.refusedAt(nowMicros);
-      case IN_USE -> job.avoid(machine.name(), nowMicros + IN_USE_PAUSE);
+      case IN_USE -> job.avoid(machine.name(), nowMicros + IN_USE_PAUSE_MICROS);
       case NO_SUCH -> job.rest(nowMicros + 2_000_000);
       case STOPPED, NONE -> {
         // it goes back to the queue
@@ -297,25 +300,25 @@
 
   /** One job's failures tell as much where its other tasks have completed elsewhere. */
   private static boolean faulty(Machine machine, Job job) {
-    return machine.erredJobs().size() >= MOST_ERRED_JOBS
-        || machine.errors() >= MOST_ERRORS && job.doneCount() > 0;
+    return machine.erredJobs().size() >= MAX_ERRED_JOBS
+        || machine.errors() >= MAX_ERRORS && job.doneCount() > 0;
   }
 
   /**
    * A job that fails wherever it goes says nothing about the machines.
    *
-   * <p>Guards against healthy machines that are set aside, and rented anew, because two jobs with a
-   * mistake met there.
+   * <p>Guards against healthy machines that are set aside, and rented again, because two jobs with
+   * a mistake met there.
    */
   private void clear(Job job, long nowMicros) {
     for (String name : job.suspects(nowMicros)) {
-      Machine machine = books.machines().get(name);
+      Machine machine = clusterState.machines().get(name);
       boolean blamed = machine != null && machine.erredJobs().remove(job.id());
       if (blamed && machine.setAside() && !faulty(machine, job)) {
         LOG.info("machine {} is given tasks again: job {} fails everywhere", name, job.id());
         machine.notSetAside();
         resume(machine, nowMicros);
-        books.touch();
+        clusterState.touch();
       }
     }
   }
@@ -323,7 +326,7 @@
   /**
    * A machine that only drains because it was set aside takes tasks again.
    *
-   * <p>Guards against a machine that is cleared once {@link FleetDesk} has begun to drain it: it
+   * <p>Guards against a machine that is cleared once {@link FleetManager} has begun to drain it: it
    * was given nothing, and never returned, until the term ended.
    */
   private static void resume(Machine machine, long nowMicros) {
@@ -332,44 +335,47 @@
     }
   }
 
-  /** What a task that the books bind here needs, after a report that is sure to show all. */
+  /**
+   * What a task that the cluster state binds here needs, after a report that is sure to show all.
+   */
   private void settleBound(
       Machine machine,
       Task task,
       boolean shown,
       boolean answerable,
-      List<Order> starts,
-      List<Order> halts,
+      List<WorkerCommand> starts,
+      List<WorkerCommand> halts,
       long nowMicros) {
     Job job = task.job();
     boolean wanted = job.phase() == JobPhase.LIVE && !job.done().get(task.index());
     if (!wanted && task.phase() != TaskPhase.STOPPING) {
-      books.stop(task, "not wanted any more", nowMicros);
+      clusterState.stop(task, "not wanted any more", nowMicros);
     }
     switch (task.phase()) {
-      case ASSIGNED -> starts.add(new Order.Start(task.name(), task.attempt()));
+      case ASSIGNED -> starts.add(new WorkerCommand.Start(task.name(), task.attempt()));
       case STARTING -> {
         // The response with the start was dropped: this report was sent after that.
         if (!shown) {
-          starts.add(new Order.Start(task.name(), task.attempt()));
+          starts.add(new WorkerCommand.Start(task.name(), task.attempt()));
         }
       }
       case PULLING, RUNNING -> {
         if (!shown && !task.mayStartLate()) {
-          books.unbind(task, "not reported any more", nowMicros);
+          clusterState.unbind(task, "not reported any more", nowMicros);
         }
       }
       case STOPPING -> {
         if (shown) {
-          halts.add(new Order.Halt(task.name(), task.attempt(), grace(machine, task, nowMicros)));
+          halts.add(
+              new WorkerCommand.Halt(task.name(), task.attempt(), grace(machine, task, nowMicros)));
         } else if (task.mayStartLate()) {
           // Once the worker knows the attempt, the late start has no effect.
-          starts.add(new Order.Start(task.name(), task.attempt()));
-          starts.add(new Order.Halt(task.name(), task.attempt(), 0));
+          starts.add(new WorkerCommand.Start(task.name(), task.attempt()));
+          starts.add(new WorkerCommand.Halt(task.name(), task.attempt(), 0));
         } else if (answerable) {
           // The answer to a direct command proves nothing here: the response with the start may
           // still be on its way. Only the next report was sent after it was taken or dropped.
-          books.unbind(task, "stopped before it started", nowMicros);
+          clusterState.unbind(task, "stopped before it started", nowMicros);
         }
       }
       case GONE -> {
@@ -382,7 +388,7 @@
     if (task.job().phase() != JobPhase.LIVE || task.spec().checkpointMicros() == 0) {
       return 0;
     }
-    long grace = task.spec().saveMicros() + GRACE_SLACK;
-    return nowMicros - task.phaseSince() > grace + GRACE_SLACK ? 0 : grace;
+    long grace = task.spec().saveMicros() + GRACE_SLACK_MICROS;
+    return nowMicros - task.phaseSince() > grace + GRACE_SLACK_MICROS ? 0 : grace;
   }
 }
--- a/src/main/java/org/dewreach/controller/WaitingReports.java
+++ b/src/main/java/org/dewreach/controller/WaitingReports.java
@@ -12,8 +12,8 @@
  * where to go.
  */
 final class WaitingReports {
-  /** Well within the 4 s that a worker waits. Ours. */
-  private static final long LONGEST = 1_500_000;
+  /** Well within the 4 s that a worker waits. A default of this project. */
+  private static final long MAX_WAIT_MICROS = 1_500_000;
 
   private record Waiting(long requestId, WorkerReport report, long sinceMicros) {}
 
@@ -49,7 +49,7 @@
   /** Hands over what need not or must not wait any longer. */
   void takeDue(boolean undecided, long nowMicros, Answerer answerer) {
     while (!waiting.isEmpty()
-        && (!undecided || nowMicros - waiting.peek().sinceMicros() >= LONGEST)) {
+        && (!undecided || nowMicros - waiting.peek().sinceMicros() >= MAX_WAIT_MICROS)) {
       Waiting next = waiting.poll();
       answerer.answer(next.requestId(), next.report());
     }
--- a/src/main/java/org/dewreach/fleet/FleetPlanner.java
+++ b/src/main/java/org/dewreach/fleet/FleetPlanner.java
@@ -12,7 +12,7 @@
 import org.dewreach.job.Admission;
 import org.dewreach.machine.Machine;
 import org.dewreach.machine.MachinePhase;
-import org.dewreach.placement.Room;
+import org.dewreach.placement.FreeCapacity;
 import org.dewreach.placement.SortFirstFit;
 import org.dewreach.wire.JobRequest;
 import org.dewreach.wire.MachineType;
@@ -23,14 +23,19 @@
  */
 public final class FleetPlanner {
   private static final double EPS = 1e-9;
-  private static final long FIRST_PAUSE = 8_000_000;
-  private static final long LONGEST_PAUSE = 40_000_000;
-  private static final int MOST_AT_ONCE = 50;
+  private static final long FIRST_PAUSE_MICROS = 8_000_000;
+  private static final long MAX_PAUSE_MICROS = 40_000_000;
+  private static final int MAX_AT_ONCE = 50;
 
-  /** Time over which what a machine costs until it is of use is spread. Ours. */
-  private static final double USED_S = 120;
+  /**
+   * Time over which what a machine costs until it is of use is spread. A default of this project.
+   */
+  private static final double STARTUP_COST_SPREAD_S = 120;
 
-  /** What a machine that comes too late for the tasks counts for, against one in time. Ours. */
+  /**
+   * What a machine that comes too late for the tasks counts for, against one in time. A default of
+   * this project.
+   */
   private static final double LATE_COST = 2;
 
   /** A kind of machine that can be asked for. */
@@ -80,14 +85,14 @@
   public record Rental(Kind kind, int count) {}
 
   /** A machine to come, with the room that is left on it. */
-  private record Coming(Kind kind, Room room) {
+  private record Coming(Kind kind, FreeCapacity freeCapacity) {
     Coming(Kind kind) {
-      this(kind, Room.of(kind.type()));
+      this(kind, FreeCapacity.of(kind.type()));
     }
 
     /** Takes room for as many tasks as fit and may be in its zone, and tells how many. */
     int take(JobRequest spec, int most, ZoneAllowance allowance) {
-      int taken = room.take(spec, Math.min(most, allowance.in(kind.zone())));
+      int taken = freeCapacity.take(spec, Math.min(most, allowance.in(kind.zone())));
       allowance.use(kind.zone(), taken);
       return taken;
     }
@@ -98,7 +103,7 @@
   /** The cloud had none of this kind: ask again later, each time later. */
   public void refused(Kind kind, long nowMicros) {
     long[] entry = refusals.computeIfAbsent(key(kind), k -> new long[2]);
-    entry[1] = Math.min(LONGEST_PAUSE, Math.max(FIRST_PAUSE, entry[1] * 2));
+    entry[1] = Math.min(MAX_PAUSE_MICROS, Math.max(FIRST_PAUSE_MICROS, entry[1] * 2));
     entry[0] = nowMicros + entry[1];
   }
 
@@ -168,15 +173,15 @@
 
   /** The machines that one plan counts on and asks for. */
   private static final class Draft {
-    final List<Coming> rooms = new ArrayList<>();
+    final List<Coming> freeCapacities = new ArrayList<>();
     final Map<Kind, Integer> wanted = new LinkedHashMap<>();
 
     /** A copy of what concerns one zone, to try a job there. */
     Draft copyOf(String zone) {
       Draft copy = new Draft();
-      for (Coming coming : rooms) {
+      for (Coming coming : freeCapacities) {
         if (coming.kind.zone().equals(zone)) {
-          copy.rooms.add(new Coming(coming.kind, coming.room.copy()));
+          copy.freeCapacities.add(new Coming(coming.kind, coming.freeCapacity.copy()));
         }
       }
       copy.wanted.putAll(wanted);
@@ -206,12 +211,12 @@
   public List<Rental> plan(
       List<Need> needs,
       Collection<Machine> machines,
-      List<Kind> askedFor,
+      List<Kind> requestedKinds,
       List<MachineType> catalog,
       boolean ordinaryForAll,
       long nowMicros) {
     Market market = new Market(catalog, ordinaryForAll, nowMicros);
-    Draft draft = coming(machines, askedFor, nowMicros);
+    Draft draft = coming(machines, requestedKinds, nowMicros);
     for (Group group : groups(needs)) {
       Need need = group.need();
       if (need.sharesZone()) {
@@ -228,15 +233,17 @@
     return draft.rentals();
   }
 
-  private static Draft coming(Collection<Machine> machines, List<Kind> askedFor, long nowMicros) {
+  private static Draft coming(
+      Collection<Machine> machines, List<Kind> requestedKinds, long nowMicros) {
     Draft draft = new Draft();
     for (Machine machine : machines) {
       if (comes(machine, nowMicros)) {
-        draft.rooms.add(new Coming(new Kind(machine.type(), machine.zone(), machine.spot())));
+        draft.freeCapacities.add(
+            new Coming(new Kind(machine.type(), machine.zone(), machine.spot())));
       }
     }
-    askedFor.forEach(kind -> draft.rooms.add(new Coming(kind)));
-    draft.rooms.sort(
+    requestedKinds.forEach(kind -> draft.freeCapacities.add(new Coming(kind)));
+    draft.freeCapacities.sort(
         Comparator.comparingDouble((Coming r) -> r.kind.type().cpus())
             .thenComparingDouble(r -> r.kind.type().memoryGb())
             .reversed());
@@ -298,7 +305,7 @@
   private static Set<String> zones(Draft draft, Market market) {
     Set<String> zones = new TreeSet<>();
     market.catalog().forEach(type -> zones.addAll(type.zones()));
-    draft.rooms.forEach(coming -> zones.add(coming.kind.zone()));
+    draft.freeCapacities.forEach(coming -> zones.add(coming.kind.zone()));
     return zones;
   }
 
@@ -310,7 +317,7 @@
           && machine.zone().equals(zone)
           && machine.usable()
           && SortFirstFit.permitted(need.spec(), machine)) {
-        fits += Room.free(machine).take(need.spec(), need.tasks() - fits);
+        fits += FreeCapacity.free(machine).take(need.spec(), need.tasks() - fits);
       }
     }
     return fits;
@@ -324,7 +331,7 @@
   private int cover(Group group, Draft draft, ZoneAllowance allowance, Market market) {
     Need need = group.need();
     int left = need.tasks();
-    for (Coming coming : draft.rooms) {
+    for (Coming coming : draft.freeCapacities) {
       if (left > 0 && permitted(need.spec(), coming.kind)) {
         left -= coming.take(need.spec(), left, allowance);
       }
@@ -333,12 +340,12 @@
       Kind kind = cheapest(group, left, allowance, market);
       // One request has no room for more: the next plan goes on. Guards against planning for
       // thousands of machines, again and again, when the largest allowed job waits.
-      if (kind == null || draft.wanted.getOrDefault(kind, 0) >= MOST_AT_ONCE) {
+      if (kind == null || draft.wanted.getOrDefault(kind, 0) >= MAX_AT_ONCE) {
         break;
       }
       Coming coming = new Coming(kind);
       left -= coming.take(need.spec(), left, allowance);
-      draft.rooms.add(coming);
+      draft.freeCapacities.add(coming);
       draft.wanted.merge(kind, 1, Integer::sum);
     }
     return left;
@@ -388,12 +395,12 @@
 
   private static double costPerTask(Kind kind, Group group, int mostTasks) {
     MachineType type = kind.type();
-    int slots = Room.of(type).take(group.need().spec(), mostTasks);
+    int slots = FreeCapacity.of(type).take(group.need().spec(), mostTasks);
     // Until it has booted and fetched its images, a machine is paid for and of no use.
     double gb = group.meanImageGb() * Math.min(slots, group.images().size());
     double fetchS = type.fetchGbPerS() > 0 ? gb / type.fetchGbPerS() : 0;
     boolean late = type.bootMicros() + fetchS * 1e6 > group.need().slackMicros();
-    double idle = 1 + (type.bootMicros() / 1e6 + fetchS) / USED_S;
+    double idle = 1 + (type.bootMicros() / 1e6 + fetchS) / STARTUP_COST_SPREAD_S;
     return kind.price() * idle * (late ? LATE_COST : 1) / slots;
   }
 }
--- a/src/main/java/org/dewreach/job/Admission.java
+++ b/src/main/java/org/dewreach/job/Admission.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.Set;
 import org.dewreach.config.Settings;
+import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobRequest;
 import org.dewreach.wire.MachineType;
-import org.dewreach.wire.Shape;
 
 /** Whether a job can ever run (422 if not). */
 public final class Admission {
@@ -22,7 +22,7 @@
     if (team == null) {
       return "unknown team";
     }
-    int together = spec.shape() == Shape.SWEEP ? 1 : spec.tasks();
+    int together = spec.jobKind() == JobKind.SWEEP ? 1 : spec.tasks();
     if (spec.cpus() * together > team.cpusMax() + EPS
         || spec.gpus() * together > team.gpusMax() + EPS) {
       return "more than the team's limit";
--- a/src/main/java/org/dewreach/job/Job.java
+++ b/src/main/java/org/dewreach/job/Job.java
@@ -10,18 +10,23 @@
 import java.util.Map;
 import java.util.Set;
 import org.dewreach.task.Task;
+import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobRequest;
-import org.dewreach.wire.Shape;
-import org.dewreach.wire.Standing;
+import org.dewreach.wire.JobState;
 
 /** A job that is not over, as the leader knows it. */
 public final class Job {
   private static final int MAX_SUSPECTS = 8;
 
-  /** So many machines on which it failed in a row speak against the job. Ours. */
-  private static final int DOUBTFUL_FROM = 2;
+  /**
+   * So many machines on which it failed in a row speak against the job. A default of this project.
+   */
+  private static final int DOUBTFUL_FROM_FAILURES = 2;
 
-  /** A machine on which a task of the job failed is avoided by it for this long. Ours. */
+  /**
+   * A machine on which a task of the job failed is avoided by it for this long. A default of this
+   * project.
+   */
   private static final long SUSPECTED_MICROS = 60_000_000;
 
   /** Pause of a doubtful job; it doubles with each failure. */
@@ -37,7 +42,7 @@
   private final Int2ObjectMap<Task> bound = new Int2ObjectLinkedOpenHashMap<>();
   private final Map<String, Long> suspects = new LinkedHashMap<>();
   private JobPhase phase;
-  private Standing finalStanding;
+  private JobState finalState;
   private long stamp;
   private BitSet durable = new BitSet();
   private boolean writing;
@@ -82,7 +87,7 @@
       throw new IllegalStateException(id() + " cannot go from " + phase + " to " + next);
     }
     if (next == JobPhase.FINISHING) {
-      finalStanding = phase == JobPhase.WITHDRAWN ? Standing.WITHDRAWN : Standing.DONE;
+      finalState = phase == JobPhase.WITHDRAWN ? JobState.WITHDRAWN : JobState.DONE;
     }
     phase = next;
   }
@@ -93,8 +98,8 @@
   }
 
   /** What it is to end as, once it is being finished. */
-  public Standing finalStanding() {
-    return finalStanding;
+  public JobState finalState() {
+    return finalState;
   }
 
   /** Its id. */
@@ -219,7 +224,7 @@
 
   /** True if every task is done; a service never is. */
   public boolean complete() {
-    return spec.shape() != Shape.SERVICE && doneCount >= spec.tasks();
+    return spec.jobKind() != JobKind.SERVICE && doneCount >= spec.tasks();
   }
 
   /** The bound tasks, for reading; {@link #bind} and {@link #unbind} change them. */
@@ -272,20 +277,12 @@
 
   /** The lowest task that is neither done nor bound, or -1. */
   public int nextPending() {
-    for (int i = cursor; i < spec.tasks(); i++) {
-      if (!done.get(i) && !bound.containsKey(i)) {
-        cursor = i;
-        return i;
-      }
-    }
-    cursor = 0;
-    for (int i = 0; i < spec.tasks(); i++) {
-      if (!done.get(i) && !bound.containsKey(i)) {
-        cursor = i;
-        return i;
-      }
+    int next = pendingAfter(cursor - 1);
+    if (next < 0) {
+      next = pendingAfter(-1);
     }
-    return -1;
+    cursor = Math.max(0, next);
+    return next;
   }
 
   /** The lowest task above the given one that is neither done nor bound, or -1. */
@@ -340,7 +337,7 @@
    * the machines. It is tried with one task at a time then.
    */
   public boolean doubtful() {
-    return failures >= DOUBTFUL_FROM;
+    return failures >= DOUBTFUL_FROM_FAILURES;
   }
 
   /** True if it failed once and has neither completed a task nor failed elsewhere since. */
@@ -371,17 +368,17 @@
   }
 
   /** What its user is told. */
-  public Standing standing() {
+  public JobState jobState() {
     return switch (phase) {
-      case WITHDRAWN -> Standing.WITHDRAWN;
-      case FINISHING -> finalStanding == Standing.WITHDRAWN ? finalStanding : progress();
-      case OVER -> finalStanding;
+      case WITHDRAWN -> JobState.WITHDRAWN;
+      case FINISHING -> finalState == JobState.WITHDRAWN ? finalState : progress();
+      case OVER -> finalState;
       case ACCEPTING, LIVE, HALTING, WITHDRAWING -> progress();
     };
   }
 
-  private Standing progress() {
-    return doneCount > 0 || running() > 0 ? Standing.RUNNING : Standing.PENDING;
+  private JobState progress() {
+    return doneCount > 0 || running() > 0 ? JobState.RUNNING : JobState.PENDING;
   }
 
   /** Tasks that were seen running. */
--- a/src/main/java/org/dewreach/job/JobPhase.java
+++ b/src/main/java/org/dewreach/job/JobPhase.java
@@ -1,6 +1,6 @@
 package org.dewreach.job;
 
-/** Named states of a job in the leader's books. */
+/** Named states of a job in the leader's cluster state. */
 public enum JobPhase {
   /** Its record is being written; the user has no answer yet and nothing is started. */
   ACCEPTING,
--- a/src/main/java/org/dewreach/job/JobRecord.java
+++ b/src/main/java/org/dewreach/job/JobRecord.java
@@ -5,8 +5,8 @@
 import java.util.BitSet;
 import org.dewreach.store.CommitQueue;
 import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobState;
 import org.dewreach.wire.MalformedException;
-import org.dewreach.wire.Standing;
 
 /**
  * A job's durable form.
@@ -88,7 +88,7 @@
   }
 
   /** The final record of a job. */
-  public static ObjectNode encodeOver(Standing standing, int done) {
-    return CommitQueue.value().put("standing", standing.word()).put("done", done);
+  public static ObjectNode encodeOver(JobState jobState, int done) {
+    return CommitQueue.value().put("standing", jobState.word()).put("done", done);
   }
 }
--- a/src/main/java/org/dewreach/leadership/StandIn.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -19,23 +19,27 @@
  *
  * <p>When a zone is cut off, its workers reach only the controllers inside. Their tasks run on, but
  * without an answer under the term's token they die with the lease, a third of all replicas at
- * once. So the leader lends every node the right to answer reports, without any order, for a while
- * beyond their last contact. {@link Lending} is the leader's side and says why no rule is broken.
+ * once. So the leader delegates to every node the right to answer reports, without any order, for a
+ * while beyond their last contact. {@link LeaseDelegations} is the leader's side and says why no
+ * rule is broken.
  *
  * <p>It is used only as a last resort: by a node that hears neither the leader nor the state
  * service, and for workers that have tried other nodes.
  */
-public final class StandIn {
-  private static final Logger LOG = LoggerFactory.getLogger(StandIn.class);
+public final class DelegateRenewer {
+  private static final Logger LOG = LoggerFactory.getLogger(DelegateRenewer.class);
 
   /** Where a node asks the leader for it. */
   public static final String PATH = "/peer/stand-in";
 
-  /** Out of contact for this long, longer than a hold lasts without its leader. Ours. */
-  static final long WAIT = 3_000_000;
+  /**
+   * Out of contact for this long, longer than a lease lasts without its leader. A default of this
+   * project.
+   */
+  static final long OUT_OF_CONTACT_MICROS = 3_000_000;
 
-  private static final long ASK_EVERY = 1_000_000;
-  private static final long TIMEOUT = 1_000_000;
+  private static final long REQUEST_INTERVAL_MICROS = 1_000_000;
+  private static final long TIMEOUT_MICROS = 1_000_000;
 
   /** Whether reports are answered here in the leader's stead. */
   private enum Phase {
@@ -59,7 +63,7 @@
   private long term;
   private long until;
   private long contactAt;
-  private long stateAt = -WAIT;
+  private long stateAt = -OUT_OF_CONTACT_MICROS;
   private long answeredAt = -1;
   private long echo = -1;
   private String echoOf = "";
@@ -67,7 +71,7 @@
   private long probeAt;
 
   /** Without any right yet. */
-  public StandIn(Calls calls, StateService state, Settings settings) {
+  public DelegateRenewer(Calls calls, StateService state, Settings settings) {
     this.calls = calls;
     this.state = state;
     this.self = settings.name();
@@ -76,7 +80,7 @@
 
   private void become(Phase next, String why) {
     if (phase != next) {
-      LOG.info("stand-in of term {}: {} -> {} ({})", term, phase, next, why);
+      LOG.info("lease renewal for term {}: {} -> {} ({})", term, phase, next, why);
       phase = next;
     }
   }
@@ -84,12 +88,12 @@
   /** Called when time has passed, with the leader as this node knows it. */
   public void tick(String leader, long nowMicros) {
     if (leader != null && !leader.equals(self) && nowMicros >= askAt) {
-      askAt = nowMicros + ASK_EVERY;
+      askAt = nowMicros + REQUEST_INTERVAL_MICROS;
       ask(leader, nowMicros);
     }
-    boolean lost = nowMicros - contactAt >= ASK_EVERY;
+    boolean lost = nowMicros - contactAt >= REQUEST_INTERVAL_MICROS;
     if (lost && nowMicros < until && nowMicros >= probeAt) {
-      probeAt = nowMicros + ASK_EVERY;
+      probeAt = nowMicros + REQUEST_INTERVAL_MICROS;
       // A node that reaches the state service is not cut off, and learns there who leads.
       state.get(
           Keys.LEADER,
@@ -113,7 +117,7 @@
         "POST",
         PATH,
         body,
-        TIMEOUT,
+        TIMEOUT_MICROS,
         (now, status, answer) -> {
           if (status == 200
               && answer != null
@@ -126,8 +130,8 @@
   private void take(String leader, JsonNode answer, long askedAt, long nowMicros) {
     term = answer.path("term").asLong();
     // Counted from the asking, which was before the leader counted, and less drift.
-    long lent = answer.path("lent").asLong();
-    until = askedAt + lent - lent / 500;
+    long delegatedMicros = answer.path("lent").asLong();
+    until = askedAt + delegatedMicros - delegatedMicros / 500;
     echo = answer.path("at").asLong();
     echoOf = leader;
     inContact(false, nowMicros);
@@ -136,11 +140,11 @@
   /**
    * This node leads, with authority at this time.
    *
-   * @param lentMicros what it may go on for after its authority
+   * @param delegatedMicros what it may go on for after its authority
    */
-  public void leading(long itsTerm, long lentMicros, long nowMicros) {
+  public void leading(long itsTerm, long delegatedMicros, long nowMicros) {
     term = itsTerm;
-    until = nowMicros + lentMicros - lentMicros / 500;
+    until = nowMicros + delegatedMicros - delegatedMicros / 500;
     inContact(true, nowMicros);
   }
 
@@ -150,7 +154,7 @@
     sentOn.clear();
   }
 
-  /** There is a later term, or none: what was lent is over. */
+  /** There is a later term, or none: what was delegated is over. */
   public void over(long latestTerm) {
     if (latestTerm > term) {
       until = 0;
@@ -168,7 +172,9 @@
   }
 
   private boolean mayAnswer(long nowMicros) {
-    return nowMicros < until && nowMicros - contactAt >= WAIT && nowMicros - stateAt >= WAIT;
+    return nowMicros < until
+        && nowMicros - contactAt >= OUT_OF_CONTACT_MICROS
+        && nowMicros - stateAt >= OUT_OF_CONTACT_MICROS;
   }
 
   /** True if the report is to be answered here, in the leader's stead. */
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 import org.dewreach.port.Calls;
-import org.dewreach.port.Lane;
+import org.dewreach.port.ConnectionPool;
 import org.dewreach.port.Target;
 import org.dewreach.store.Change;
 import org.dewreach.store.Condition;
@@ -21,38 +21,41 @@
 /**
  * One controller's part in choosing the leader.
  *
- * <p>Authority is counted from the sending of the last hold extension that succeeded, less clock
- * drift: the state service ends a hold early for nobody, so the key cannot pass to another node
- * while authority lasts. When authority has run out but the hold turns out to have survived (an
- * outage of the state service gives holds their full time again), the same term goes on. While
- * extensions fail, every node's {@linkplain Promises promise} stands in for the hold.
+ * <p>Authority is counted from the sending of the last lease renewal that succeeded, less clock
+ * drift: the state service ends a lease early for nobody, so the key cannot pass to another node
+ * while authority lasts. When authority has run out but the lease turns out to have survived (an
+ * outage of the state service gives leases their full time again), the same term goes on. While
+ * renewals fail, every node's {@linkplain FollowerGrants grant} stands in for the lease.
  */
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-  /** Length of the hold. Ours: short enough to take over well within a worker's lease. */
-  static final long HOLD_MICROS = 2_600_000;
+  /**
+   * Length of the lease. A default of this project: short enough to take over well within a
+   * worker's lease.
+   */
+  static final long LEASE_TTL_MICROS = 2_600_000;
 
-  private static final long EXTEND_EVERY = 550_000;
-  private static final long EXTEND_TIMEOUT = 800_000;
-  private static final long EXTEND_RETRY = 150_000;
+  private static final long RENEW_INTERVAL_MICROS = 550_000;
+  private static final long RENEW_TIMEOUT_MICROS = 800_000;
+  private static final long RENEW_RETRY_MICROS = 150_000;
 
   /** Two clocks that drift by up to 0.05% each, doubled, and a little for timer steps. */
-  private static final long AUTHORITY_MICROS = HOLD_MICROS - HOLD_MICROS / 500 - 30_000;
+  private static final long AUTHORITY_MICROS = LEASE_TTL_MICROS - LEASE_TTL_MICROS / 500 - 30_000;
 
   private static final long WATCH_MS = 8_000;
 
-  /** A node that gave up the lead lets others claim it first. Ours. */
-  private static final long RESIGNED_FOR = 10_000_000;
+  /** A node that gave up the lead lets others claim it first. A default of this project. */
+  private static final long RESIGNED_MICROS = 10_000_000;
 
-  /** With less authority than this left, extensions are failing: promises are asked for. */
-  private static final long WORRIED_MICROS = 1_500_000;
+  /** With less authority than this left, renewals are failing: grants are asked for. */
+  private static final long LOW_AUTHORITY_MICROS = 1_500_000;
 
-  private static final long ASK_EVERY = 400_000;
-  private static final long ASK_TIMEOUT = 700_000;
+  private static final long REQUEST_INTERVAL_MICROS = 400_000;
+  private static final long REQUEST_TIMEOUT_MICROS = 700_000;
 
-  /** Where a node is asked for a promise. */
-  public static final String PROMISE_PATH = "/peer/promise";
+  /** Where a node is asked for a grant. */
+  public static final String GRANT_PATH = "/peer/promise";
 
   /** What this controller is in the election. */
   public enum State {
@@ -60,7 +63,7 @@
     FOLLOWING,
     /** The key is absent: waiting a moment so that not all nodes claim it at once. */
     WAITING,
-    /** Opening a hold for the claim. */
+    /** Opening a lease for the claim. */
     OPENING,
     /** Writing the leader key. */
     CLAIMING,
@@ -95,18 +98,18 @@
   private boolean watching;
   private long readAgainAt;
   private long claimAt;
-  private long hold;
-  private long holdSentAt;
+  private long leaseId;
+  private long leaseSentAt;
   private long term;
   private long authorityUntil;
   private boolean extending;
   private boolean failing;
   private long extendAt;
   private long lastContact = -1;
-  private Promises promises;
+  private FollowerGrants followerGrants;
   private boolean mayAct;
   private long askAt;
-  private final Map<String, Long> promisedUntil = new HashMap<>();
+  private final Map<String, Long> grantedUntil = new HashMap<>();
 
   public Election(
       StateService state,
@@ -143,51 +146,53 @@
     return term;
   }
 
-  /** True while no other term can act: by the hold, or by every node's promise. */
+  /** True while no other term can act: by the lease, or by every node's grant. */
   public boolean hasAuthority(long nowMicros) {
     return phase == State.LEADING && mayAct && nowMicros < actsUntil();
   }
 
   /** When authority ends, as far as it is known now. */
   public long actsUntil() {
-    return Math.max(authorityUntil, allPromiseUntil());
+    return Math.max(authorityUntil, allGrantedUntil());
   }
 
-  private long allPromiseUntil() {
-    if (promisedUntil.size() < others.size() + 1) {
+  private long allGrantedUntil() {
+    if (grantedUntil.size() < others.size() + 1) {
       return Long.MIN_VALUE;
     }
-    return Collections.min(promisedUntil.values());
+    return Collections.min(grantedUntil.values());
   }
 
   /** Another node's leader asks this one to let no later term act for a while. */
-  public boolean promise(long forTerm, long nowMicros) {
-    return promises != null && phase != State.LEADING && promises.promise(forTerm, nowMicros);
+  public boolean grant(long forTerm, long nowMicros) {
+    return followerGrants != null
+        && phase != State.LEADING
+        && followerGrants.grant(forTerm, nowMicros);
   }
 
-  private void askForPromises(long nowMicros) {
+  private void requestGrants(long nowMicros) {
     if (nowMicros < askAt
         || !hasAuthority(nowMicros)
-        || authorityUntil - nowMicros > WORRIED_MICROS) {
+        || authorityUntil - nowMicros > LOW_AUTHORITY_MICROS) {
       return;
     }
-    askAt = nowMicros + ASK_EVERY;
-    if (promises.promise(term, nowMicros)) {
-      promisedUntil.put(self, nowMicros + Promises.COUNTED_MICROS);
+    askAt = nowMicros + REQUEST_INTERVAL_MICROS;
+    if (followerGrants.grant(term, nowMicros)) {
+      grantedUntil.put(self, nowMicros + FollowerGrants.COUNTED_GRANT_MICROS);
     }
     long forTerm = term;
     for (String other : others) {
       calls.call(
           new Target.Member(other),
-          Lane.AUTHORITY,
+          ConnectionPool.LEADERSHIP,
           "POST",
-          PROMISE_PATH,
+          GRANT_PATH,
           Codec.map().put("term", forTerm),
-          ASK_TIMEOUT,
+          REQUEST_TIMEOUT_MICROS,
           (now, status, body) -> {
             boolean given = status == 200 && body != null && body.path("given").asBoolean(false);
             if (given && phase == State.LEADING && term == forTerm) {
-              promisedUntil.merge(other, nowMicros + Promises.COUNTED_MICROS, Math::max);
+              grantedUntil.merge(other, nowMicros + FollowerGrants.COUNTED_GRANT_MICROS, Math::max);
             }
           });
     }
@@ -207,16 +212,16 @@
 
   /** Called when time has passed. */
   public void tick(long nowMicros) {
-    if (promises == null) {
-      // Event time counts from the start of the process, before which it promised nothing.
-      promises = new Promises(0);
+    if (followerGrants == null) {
+      // Event time counts from the start of the process, before which it granted nothing.
+      followerGrants = new FollowerGrants(0);
     }
     switch (phase) {
       case LEADING -> {
-        if (!mayAct && promises.letAct(term, nowMicros)) {
+        if (!mayAct && followerGrants.letAct(term, nowMicros)) {
           mayAct = true;
         }
-        askForPromises(nowMicros);
+        requestGrants(nowMicros);
         if (!extending && nowMicros >= extendAt) {
           extend(nowMicros);
         }
@@ -247,7 +252,7 @@
   /** Gives the lead to another node, which may reach what this one does not. */
   public void resign(long nowMicros, String why) {
     if (phase == State.LEADING) {
-      claimNotBefore = nowMicros + RESIGNED_FOR;
+      claimNotBefore = nowMicros + RESIGNED_MICROS;
       depose(nowMicros, why);
     }
   }
@@ -299,21 +304,21 @@
     if (status == 200) {
       JsonNode data = body.path("data");
       String name = data.path("name").asText();
-      long holder = body.path("hold").asLong(0);
+      long holderLeaseId = body.path("hold").asLong(0);
       long stamp = body.path("stamp").asLong();
       if (name.equals(self) && data.path("boot").asText().equals(boot)) {
-        if (phase == State.VERIFYING && holder == hold) {
+        if (phase == State.VERIFYING && holderLeaseId == leaseId) {
           elected(nowMicros, stamp);
         } else {
           // A claim of ours that was applied late: give it up, nobody may rely on it.
-          drop(nowMicros, holder);
+          drop(nowMicros, holderLeaseId);
         }
         return;
       }
       if (name.equals(self)) {
         // Left by an earlier process of this node, which is gone for sure.
-        LOG.info("election: dropping the hold of an earlier process of this node");
-        drop(nowMicros, holder);
+        LOG.info("election: revoking the lease of an earlier process of this node");
+        drop(nowMicros, holderLeaseId);
         return;
       }
       abandonClaim();
@@ -321,7 +326,7 @@
       leaderAbsent = false;
       seenRevision = stamp;
       leaderStamp = stamp;
-      promises.over(stamp);
+      followerGrants.over(stamp);
       become(State.FOLLOWING, "led by " + name);
       watch();
     } else if (status == 404) {
@@ -330,7 +335,7 @@
       leaderAbsent = true;
       seenRevision = body.path("ledger_rev").asLong(0);
       // Every term up to this revision has lost its key.
-      promises.over(seenRevision + 1);
+      followerGrants.over(seenRevision + 1);
       if (nowMicros < claimNotBefore) {
         become(State.FOLLOWING, "another node is to lead");
         readAgainAt = nowMicros + 300_000;
@@ -347,31 +352,31 @@
 
   private void retryRead(long nowMicros, long pause) {
     if (phase == State.VERIFYING) {
-      // Nothing was promised to anybody yet, so the claim can simply be given up.
+      // Nothing was granted to anybody yet, so the claim can simply be given up.
       abandonClaim();
       become(State.FOLLOWING, "claim unclear");
     }
     readAgainAt = nowMicros + pause;
   }
 
-  /** Ends the hold of a claim that is not wanted any more; a late put with it is then refused. */
+  /** Ends the lease of a claim that is not wanted any more; a late put with it is then refused. */
   private void abandonClaim() {
-    if (hold > 0) {
-      long old = hold;
-      hold = 0;
-      state.dropHold(old, (now, status, body) -> {});
+    if (leaseId > 0) {
+      long old = leaseId;
+      leaseId = 0;
+      state.revokeLease(old, (now, status, body) -> {});
     }
   }
 
-  private void drop(long nowMicros, long holder) {
-    if (hold == holder) {
-      hold = 0;
+  private void drop(long nowMicros, long holderLeaseId) {
+    if (leaseId == holderLeaseId) {
+      leaseId = 0;
     }
     abandonClaim();
-    become(State.FOLLOWING, "dropping an old hold");
+    become(State.FOLLOWING, "revoking an old lease");
     reading = true;
-    state.dropHold(
-        holder,
+    state.revokeLease(
+        holderLeaseId,
         (now, status, body) -> {
           reading = false;
           readAgainAt = now + (status == 200 || status == 404 ? 0 : 300_000);
@@ -403,28 +408,28 @@
   private void open(long nowMicros) {
     become(State.OPENING, "claiming");
     long sentAt = nowMicros;
-    state.openHold(
-        HOLD_MICROS / 1000,
+    state.openLease(
+        LEASE_TTL_MICROS / 1000,
         1_500_000,
         (now, status, body) -> {
           if (status == 200) {
-            hold = body.path("hold").asLong();
-            holdSentAt = sentAt;
+            leaseId = body.path("hold").asLong();
+            leaseSentAt = sentAt;
             claim(now);
           } else {
-            become(State.FOLLOWING, "no hold: " + status);
+            become(State.FOLLOWING, "no lease: " + status);
             readAgainAt = now + 300_000;
           }
         });
   }
 
   private void claim(long nowMicros) {
-    become(State.CLAIMING, "hold open");
+    become(State.CLAIMING, "lease open");
     ObjectNode data = Codec.map().put("name", self).put("boot", boot);
     state.commit(
         List.of(new Condition(Keys.LEADER, 0)),
         List.of(new Change(Keys.LEADER, data)),
-        hold,
+        leaseId,
         1_500_000,
         (now, status, body) -> {
           if (status == 200) {
@@ -440,10 +445,10 @@
     term = stamp;
     mayAct = false;
     failing = false;
-    promisedUntil.clear();
+    grantedUntil.clear();
     leaderAbsent = false;
     leader = self;
-    authorityUntil = holdSentAt + AUTHORITY_MICROS;
+    authorityUntil = leaseSentAt + AUTHORITY_MICROS;
     extending = false;
     extendAt = nowMicros;
     lastContact = nowMicros;
@@ -456,9 +461,9 @@
     extending = true;
     long sentAt = nowMicros;
     long forTerm = term;
-    state.extendHold(
-        hold,
-        EXTEND_TIMEOUT,
+    state.renewLease(
+        leaseId,
+        RENEW_TIMEOUT_MICROS,
         (now, status, body) -> {
           if (phase != State.LEADING || term != forTerm) {
             return;
@@ -471,15 +476,15 @@
             }
             failing = false;
             authorityUntil = Math.max(authorityUntil, sentAt + AUTHORITY_MICROS);
-            extendAt = sentAt + EXTEND_EVERY;
+            extendAt = sentAt + RENEW_INTERVAL_MICROS;
           } else if (status == 404) {
-            depose(now, "hold ended");
+            depose(now, "lease ended");
           } else {
             if (!failing) {
-              LOG.info("election: extensions fail ({}); asking for promises soon", status);
+              LOG.info("election: renewals fail ({}); asking for grants soon", status);
             }
             failing = true;
-            extendAt = now + EXTEND_RETRY;
+            extendAt = now + RENEW_RETRY_MICROS;
           }
         });
   }
--- a/src/main/java/org/dewreach/machine/Machine.java
+++ b/src/main/java/org/dewreach/machine/Machine.java
@@ -9,13 +9,16 @@
 import org.dewreach.task.Task;
 import org.dewreach.wire.JobRequest;
 import org.dewreach.wire.MachineType;
+import org.dewreach.wire.Priority;
 import org.dewreach.wire.TaskName;
-import org.dewreach.wire.Urgency;
 
 /** A machine, with the tasks that are bound to it. */
 public final class Machine {
-  /** Answers in a row that did not arrive, from which a machine is taken for deaf. Ours. */
-  private static final int DEAF_AFTER = 2;
+  /**
+   * Answers in a row that did not arrive, from which a machine is taken to miss replies. A default
+   * of this project.
+   */
+  private static final int MAX_MISSED_REPLIES = 2;
 
   private final String name;
   private final MachineType type;
@@ -48,8 +51,8 @@
   private boolean unreached;
   private boolean accountedFor;
   private boolean toProve;
-  private int unheeded;
-  private Anew anew = Anew.NO;
+  private int missedReplies;
+  private RestartSuspicion restartSuspicion = RestartSuspicion.NONE;
 
   /**
    * A machine that nothing is bound to.
@@ -156,24 +159,24 @@
     accountedFor = true;
   }
 
-  /** Whether its worker may have begun anew. */
-  public Anew anew() {
-    return anew;
+  /** Whether its worker may have restarted. */
+  public RestartSuspicion restartSuspicion() {
+    return restartSuspicion;
   }
 
-  /** Sets whether its worker may have begun anew. */
-  public void anew(Anew now) {
-    anew = now;
+  /** Sets whether its worker may have restarted. */
+  public void restartSuspicion(RestartSuspicion now) {
+    restartSuspicion = now;
   }
 
   /** Counts reports in a row that show that our last answer did not arrive; 0 if it did. */
-  public void heeded(boolean arrived) {
-    unheeded = arrived ? 0 : unheeded + 1;
+  public void replyTaken(boolean arrived) {
+    missedReplies = arrived ? 0 : missedReplies + 1;
   }
 
   /** Its reports arrive, but answers and commands do not reach it: it is given nothing new. */
-  public boolean deaf() {
-    return unheeded >= DEAF_AFTER;
+  public boolean missesReplies() {
+    return missedReplies >= MAX_MISSED_REPLIES;
   }
 
   /** True if it is recorded durably: it may be given commands. */
@@ -303,7 +306,7 @@
     errors = 0;
   }
 
-  /** When its worker last refused a start that the books said would fit. */
+  /** When its worker last refused a start that the cluster state said would fit. */
   public long refusedAt() {
     return refusedAt;
   }
@@ -431,8 +434,8 @@
   }
 
   /** True if a task of lesser urgency is bound here. */
-  public boolean hasLessUrgent(Urgency than) {
-    return used.hasLessUrgent(than);
+  public boolean hasLowerPriority(Priority than) {
+    return used.hasLowerPriority(than);
   }
 
   private boolean needsImage(String image) {
@@ -466,7 +469,7 @@
         && !setAside()
         && recallAt < 0
         && !unreached
-        && !deaf()
-        && anew != Anew.SURE;
+        && !missesReplies()
+        && restartSuspicion != RestartSuspicion.CONFIRMED;
   }
 }
--- a/src/main/java/org/dewreach/machine/MachinePhase.java
+++ b/src/main/java/org/dewreach/machine/MachinePhase.java
@@ -1,6 +1,6 @@
 package org.dewreach.machine;
 
-/** Named states of a machine in the leader's books. */
+/** Named states of a machine in the leader's cluster state. */
 public enum MachinePhase {
   /** Rented; it has never reported. */
   BOOTING,
--- a/src/main/java/org/dewreach/machine/ResourceUsage.java
+++ b/src/main/java/org/dewreach/machine/ResourceUsage.java
@@ -1,11 +1,11 @@
 package org.dewreach.machine;
 
 import org.dewreach.wire.JobRequest;
-import org.dewreach.wire.Urgency;
+import org.dewreach.wire.Priority;
 
 /** What the tasks that are bound to a machine take of it. */
 final class ResourceUsage {
-  private final int[] tasksByUrgency = new int[Urgency.values().length];
+  private final int[] tasksByPriority = new int[Priority.values().length];
   private double cpus;
   private double gpus;
   private double memoryGb;
@@ -24,7 +24,7 @@
 
   /** A task was bound. */
   void add(JobRequest spec) {
-    tasksByUrgency[spec.urgency().ordinal()]++;
+    tasksByPriority[spec.priority().ordinal()]++;
     cpus += spec.cpus();
     gpus += spec.gpus();
     memoryGb += spec.memoryGb();
@@ -32,7 +32,7 @@
 
   /** A task has left. */
   void remove(JobRequest spec) {
-    tasksByUrgency[spec.urgency().ordinal()]--;
+    tasksByPriority[spec.priority().ordinal()]--;
     cpus -= spec.cpus();
     gpus -= spec.gpus();
     memoryGb -= spec.memoryGb();
@@ -46,9 +46,9 @@
   }
 
   /** True if a task that the given urgency goes before is bound. */
-  boolean hasLessUrgent(Urgency than) {
-    for (Urgency urgency : Urgency.values()) {
-      if (tasksByUrgency[urgency.ordinal()] > 0 && than.above(urgency)) {
+  boolean hasLowerPriority(Priority than) {
+    for (Priority priority : Priority.values()) {
+      if (tasksByPriority[priority.ordinal()] > 0 && than.above(priority)) {
         return true;
       }
     }
--- a/src/main/java/org/dewreach/machine/Anew.java
+++ b/src/main/java/org/dewreach/machine/RestartSuspicion.java
@@ -1,11 +1,11 @@
 package org.dewreach.machine;
 
-/** Whether a machine's worker may have begun anew with the same name and an old count. */
-public enum Anew {
+/** Whether a machine's worker may have restarted with the same name and an old count. */
+public enum RestartSuspicion {
   /** Nothing points to it. */
-  NO,
+  NONE,
   /** A report came that is either a late copy of its first or the first of a new worker. */
-  ASKED,
+  CHECKING,
   /** The machine itself has shown a lower count than before. */
-  SURE
+  CONFIRMED
 }
--- a/src/main/java/org/dewreach/net/HttpServer.java
+++ b/src/main/java/org/dewreach/net/HttpServer.java
@@ -43,7 +43,10 @@
   /** Users poll about every 5 s and workers report more often: silent for this long is gone. */
   private static final int IDLE_S = 90;
 
-  /** Users poll about every 5 s, so one that has been silent for this long may be gone. Ours. */
+  /**
+   * Users poll about every 5 s, so one that has been silent for this long may be gone. A default of
+   * this project.
+   */
   static final long SILENT_MICROS = 12_000_000;
 
   /** Takes requests; the answer may come at once or later, on the event loop. */
--- a/src/main/java/org/dewreach/net/Node.java
+++ b/src/main/java/org/dewreach/net/Node.java
@@ -12,9 +12,9 @@
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
 import org.dewreach.controller.Core;
+import org.dewreach.port.ConnectionPool;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
-import org.dewreach.port.Lane;
 import org.dewreach.port.Target;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -37,7 +37,7 @@
    * Calls to one host at a time that the lead depends on: the watch of the leader key, an extension
    * of the hold, a read or claim, and the end of an earlier hold.
    */
-  private static final int MAX_AUTHORITY_CALLS_PER_HOST = 4;
+  private static final int MAX_LEADERSHIP_CALLS_PER_HOST = 4;
 
   /** A command, and a question for its count. */
   private static final int MAX_CALLS_PER_WORKER = 2;
@@ -70,7 +70,7 @@
     int electorate = settings.members().size() + 1;
     this.authority =
         new HttpClient(
-            loop, MAX_AUTHORITY_CALLS_PER_HOST, electorate * MAX_AUTHORITY_CALLS_PER_HOST);
+            loop, MAX_LEADERSHIP_CALLS_PER_HOST, electorate * MAX_LEADERSHIP_CALLS_PER_HOST);
     this.workers =
         new HttpClient(loop, MAX_CALLS_PER_WORKER, settings.limits().connectionsToWorkers());
     long wallMicros = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
@@ -93,8 +93,8 @@
   public void start() throws InterruptedException {
     int members = settings.members().size();
     // Each of the others opens this many; a few more for operators and for closed ones in between.
-    int fromPeers = members * (MAX_CALLS_PER_HOST + MAX_AUTHORITY_CALLS_PER_HOST) + OTHER_SOCKETS;
-    int forAuthority = (members + 1) * MAX_AUTHORITY_CALLS_PER_HOST;
+    int fromPeers = members * (MAX_CALLS_PER_HOST + MAX_LEADERSHIP_CALLS_PER_HOST) + OTHER_SOCKETS;
+    int forAuthority = (members + 1) * MAX_LEADERSHIP_CALLS_PER_HOST;
     int toServices = (members + 2) * MAX_CALLS_PER_HOST + forAuthority + OTHER_SOCKETS;
     int fromClients =
         Math.max(OTHER_SOCKETS, settings.limits().connectionsFromClients(fromPeers + toServices));
@@ -124,7 +124,7 @@
     try {
       core.handle(now(), event).forEach(this::carryOut);
     } catch (RuntimeException e) {
-      // The books may be half changed: ending here lets a clean start rebuild them.
+      // The cluster state may be half changed: ending here lets a clean start rebuild them.
       LOG.error("the core failed on {}: ending this process", event.getClass().getSimpleName(), e);
       Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
     }
@@ -161,7 +161,7 @@
     if (call.target() instanceof Target.Worker) {
       return workers;
     }
-    return call.lane() == Lane.AUTHORITY ? authority : services;
+    return call.pool() == ConnectionPool.LEADERSHIP ? authority : services;
   }
 
   /** A worker's own word; one that is no address leads nowhere, and the call ends unanswered. */
--- a/src/main/java/org/dewreach/placement/Room.java
+++ b/src/main/java/org/dewreach/placement/FreeCapacity.java
@@ -4,32 +4,34 @@
 import org.dewreach.wire.JobRequest;
 import org.dewreach.wire.MachineType;
 
-/** Room for tasks, reckoned with apart from the books: of machines to come, or to be freed. */
-public final class Room {
+/**
+ * Room for tasks, reckoned with apart from the cluster state: of machines to come, or to be freed.
+ */
+public final class FreeCapacity {
   private static final double EPS = 1e-9;
 
   private double cpus;
   private double gpus;
   private double memoryGb;
 
-  private Room(double cpus, double gpus, double memoryGb) {
+  private FreeCapacity(double cpus, double gpus, double memoryGb) {
     this.cpus = cpus;
     this.gpus = gpus;
     this.memoryGb = memoryGb;
   }
 
   /** What an empty machine of the type has. */
-  public static Room of(MachineType type) {
-    return new Room(type.cpus(), type.gpus(), type.memoryGb());
+  public static FreeCapacity of(MachineType type) {
+    return new FreeCapacity(type.cpus(), type.gpus(), type.memoryGb());
   }
 
   /** What a machine has free. */
-  public static Room free(Machine machine) {
-    return new Room(machine.freeCpus(), machine.freeGpus(), machine.freeMemoryGb());
+  public static FreeCapacity free(Machine machine) {
+    return new FreeCapacity(machine.freeCpus(), machine.freeGpus(), machine.freeMemoryGb());
   }
 
-  public Room copy() {
-    return new Room(cpus, gpus, memoryGb);
+  public FreeCapacity copy() {
+    return new FreeCapacity(cpus, gpus, memoryGb);
   }
 
   public boolean covers(JobRequest spec) {
--- a/src/main/java/org/dewreach/placement/RoomIndex.java
+++ b/src/main/java/org/dewreach/placement/FreeCapacityIndex.java
@@ -10,7 +10,7 @@
  * whose amounts do may still have none, so a leaf is what decides. The walk over the index
  * therefore meets the very machines that the plain walk would, in the same order.
  */
-final class RoomIndex {
+final class FreeCapacityIndex {
   /** Amounts of a position that offers nothing. */
   private static final double NONE = -1;
 
@@ -21,7 +21,7 @@
   private double[] memory = new double[2];
   private double[] gpus = new double[2];
 
-  /** Starts anew with so many positions, none of which offers anything. */
+  /** Starts over with so many positions, none of which offers anything. */
   void clear(int size) {
     int needed = Math.max(1, Integer.highestOneBit(Math.max(1, size) * 2 - 1));
     if (needed != leaves) {
--- a/src/main/java/org/dewreach/placement/QueueOrder.java
+++ b/src/main/java/org/dewreach/placement/QueueOrder.java
@@ -25,23 +25,32 @@
   private static final Comparator<Job> BY_AGE =
       Comparator.comparingLong(Job::acceptedWallMicros).thenComparing(Job::id);
 
-  /** From placement to running: the command, and often an image. Ours. */
+  /** From placement to running: the command, and often an image. A default of this project. */
   private static final long START_MICROS = 4_000_000;
 
-  /** A job that misses its time by less than half of it is still better than a later one. Ours. */
-  private static final double GRACE = 1.5;
+  /**
+   * A job that misses its time by less than half of it is still better than a later one. A default
+   * of this project.
+   */
+  private static final double GRACE_FACTOR = 1.5;
 
-  /** With less slack than this, a job goes before those that can still wait. Ours. */
-  private static final long PRESSING = 20_000_000;
+  /**
+   * With less slack than this, a job goes before those that can still wait. A default of this
+   * project.
+   */
+  private static final long PRESSING_SLACK_MICROS = 20_000_000;
 
-  /** A job that has waited for this long is to be served for its age. Ours. */
-  private static final long LONG_WAIT = 150_000_000;
+  /** A job that has waited for this long is to be served for its age. A default of this project. */
+  private static final long LONG_WAIT_MICROS = 150_000_000;
 
-  /** Once a job has waited long, one order in this many goes by age. Ours. */
+  /** Once a job has waited long, one order in this many goes by age. A default of this project. */
   private static final int TURN_BY_AGE = 2;
 
-  /** A job waits no longer than this for its first task, if its urgency gets any. Ours. */
-  private static final long LONGEST_UNBEGUN = 140_000_000;
+  /**
+   * A job waits no longer than this for its first task, if its urgency gets any. A default of this
+   * project.
+   */
+  private static final long MAX_UNSTARTED_MICROS = 140_000_000;
 
   /** Before what is within a guarantee (0) and what is not (1). */
   private static final int FIRST = -1;
@@ -62,7 +71,7 @@
   private record Place(Job job, int guarantee, int tier, double work) {}
 
   private static final Comparator<Place> BY_PLACE =
-      Comparator.comparing((Place place) -> place.job().spec().urgency())
+      Comparator.comparing((Place place) -> place.job().spec().priority())
           .thenComparingInt(Place::guarantee)
           .thenComparingInt(Place::tier)
           .thenComparingDouble(Place::work)
@@ -104,12 +113,12 @@
   }
 
   private static boolean waitsLong(Job job, long wallMicros) {
-    return wallMicros - job.acceptedWallMicros() > LONG_WAIT;
+    return wallMicros - job.acceptedWallMicros() > LONG_WAIT_MICROS;
   }
 
   /** True for a job that has waited so long for its first task that it is to be given one now. */
   public static boolean toBegin(Job job, long wallMicros) {
-    return wallMicros - job.acceptedWallMicros() > LONGEST_UNBEGUN
+    return wallMicros - job.acceptedWallMicros() > MAX_UNSTARTED_MICROS
         && job.doneCount() == 0
         && !job.hasBound();
   }
@@ -122,9 +131,12 @@
     JobRequest spec = job.spec();
     long left = spec.expectedMicros() + START_MICROS;
     long due = job.acceptedWallMicros() + allowed;
-    long graceDue = job.acceptedWallMicros() + Math.round(allowed * GRACE);
+    long graceDue = job.acceptedWallMicros() + Math.round(allowed * GRACE_FACTOR);
     long slack = due - wallMicros - left;
-    int tier = slack >= 0 ? (slack < PRESSING ? 0 : 1) : wallMicros + left <= graceDue ? 2 : 3;
+    int tier =
+        slack >= 0
+            ? (slack < PRESSING_SLACK_MICROS ? 0 : 1)
+            : wallMicros + left <= graceDue ? 2 : 3;
     double work = (double) job.pending() * spec.cpus() * spec.expectedMicros();
     return new Place(job, guarantee, tier, work);
   }
--- a/src/main/java/org/dewreach/placement/Quotas.java
+++ b/src/main/java/org/dewreach/placement/Quotas.java
@@ -33,7 +33,7 @@
   }
 
   /** How many more tasks of the job its team may start, at most the number asked for. */
-  public int room(JobRequest spec, int most) {
+  public int freeCapacity(JobRequest spec, int most) {
     Settings.Team team = teams.get(spec.team());
     if (team == null) {
       return 0;
--- a/src/main/java/org/dewreach/placement/ServiceRate.java
+++ b/src/main/java/org/dewreach/placement/ServiceRate.java
@@ -10,7 +10,7 @@
  * than the root of n.
  */
 public final class ServiceRate {
-  /** Arrivals are forgotten over about this long. Ours. */
+  /** Arrivals are forgotten over about this long. A default of this project. */
   private static final double MEMORY_MICROS = 120e6;
 
   private final double spreads;
--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -25,8 +25,8 @@
           .thenComparing(Machine::name);
 
   private final List<Machine> machines = new ArrayList<>();
-  private final RoomIndex spotRoom = new RoomIndex();
-  private final RoomIndex ordinaryRoom = new RoomIndex();
+  private final FreeCapacityIndex spotCapacity = new FreeCapacityIndex();
+  private final FreeCapacityIndex onDemandCapacity = new FreeCapacityIndex();
   private boolean stale = true;
 
   public void add(Machine machine) {
@@ -61,29 +61,31 @@
         return;
       }
       if (machine.usable()) {
-        room(machine).set(at, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
+        freeCapacity(machine)
+            .set(at, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
       } else {
-        room(machine).remove(at);
+        freeCapacity(machine).remove(at);
       }
     }
   }
 
-  private RoomIndex room(Machine machine) {
-    return machine.spot() ? spotRoom : ordinaryRoom;
+  private FreeCapacityIndex freeCapacity(Machine machine) {
+    return machine.spot() ? spotCapacity : onDemandCapacity;
   }
 
   private void refresh() {
     stale = false;
-    spotRoom.clear(machines.size());
-    ordinaryRoom.clear(machines.size());
+    spotCapacity.clear(machines.size());
+    onDemandCapacity.clear(machines.size());
     for (int i = 0; i < machines.size(); i++) {
       Machine machine = machines.get(i);
       if (machine.usable()) {
-        room(machine).put(i, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
+        freeCapacity(machine)
+            .put(i, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
       }
     }
-    spotRoom.build();
-    ordinaryRoom.build();
+    spotCapacity.build();
+    onDemandCapacity.build();
   }
 
   public List<Machine> machines() {
@@ -99,12 +101,12 @@
    */
   public Machine firstFit(JobRequest spec, Predicate<Machine> allowed) {
     if (spec.spot()) {
-      Machine machine = walk(spec, spotRoom, allowed);
+      Machine machine = walk(spec, spotCapacity, allowed);
       if (machine != null) {
         return machine;
       }
     }
-    return walk(spec, ordinaryRoom, allowed);
+    return walk(spec, onDemandCapacity, allowed);
   }
 
   /**
@@ -126,12 +128,13 @@
   }
 
   /** The walk along the list; the index only leaves out machines that cannot cover the task. */
-  private Machine walk(JobRequest spec, RoomIndex room, Predicate<Machine> allowed) {
+  private Machine walk(
+      JobRequest spec, FreeCapacityIndex freeCapacity, Predicate<Machine> allowed) {
     if (stale) {
       refresh();
     }
     Machine best = null;
-    for (int at = next(room, 0, spec); at >= 0; at = next(room, at + 1, spec)) {
+    for (int at = next(freeCapacity, 0, spec); at >= 0; at = next(freeCapacity, at + 1, spec)) {
       Machine machine = machines.get(at);
       if (best != null && !ranksEqual(best, machine)) {
         break;
@@ -148,8 +151,8 @@
     return best;
   }
 
-  private static int next(RoomIndex room, int from, JobRequest spec) {
-    return room.next(from, spec.cpus(), spec.memoryGb(), spec.gpus());
+  private static int next(FreeCapacityIndex freeCapacity, int from, JobRequest spec) {
+    return freeCapacity.next(from, spec.cpus(), spec.memoryGb(), spec.gpus());
   }
 
   private static boolean ranksEqual(Machine one, Machine other) {
--- a/src/main/java/org/dewreach/port/Calls.java
+++ b/src/main/java/org/dewreach/port/Calls.java
@@ -48,13 +48,13 @@
       JsonNode body,
       long timeoutMicros,
       ReplyHandler handler) {
-    call(target, Lane.GENERAL, method, path, body, timeoutMicros, handler);
+    call(target, ConnectionPool.GENERAL, method, path, body, timeoutMicros, handler);
   }
 
   /** Sends a request over the connections of the given lane. */
   public void call(
       Target target,
-      Lane lane,
+      ConnectionPool pool,
       String method,
       String path,
       JsonNode body,
@@ -64,7 +64,7 @@
     open.put(callId, handler);
     // The state service fences writes itself, and the cloud's requests do no harm when late.
     long notAfter = target instanceof Target.Worker ? authorityUntil.getAsLong() : Effect.ANY_TIME;
-    outbox.add(new Effect.Call(callId, target, lane, method, path, body, timeoutMicros, notAfter));
+    outbox.add(new Effect.Call(callId, target, pool, method, path, body, timeoutMicros, notAfter));
   }
 
   /** Answers a request. */
--- a/src/main/java/org/dewreach/port/Lane.java
+++ b/src/main/java/org/dewreach/port/ConnectionPool.java
@@ -1,10 +1,10 @@
 package org.dewreach.port;
 
 /** The connections that a call is sent on: calls of one lane never queue behind the other's. */
-public enum Lane {
+public enum ConnectionPool {
   /** Everything that may wait: users' requests, the records, workers, the cloud. */
   GENERAL,
 
   /** What the lead depends on: the hold, the leader key and the other nodes' promises. */
-  AUTHORITY
+  LEADERSHIP
 }
--- a/src/main/java/org/dewreach/port/Effect.java
+++ b/src/main/java/org/dewreach/port/Effect.java
@@ -39,12 +39,12 @@
    * Sends a request; exactly one {@link Event.Reply} follows, after the timeout at the latest. One
    * that is too late is answered with {@link #unsent}.
    *
-   * @param lane the connections it is sent on
+   * @param pool the connections it is sent on
    */
   record Call(
       long callId,
       Target target,
-      Lane lane,
+      ConnectionPool pool,
       String method,
       String path,
       JsonNode body,
