--- a/src/main/java/org/dewreach/controller/Dispatcher.java
+++ b/src/main/java/org/dewreach/controller/Dispatcher.java
@@ -33,6 +33,9 @@
    */
   private static final long RESERVED_CAPACITY_AFTER_MICROS = 60_000_000;
 
+  /** A task of a doubtful job is given this long to fail before the next is started. A default. */
+  private static final long TRIAL_MICROS = 30_000_000;
+
   /** Bounds the work of one pass; what is left is placed in the next. */
   private static final int MAX_PLACED = 400;
 
@@ -106,7 +109,7 @@
         ordinaryFree = clusterState.freeCpus(false);
         measured = true;
       }
-      if (job.notBefore() > nowMicros || onTrial(job)) {
+      if (job.notBefore() > nowMicros || onTrial(job, nowMicros)) {
         continue;
       }
       int freeCapacity = clusterState.quotas().freeCapacity(job.spec(), job.pending());
@@ -142,13 +145,16 @@
   }
 
   /**
-   * True while the one task runs that shows whether a doubtful job still fails.
+   * True while a task that was bound lately shows whether a doubtful job still fails.
    *
    * <p>Guards against a job that fails everywhere, but only after a while: given one task in each
-   * pass, it held ever more room until the first of them failed.
+   * pass, it held ever more room until the first of them failed. And against an array of long tasks
+   * that met two faulty machines: its other tasks do not wait until one of them has completed.
    */
-  private static boolean onTrial(Job job) {
-    return job.doubtful() && job.hasBound();
+  private static boolean onTrial(Job job, long nowMicros) {
+    return job.doubtful()
+        && job.bound().values().stream()
+            .anyMatch(task -> nowMicros - task.boundAt() < TRIAL_MICROS);
   }
 
   /** Jobs with the same likeness fit on the same machines. */
--- a/src/test/java/org/dewreach/controller/DispatcherTest.java
+++ b/src/test/java/org/dewreach/controller/DispatcherTest.java
@@ -213,4 +213,19 @@
     dispatcher.pass(7 * S, each -> true, 5 * S);
     assertEquals(10, job.bound().size(), "it got somewhere");
   }
+
+  /** Guards against long tasks that wait for each other, since two faulty machines were met. */
+  @Test
+  void aTaskThatRunsOnDoesNotKeepADoubtfulJobFromTheNext() {
+    box("m1", true);
+    Job job = job("req-1", 50, true);
+    job.failedOn("m8", S);
+    job.failedOn("m9", S);
+    dispatcher.pass(5 * S, each -> true, 5 * S);
+    assertEquals(1, job.bound().size());
+    dispatcher.pass(34 * S, each -> true, 5 * S);
+    assertEquals(1, job.bound().size(), "it may still fail");
+    dispatcher.pass(36 * S, each -> true, 5 * S);
+    assertEquals(2, job.bound().size(), "it runs on");
+  }
 }
