--- /dev/null
+++ b/src/main/java/org/dewreach/controller/MachineRenter.java
@@ -0,0 +1,194 @@
+package org.dewreach.controller;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.dewreach.cloud.CloudService;
+import org.dewreach.fleet.FleetPlanner;
+import org.dewreach.fleet.FleetPlanner.Kind;
+import org.dewreach.fleet.FleetPlanner.Need;
+import org.dewreach.fleet.FleetPlanner.Rental;
+import org.dewreach.machine.Machine;
+import org.dewreach.machine.MachinePhase;
+import org.dewreach.wire.HttpStatus;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Rents machines for waiting tasks, and repeats requests whose outcome is not known. */
+final class MachineRenter {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineRenter.class);
+
+  private static final int MAX_RENTAL_REQUESTS = 6;
+  private static final int MAX_RENT_TRIES = 4;
+  private static final long RETRY_DELAY_MICROS = 1_500_000;
+
+  /** A rental request on its way. */
+  private static final class RentalRequest {
+    final String name;
+    final Rental rental;
+    int tries;
+    long nextTryAt;
+    boolean inFlight;
+
+    RentalRequest(String name, Rental rental) {
+      this.name = name;
+      this.rental = rental;
+    }
+  }
+
+  private final long term;
+  private final ClusterState clusterState;
+  private final FleetRegister register;
+  private final CloudService cloud;
+  private final MachineCatalog catalog;
+  private final RentalDemand demand;
+  private final MachineReturner returner;
+  private final FleetPlanner planner = new FleetPlanner();
+  private final Map<String, RentalRequest> rentalRequests = new LinkedHashMap<>();
+  private long lastRequest;
+  private boolean closed;
+
+  MachineRenter(
+      long term,
+      ClusterState clusterState,
+      FleetRegister register,
+      CloudService cloud,
+      MachineCatalog catalog,
+      RentalDemand demand,
+      MachineReturner returner) {
+    this.term = term;
+    this.clusterState = clusterState;
+    this.register = register;
+    this.cloud = cloud;
+    this.catalog = catalog;
+    this.demand = demand;
+    this.returner = returner;
+  }
+
+  /** Ignores all later answers of the cloud. */
+  void close() {
+    closed = true;
+  }
+
+  /** Repeats requests that are due, then rents for what waits. Called once a round. */
+  void rent(long nowMicros, List<Dispatcher.Waiting> waiting) {
+    retry(nowMicros);
+    if (catalog.types().isEmpty() || rentalRequests.size() >= MAX_RENTAL_REQUESTS) {
+      return;
+    }
+    List<Need> needs = demand.needs(waiting, nowMicros);
+    if (needs.isEmpty()) {
+      return;
+    }
+    List<Rental> rentals =
+        planner.plan(
+            needs,
+            clusterState.machines().values(),
+            requestedKinds(),
+            catalog.types(),
+            demand.longBacklog(waiting, nowMicros),
+            nowMicros);
+    for (Rental rental : rentals) {
+      if (rentalRequests.size() < MAX_RENTAL_REQUESTS && cloud.mayCall(nowMicros)) {
+        // The term makes the name unique among leaders, the counter within the term.
+        RentalRequest request = new RentalRequest("dw-" + term + "-" + ++lastRequest, rental);
+        rentalRequests.put(request.name, request);
+        send(request, nowMicros);
+      }
+    }
+  }
+
+  private void retry(long nowMicros) {
+    for (RentalRequest request : List.copyOf(rentalRequests.values())) {
+      if (!request.inFlight && nowMicros >= request.nextTryAt && cloud.mayCall(nowMicros)) {
+        send(request, nowMicros);
+      }
+    }
+  }
+
+  private List<Kind> requestedKinds() {
+    List<Kind> kinds = new ArrayList<>();
+    for (RentalRequest request : rentalRequests.values()) {
+      kinds.addAll(Collections.nCopies(request.rental.count(), request.rental.kind()));
+    }
+    return kinds;
+  }
+
+  private void send(RentalRequest request, long nowMicros) {
+    Rental rental = request.rental;
+    Kind kind = rental.kind();
+    request.inFlight = true;
+    request.tries++;
+    LOG.info(
+        "renting {} {}{} in {} as {}",
+        rental.count(),
+        kind.spot() ? "spot " : "",
+        kind.type().name(),
+        kind.zone(),
+        request.name);
+    cloud.rent(
+        nowMicros,
+        request.name,
+        kind.type().name(),
+        kind.zone(),
+        kind.spot(),
+        rental.count(),
+        (answeredAt, status, body) -> onAnswer(request, status, body, answeredAt));
+  }
+
+  private void onAnswer(RentalRequest request, int status, JsonNode body, long nowMicros) {
+    if (closed) {
+      return;
+    }
+    request.inFlight = false;
+    if (status == HttpStatus.OK) {
+      onRented(request, body, nowMicros);
+    } else if (outcomeUnknown(status, body)) {
+      // Carried out or not: the same name again gives the same machines.
+      request.nextTryAt = nowMicros + RETRY_DELAY_MICROS;
+      if (request.tries >= MAX_RENT_TRIES) {
+        rentalRequests.remove(request.name);
+      }
+    } else {
+      LOG.info("renting {} refused: {}", request.name, status);
+      planner.refused(request.rental.kind(), nowMicros);
+      rentalRequests.remove(request.name);
+    }
+  }
+
+  private static boolean outcomeUnknown(int status, JsonNode body) {
+    boolean trouble = body != null && "trouble".equals(body.path("error").asText());
+    return status == HttpStatus.UNAVAILABLE && trouble
+        || status == HttpStatus.TOO_MANY_REQUESTS
+        || status == 0;
+  }
+
+  private void onRented(RentalRequest request, JsonNode body, long nowMicros) {
+    rentalRequests.remove(request.name);
+    Kind kind = request.rental.kind();
+    int count = 0;
+    for (JsonNode host : body.path("hosts")) {
+      count++;
+      addRented(host.asText(), kind, nowMicros);
+    }
+    LOG.info("rented {} of {} as {}", count, request.rental.count(), request.name);
+    if (count < request.rental.count()) {
+      planner.refused(kind, nowMicros);
+    } else {
+      planner.granted(kind);
+    }
+  }
+
+  private void addRented(String name, Kind kind, long nowMicros) {
+    if (!clusterState.machines().containsKey(name) && !returner.isGone(name)) {
+      Machine machine =
+          new Machine(
+              name, "", kind.type(), kind.zone(), kind.spot(), MachinePhase.BOOTING, nowMicros);
+      clusterState.add(machine);
+      register.note(machine, nowMicros);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/dewreach/controller/MachineReturner.java
@@ -0,0 +1,102 @@
+package org.dewreach.controller;
+
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.dewreach.cloud.CloudService;
+import org.dewreach.machine.Machine;
+import org.dewreach.machine.MachinePhase;
+import org.dewreach.wire.HttpStatus;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Returns machines to the cloud and remembers those that are gone. */
+final class MachineReturner {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineReturner.class);
+
+  private static final int MAX_RETURNED_PER_CALL = 100;
+  private static final int MAX_REMEMBERED_NAMES = 4_000;
+  private static final long RETRY_DELAY_MICROS = 1_000_000;
+
+  private final ClusterState clusterState;
+  private final FleetRegister register;
+  private final CloudService cloud;
+  private final Set<String> goneNames = new LinkedHashSet<>();
+  private boolean inFlight;
+  private long nextTryAt;
+  private boolean closed;
+
+  MachineReturner(ClusterState clusterState, FleetRegister register, CloudService cloud) {
+    this.clusterState = clusterState;
+    this.register = register;
+    this.cloud = cloud;
+  }
+
+  /** Ignores all later answers of the cloud. */
+  void close() {
+    closed = true;
+  }
+
+  /** Marks a machine to be returned with the next call. */
+  void giveUp(Machine machine, String why, long nowMicros) {
+    LOG.info("machine {} is to be returned: {}", machine.name(), why);
+    machine.become(MachinePhase.RETURNING, nowMicros);
+    clusterState.touch();
+  }
+
+  /** Returns the machines that are marked, unless a call is in flight. */
+  void returnMarked(long nowMicros) {
+    if (inFlight || nowMicros < nextTryAt || !cloud.mayCall(nowMicros)) {
+      return;
+    }
+    List<String> names = markedNames();
+    if (names.isEmpty()) {
+      return;
+    }
+    inFlight = true;
+    cloud.giveBack(
+        nowMicros, names, (answeredAt, status, body) -> onAnswer(names, status, answeredAt));
+  }
+
+  private List<String> markedNames() {
+    List<String> names = new ArrayList<>();
+    for (Machine machine : clusterState.machines().values()) {
+      if (machine.phase() == MachinePhase.RETURNING && names.size() < MAX_RETURNED_PER_CALL) {
+        names.add(machine.name());
+      }
+    }
+    return names;
+  }
+
+  private void onAnswer(List<String> names, int status, long nowMicros) {
+    if (closed) {
+      return;
+    }
+    inFlight = false;
+    if (status != HttpStatus.OK) {
+      nextTryAt = nowMicros + RETRY_DELAY_MICROS;
+      return;
+    }
+    for (String name : names) {
+      Machine machine = clusterState.machines().get(name);
+      if (machine != null) {
+        forget(machine, "returned", nowMicros);
+      }
+    }
+  }
+
+  private void forget(Machine machine, String why, long nowMicros) {
+    clusterState.gone(machine, why, nowMicros);
+    register.forget(machine, nowMicros);
+    goneNames.add(machine.name());
+    if (goneNames.size() > MAX_REMEMBERED_NAMES) {
+      goneNames.remove(goneNames.iterator().next());
+    }
+  }
+
+  /** A machine that was returned may still be listed, or heard of, for a while. */
+  boolean isGone(String name) {
+    return goneNames.contains(name);
+  }
+}
--- a/src/main/java/org/dewreach/controller/ReportHandler.java
+++ b/src/main/java/org/dewreach/controller/ReportHandler.java
@@ -326,8 +326,8 @@
   /**
    * A machine that only drains because it was set aside takes tasks again.
    *
-   * <p>Guards against a machine that is cleared once {@link FleetManager} has begun to drain it: it
-   * was given nothing, and never returned, until the term ended.
+   * <p>Guards against a machine that is cleared once {@link MachineDrainer} has begun to drain it:
+   * it was given nothing, and never returned, until the term ended.
    */
   private static void resume(Machine machine, long nowMicros) {
     if (machine.phase() == MachinePhase.DRAINING && machine.recallAt() < 0) {
--- a/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
+++ b/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
@@ -203,7 +203,7 @@
     }
   }
 
-  /** Red without giving up what never came up in {@code FleetManager.watchSilent}. */
+  /** Red without giving up what never came up in {@code MachineHealthMonitor.giveUpIfNeverUp}. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   @DisplayName("Machines that never come up are returned, and replaced at a bounded rate")
