--- a/src/main/java/org/dewreach/fleet/FleetPlanner.java
+++ b/src/main/java/org/dewreach/fleet/FleetPlanner.java
@@ -26,6 +26,10 @@
   private static final long FIRST_PAUSE_MICROS = 8_000_000;
   private static final long MAX_PAUSE_MICROS = 40_000_000;
   private static final int MAX_AT_ONCE = 50;
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  /** A machine that takes longer than twice its boot time and this is overdue. */
+  private static final long BOOT_MARGIN_MICROS = 10_000_000;
 
   /**
    * Time over which what a machine costs until it is of use is spread. A default of this project.
@@ -40,6 +44,7 @@
 
   /** A kind of machine that can be asked for. */
   public record Kind(MachineType type, String zone, boolean spot) {
+    /** The price of one such machine. */
     public double price() {
       return spot ? type.spotPrice() : type.price();
     }
@@ -134,43 +139,6 @@
   /** What can be asked for now. */
   private record Market(List<MachineType> catalog, boolean ordinaryForAll, long nowMicros) {}
 
-  /** How many more tasks of a job may be planned in each zone. */
-  private static final class ZoneAllowance {
-    private final Map<String, Integer> left = new HashMap<>();
-    private final int elsewhere;
-
-    private ZoneAllowance(int elsewhere) {
-      this.elsewhere = elsewhere;
-    }
-
-    static ZoneAllowance anyZone() {
-      return new ZoneAllowance(Integer.MAX_VALUE);
-    }
-
-    static ZoneAllowance only(String zone) {
-      ZoneAllowance allowance = new ZoneAllowance(0);
-      allowance.left.put(zone, Integer.MAX_VALUE);
-      return allowance;
-    }
-
-    /** At most half of the job's tasks, rounded up, in each zone, the bound ones included. */
-    static ZoneAllowance atMostHalf(Need need) {
-      int half = (need.spec().tasks() + 1) / 2;
-      ZoneAllowance allowance = new ZoneAllowance(half);
-      need.boundInZone()
-          .forEach((zone, bound) -> allowance.left.put(zone, Math.max(0, half - bound)));
-      return allowance;
-    }
-
-    int in(String zone) {
-      return left.getOrDefault(zone, elsewhere);
-    }
-
-    void use(String zone, int tasks) {
-      left.put(zone, in(zone) - tasks);
-    }
-  }
-
   /** The machines that one plan counts on and asks for. */
   private static final class Draft {
     final List<Coming> freeCapacities = new ArrayList<>();
@@ -355,7 +323,7 @@
   private static boolean comes(Machine machine, long nowMicros) {
     return (machine.phase() == MachinePhase.BOOTING || machine.phase() == MachinePhase.GREETED)
         && !machine.setAside()
-        && nowMicros - machine.knownSince() < 2 * machine.type().bootMicros() + 10_000_000;
+        && nowMicros - machine.knownSince() < 2 * machine.type().bootMicros() + BOOT_MARGIN_MICROS;
   }
 
   private static boolean permitted(JobRequest spec, Kind kind) {
@@ -399,8 +367,8 @@
     // Until it has booted and fetched its images, a machine is paid for and of no use.
     double gb = group.meanImageGb() * Math.min(slots, group.images().size());
     double fetchS = type.fetchGbPerS() > 0 ? gb / type.fetchGbPerS() : 0;
-    boolean late = type.bootMicros() + fetchS * 1e6 > group.need().slackMicros();
-    double idle = 1 + (type.bootMicros() / 1e6 + fetchS) / STARTUP_COST_SPREAD_S;
+    boolean late = type.bootMicros() + fetchS * MICROS_PER_SECOND > group.need().slackMicros();
+    double idle = 1 + (type.bootMicros() / MICROS_PER_SECOND + fetchS) / STARTUP_COST_SPREAD_S;
     return kind.price() * idle * (late ? LATE_COST : 1) / slots;
   }
 }
--- a/src/main/java/org/dewreach/placement/FreeCapacity.java
+++ b/src/main/java/org/dewreach/placement/FreeCapacity.java
@@ -30,22 +30,26 @@
     return new FreeCapacity(machine.freeCpus(), machine.freeGpus(), machine.freeMemoryGb());
   }
 
+  /** A copy that changes on its own. */
   public FreeCapacity copy() {
     return new FreeCapacity(cpus, gpus, memoryGb);
   }
 
+  /** True if there is room for one task of the job. */
   public boolean covers(JobRequest spec) {
     return spec.cpus() <= cpus + EPS
         && spec.gpus() <= gpus + EPS
         && spec.memoryGb() <= memoryGb + EPS;
   }
 
+  /** Gives back the room of one task. */
   public void add(JobRequest spec) {
     cpus += spec.cpus();
     gpus += spec.gpus();
     memoryGb += spec.memoryGb();
   }
 
+  /** Takes the room of one task, whether it is there or not. */
   public void take(JobRequest spec) {
     cpus -= spec.cpus();
     gpus -= spec.gpus();
--- a/src/main/java/org/dewreach/placement/QueueOrder.java
+++ b/src/main/java/org/dewreach/placement/QueueOrder.java
@@ -52,6 +52,12 @@
    */
   private static final long MAX_UNSTARTED_MICROS = 140_000_000;
 
+  /** The tier of a job that is too late even with grace. */
+  private static final int LATE_TIER = 3;
+
+  /** Rounding errors of sums of CPUs and GPUs are smaller. */
+  private static final double EPS = 1e-9;
+
   /** Before what is within a guarantee (0) and what is not (1). */
   private static final int FIRST = -1;
 
@@ -59,6 +65,7 @@
   private final Map<String, Long> finishWithin = new HashMap<>();
   private int ordersWithLongWait;
 
+  /** Creates the order for these guarantees and times to finish within. */
   public QueueOrder(Map<String, Settings.Team> teams, List<Settings.Objective> objectives) {
     this.teams = teams;
     for (Settings.Objective objective : objectives) {
@@ -136,7 +143,7 @@
     int tier =
         slack >= 0
             ? (slack < PRESSING_SLACK_MICROS ? 0 : 1)
-            : wallMicros + left <= graceDue ? 2 : 3;
+            : wallMicros + left <= graceDue ? 2 : LATE_TIER;
     double work = (double) job.pending() * spec.cpus() * spec.expectedMicros();
     return new Place(job, guarantee, tier, work);
   }
@@ -160,7 +167,7 @@
       double[] sum = taken.computeIfAbsent(team.name(), name -> new double[2]);
       sum[0] += job.spec().tasks() * job.spec().cpus();
       sum[1] += job.spec().tasks() * job.spec().gpus();
-      if (sum[0] <= team.cpus() + 1e-9 && sum[1] <= team.gpus() + 1e-9) {
+      if (sum[0] <= team.cpus() + EPS && sum[1] <= team.gpus() + EPS) {
         guaranteed.add(job);
       }
     }
--- a/src/main/java/org/dewreach/placement/Quotas.java
+++ b/src/main/java/org/dewreach/placement/Quotas.java
@@ -17,16 +17,19 @@
   private final Map<String, Settings.Team> teams;
   private final Map<String, Use> uses = new HashMap<>();
 
+  /** Creates the accounts of these teams, without any bound task. */
   public Quotas(Map<String, Settings.Team> teams) {
     this.teams = teams;
   }
 
+  /** Adds so many tasks of the job to what its team uses; a negative number removes them. */
   public void add(JobRequest spec, int tasks) {
     Use use = uses.computeIfAbsent(spec.team(), name -> new Use());
     use.cpus += tasks * spec.cpus();
     use.gpus += tasks * spec.gpus();
   }
 
+  /** The CPUs that the team's bound tasks take. */
   public double cpus(String team) {
     Use use = uses.get(team);
     return use == null ? 0 : use.cpus;
--- a/src/main/java/org/dewreach/placement/ServiceRate.java
+++ b/src/main/java/org/dewreach/placement/ServiceRate.java
@@ -13,11 +13,15 @@
   /** Arrivals are forgotten over about this long. A default of this project. */
   private static final double MEMORY_MICROS = 120e6;
 
+  /** With fewer arrivals expected no room is kept. */
+  private static final double MIN_EXPECTED_ARRIVALS = 0.2;
+
   private final double spreads;
   private double perMicro;
   private double largestCpus;
   private long lastMicros;
 
+  /** Keeps room for so many standard deviations of the arrivals. */
   public ServiceRate(double spreads) {
     this.spreads = spreads;
   }
@@ -40,6 +44,8 @@
   public double headroomCpus(long bootMicros, long nowMicros) {
     decay(nowMicros);
     double expected = perMicro * bootMicros;
-    return expected < 0.2 ? 0 : Math.ceil(spreads * Math.sqrt(expected)) * largestCpus;
+    return expected < MIN_EXPECTED_ARRIVALS
+        ? 0
+        : Math.ceil(spreads * Math.sqrt(expected)) * largestCpus;
   }
 }
--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -17,6 +17,9 @@
 public final class SortFirstFit {
   private static final double EPS = 1e-9;
 
+  /** A start is looked for within at most this many times the time given. */
+  private static final int MAX_WITHIN_FACTOR = 4;
+
   /** The order of the list. */
   public static final Comparator<Machine> ORDER =
       Comparator.comparingDouble((Machine m) -> m.type().cpus())
@@ -29,6 +32,7 @@
   private final FreeCapacityIndex onDemandCapacity = new FreeCapacityIndex();
   private boolean stale = true;
 
+  /** Adds a machine, unless it is in the list already. */
   public void add(Machine machine) {
     int at = Collections.binarySearch(machines, machine, ORDER);
     if (at < 0) {
@@ -37,6 +41,7 @@
     }
   }
 
+  /** Removes a machine, if it is in the list. */
   public void remove(Machine machine) {
     int at = Collections.binarySearch(machines, machine, ORDER);
     if (at >= 0) {
@@ -88,6 +93,7 @@
     onDemandCapacity.build();
   }
 
+  /** The list, in its order; not to be changed. */
   public List<Machine> machines() {
     return Collections.unmodifiableList(machines);
   }
@@ -116,7 +122,9 @@
    * in time, or in two or four times that.
    */
   public Machine firstFit(JobRequest spec, Predicate<Machine> allowed, long withinMicros) {
-    for (long within = withinMicros; within <= 4 * withinMicros && within > 0; within *= 2) {
+    for (long within = withinMicros;
+        within <= MAX_WITHIN_FACTOR * withinMicros && within > 0;
+        within *= 2) {
       long limit = within;
       Machine machine =
           firstFit(spec, allowed.and(candidate -> candidate.fetchMicros(spec) <= limit));
--- a/src/test/java/org/dewreach/fleet/FleetPlannerTest.java
+++ b/src/test/java/org/dewreach/fleet/FleetPlannerTest.java
@@ -17,6 +17,7 @@
 import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
+/** What is rented for waiting tasks: {@link FleetPlanner}. */
 class FleetPlannerTest {
   private static final long NO_HURRY = Long.MAX_VALUE / 4;
 
--- a/src/test/java/org/dewreach/placement/QueueOrderTest.java
+++ b/src/test/java/org/dewreach/placement/QueueOrderTest.java
@@ -13,6 +13,7 @@
 import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
+/** The order in which waiting jobs are placed: {@link QueueOrder}. */
 class QueueOrderTest {
   private static final long S = 1_000_000;
 
--- a/src/test/java/org/dewreach/placement/SortFirstFitTest.java
+++ b/src/test/java/org/dewreach/placement/SortFirstFitTest.java
@@ -12,6 +12,7 @@
 import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
+/** Which machine the list gives to a task: {@link SortFirstFit}. */
 class SortFirstFitTest {
   private static Machine machine(String name, double cpus, double memory, double gpus) {
     MachineType type = new MachineType("t", cpus, gpus, memory, 10, 1, 1, 0.3, 1, List.of("a"));
