--- a/src/main/java/org/dewreach/controller/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/controller/DirectCommandSender.java
@@ -85,7 +85,8 @@
               && machine.session() >= 0;
       if (!reachable) {
         it.remove();
-      } else if (!machine.directInFlight() && nowMicros >= machine.directAgainAt()) {
+      } else if (!machine.directCommands().inFlight()
+          && nowMicros >= machine.directCommands().notBefore()) {
         it.remove();
         send(machine, nowMicros);
       }
@@ -137,7 +138,7 @@
       if (task.phase() == TaskPhase.ASSIGNED && mayStartDirectly(machine, task)) {
         commands.add(new WorkerCommand.Start(task.name(), task.attempt()));
         started.add(task);
-        machine.startedDirectly(task.name(), task.attempt());
+        machine.directCommands().started(task.name(), task.attempt());
       } else if (task.phase() == TaskPhase.STOPPING
           && !task.haltSentDirectly()
           && task.spec().checkpointMicros() == 0) {
@@ -156,7 +157,7 @@
     ArrayNode list = body.putArray("orders");
     commands.forEach(command -> list.add(command.toNode()));
     LOG.debug("direct to {}: {}", machine.name(), commands);
-    machine.directInFlight(true);
+    machine.directCommands().inFlight(true);
     inFlight++;
     calls.call(
         new Target.Worker(machine.address()),
@@ -169,7 +170,7 @@
 
   private static boolean mayStartDirectly(Machine machine, Task task) {
     int most = task.spec().jobKind() == JobKind.SERVICE ? MAX_SERVICES : MAX_OTHERS;
-    return machine.directStarts() < most;
+    return machine.directCommands().starts() < most;
   }
 
   private void onAnswer(
@@ -177,7 +178,7 @@
     if (closed) {
       return;
     }
-    machine.directInFlight(false);
+    machine.directCommands().inFlight(false);
     inFlight--;
     boolean answered = status == 200 || status == 409;
     for (Task task : started) {
@@ -185,7 +186,7 @@
     }
     if (!answered) {
       LOG.info("machine {}: direct command without answer ({})", machine.name(), status);
-      machine.directAgainAt(nowMicros + TIMEOUT_MICROS);
+      machine.directCommands().notBefore(nowMicros + TIMEOUT_MICROS);
       machine.notReached();
       clusterState.touch();
       return;
--- a/src/main/java/org/dewreach/controller/Dispatcher.java
+++ b/src/main/java/org/dewreach/controller/Dispatcher.java
@@ -270,7 +270,7 @@
   }
 
   private static boolean barred(Machine machine, TaskName name, boolean[] hadStart) {
-    boolean had = machine.hadDirectStart(name);
+    boolean had = machine.directCommands().hadStart(name);
     hadStart[0] |= had;
     return had;
   }
--- a/src/main/java/org/dewreach/controller/FleetManager.java
+++ b/src/main/java/org/dewreach/controller/FleetManager.java
@@ -404,10 +404,10 @@
       return false;
     }
     boolean onTrial =
-        machine.erredJobs().stream()
+        machine.faults().jobs().stream()
             .map(clusterState.jobs()::get)
             .anyMatch(job -> job != null && job.unproven());
-    return nowMicros - machine.setAsideAt()
+    return nowMicros - machine.faults().setAsideAt()
         > (onTrial ? MAX_SUSPECT_MACHINE_TRIAL_MICROS : SUSPECT_MACHINE_GRACE_MICROS);
   }
 
--- a/src/main/java/org/dewreach/controller/Preemption.java
+++ b/src/main/java/org/dewreach/controller/Preemption.java
@@ -100,7 +100,7 @@
           && (machine.spot() || !spotOnly)
           && !Dispatcher.refusedLately(machine, nowMicros)
           && !job.suspects(nowMicros).contains(machine.name())
-          && !machine.hadDirectStart(next)) {
+          && !machine.directCommands().hadStart(next)) {
         FreeCapacity freeCapacity = freeCapacities.computeIfAbsent(machine, Preemption::withFreed);
         if (freeCapacity.covers(spec)) {
           freeCapacity.take(spec);
--- a/src/main/java/org/dewreach/controller/ReportHandler.java
+++ b/src/main/java/org/dewreach/controller/ReportHandler.java
@@ -207,7 +207,7 @@
     if (exited) {
       // The result stays reported until it is durable, so that no leader can miss it.
       boolean keep =
-          machine.wasStartedDirectly(reported.attempt())
+          machine.directCommands().wasStarted(reported.attempt())
               || reported.cause() == Cause.DONE
                   && job != null
                   && (job.isOpen() || job.phase() == JobPhase.FINISHING)
@@ -273,7 +273,7 @@
     switch (cause) {
       case DONE -> {
         clusterState.markDone(job, task.index());
-        machine.worked();
+        machine.faults().worked();
       }
       case ERROR -> {
         job.failedOn(machine.name(), nowMicros);
@@ -281,11 +281,11 @@
         if (job.doubtful()) {
           clear(job, nowMicros);
         } else {
-          machine.erredJobs().add(job.id());
-          machine.erred();
+          machine.faults().erred(job.id());
           if (faulty(machine, job) && !machine.setAside()) {
-            LOG.info("machine {} set aside: {} tasks failed", machine.name(), machine.errors());
-            machine.setAside(nowMicros);
+            LOG.info(
+                "machine {} set aside: {} tasks failed", machine.name(), machine.faults().errors());
+            machine.faults().setAside(nowMicros);
           }
         }
       }
@@ -300,8 +300,8 @@
 
   /** One job's failures tell as much where its other tasks have completed elsewhere. */
   private static boolean faulty(Machine machine, Job job) {
-    return machine.erredJobs().size() >= MAX_ERRED_JOBS
-        || machine.errors() >= MAX_ERRORS && job.doneCount() > 0;
+    return machine.faults().jobs().size() >= MAX_ERRED_JOBS
+        || machine.faults().errors() >= MAX_ERRORS && job.doneCount() > 0;
   }
 
   /**
@@ -313,10 +313,10 @@
   private void clear(Job job, long nowMicros) {
     for (String name : job.suspects(nowMicros)) {
       Machine machine = clusterState.machines().get(name);
-      boolean blamed = machine != null && machine.erredJobs().remove(job.id());
+      boolean blamed = machine != null && machine.faults().jobs().remove(job.id());
       if (blamed && machine.setAside() && !faulty(machine, job)) {
         LOG.info("machine {} is given tasks again: job {} fails everywhere", name, job.id());
-        machine.notSetAside();
+        machine.faults().notSetAside();
         resume(machine, nowMicros);
         clusterState.touch();
       }
--- /dev/null
+++ b/src/main/java/org/dewreach/machine/DirectCommands.java
@@ -0,0 +1,71 @@
+package org.dewreach.machine;
+
+import it.unimi.dsi.fastutil.longs.LongOpenHashSet;
+import java.util.HashSet;
+import java.util.Set;
+import org.dewreach.wire.TaskName;
+
+/**
+ * The commands that the leader sent straight to a machine's worker, rather than in the answer to a
+ * report: the starts of the worker's session, and the command that is on its way.
+ */
+public final class DirectCommands {
+  private final LongOpenHashSet attempts = new LongOpenHashSet();
+  private final Set<TaskName> tasks = new HashSet<>();
+  private boolean inFlight;
+  private long notBefore;
+
+  DirectCommands() {}
+
+  /** The worker has begun a new session: what it was sent before is over. */
+  void onNewSession() {
+    attempts.clear();
+    tasks.clear();
+  }
+
+  /** An attempt that the worker must not forget in this session. */
+  public void started(TaskName task, long attempt) {
+    attempts.add(attempt);
+    tasks.add(task);
+  }
+
+  /**
+   * True if an attempt of the task was started directly in this session.
+   *
+   * <p>Guards against a late copy of that start: a later attempt here could take the place of the
+   * one that the worker still knows, and the copy would then run beside it elsewhere.
+   */
+  public boolean hadStart(TaskName task) {
+    return tasks.contains(task);
+  }
+
+  /** True if the attempt was started directly in this session. */
+  public boolean wasStarted(long attempt) {
+    return attempts.contains(attempt);
+  }
+
+  /** Direct starts in this session. */
+  public int starts() {
+    return attempts.size();
+  }
+
+  /** True while a direct command has no outcome. */
+  public boolean inFlight() {
+    return inFlight;
+  }
+
+  /** Sets whether a direct command has no outcome. */
+  public void inFlight(boolean now) {
+    inFlight = now;
+  }
+
+  /** No direct command before this time: the last one had no answer. */
+  public long notBefore() {
+    return notBefore;
+  }
+
+  /** Sets the time before which no direct command is sent. */
+  public void notBefore(long micros) {
+    notBefore = micros;
+  }
+}
--- /dev/null
+++ b/src/main/java/org/dewreach/machine/FaultRecord.java
@@ -0,0 +1,56 @@
+package org.dewreach.machine;
+
+import java.util.HashSet;
+import java.util.Set;
+
+/** The tasks that failed on a machine since one last completed, and whether it is set aside. */
+public final class FaultRecord {
+  private final Set<String> jobs = new HashSet<>();
+  private int errors;
+  private long setAsideAt = -1;
+
+  FaultRecord() {}
+
+  /** Jobs whose tasks failed here since a task last completed here. */
+  public Set<String> jobs() {
+    return jobs;
+  }
+
+  /** Tasks that failed here since one last completed. */
+  public int errors() {
+    return errors;
+  }
+
+  /** A task of the job failed here. */
+  public void erred(String jobId) {
+    jobs.add(jobId);
+    errors++;
+  }
+
+  /** A task completed here: what failed before says nothing about the machine. */
+  public void worked() {
+    errors = 0;
+    jobs.clear();
+  }
+
+  /** True if the machine is taken for faulty: it is given nothing new. */
+  public boolean setAside() {
+    return setAsideAt >= 0;
+  }
+
+  /** When it was set aside, or -1. */
+  public long setAsideAt() {
+    return setAsideAt;
+  }
+
+  /** It is taken for faulty. */
+  public void setAside(long nowMicros) {
+    setAsideAt = nowMicros;
+  }
+
+  /** What failed here failed elsewhere too. */
+  public void notSetAside() {
+    setAsideAt = -1;
+    errors = 0;
+  }
+}
--- a/src/main/java/org/dewreach/machine/Machine.java
+++ b/src/main/java/org/dewreach/machine/Machine.java
@@ -1,11 +1,8 @@
 package org.dewreach.machine;
 
-import it.unimi.dsi.fastutil.longs.LongOpenHashSet;
 import java.util.Collection;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import java.util.Set;
 import org.dewreach.task.Task;
 import org.dewreach.wire.JobRequest;
 import org.dewreach.wire.MachineType;
@@ -25,7 +22,8 @@
   private final String zone;
   private final boolean spot;
   private final Map<TaskName, Task> tasks = new LinkedHashMap<>();
-  private final Set<String> erredJobs = new HashSet<>();
+  private final FaultRecord faults = new FaultRecord();
+  private final DirectCommands directCommands = new DirectCommands();
   private final ImageCache images;
   private final ResourceUsage used = new ResourceUsage();
   private final boolean commandedBefore;
@@ -39,15 +37,9 @@
   private long knownSince;
   private long idleSince;
   private long recallAt = -1;
-  private int errors;
-  private long setAsideAt = -1;
   private boolean retiring;
   private boolean everUp;
   private long refusedAt = Long.MIN_VALUE / 2;
-  private final LongOpenHashSet directAttempts = new LongOpenHashSet();
-  private final Set<TaskName> directTasks = new HashSet<>();
-  private boolean directInFlight;
-  private long directAgainAt;
   private boolean unreached;
   private boolean accountedFor;
   private boolean toProve;
@@ -212,8 +204,7 @@
   /** What it has told, in a report or in the answer to a direct command. */
   public void heard(long reportSession, long reportSequence) {
     if (reportSession != session) {
-      directAttempts.clear();
-      directTasks.clear();
+      directCommands.onNewSession();
     }
     session = reportSession;
     sequence = reportSequence;
@@ -285,25 +276,14 @@
     retiring = now;
   }
 
-  /** True if it is taken for faulty: it is given nothing new. */
-  public boolean setAside() {
-    return setAsideAt >= 0;
+  /** The tasks that failed here, and whether it is taken for faulty. */
+  public FaultRecord faults() {
+    return faults;
   }
 
-  /** When it was set aside. */
-  public long setAsideAt() {
-    return setAsideAt;
-  }
-
-  /** It is taken for faulty. */
-  public void setAside(long nowMicros) {
-    setAsideAt = nowMicros;
-  }
-
-  /** What failed here failed elsewhere too. */
-  public void notSetAside() {
-    setAsideAt = -1;
-    errors = 0;
+  /** True if it is taken for faulty: it is given nothing new. */
+  public boolean setAside() {
+    return faults.setAside();
   }
 
   /** When its worker last refused a start that the cluster state said would fit. */
@@ -316,50 +296,9 @@
     refusedAt = nowMicros;
   }
 
-  /** An attempt that its worker must not forget in this session. */
-  public void startedDirectly(TaskName task, long attempt) {
-    directAttempts.add(attempt);
-    directTasks.add(task);
-  }
-
-  /**
-   * True if an attempt of the task was started directly in this session.
-   *
-   * <p>Guards against a late copy of that start: a later attempt here could take the place of the
-   * one that the worker still knows, and the copy would then run beside it elsewhere.
-   */
-  public boolean hadDirectStart(TaskName task) {
-    return directTasks.contains(task);
-  }
-
-  /** True if the attempt was started directly in this session. */
-  public boolean wasStartedDirectly(long attempt) {
-    return directAttempts.contains(attempt);
-  }
-
-  /** Direct starts in this session. */
-  public int directStarts() {
-    return directAttempts.size();
-  }
-
-  /** True while a direct command has no outcome. */
-  public boolean directInFlight() {
-    return directInFlight;
-  }
-
-  /** Sets whether a direct command has no outcome. */
-  public void directInFlight(boolean now) {
-    directInFlight = now;
-  }
-
-  /** No direct command before this time: the last one had no answer. */
-  public long directAgainAt() {
-    return directAgainAt;
-  }
-
-  /** Sets the time before which no direct command is sent. */
-  public void directAgainAt(long micros) {
-    directAgainAt = micros;
+  /** What was sent straight to its worker in this session. */
+  public DirectCommands directCommands() {
+    return directCommands;
   }
 
   /** True if the image is there, as far as we have seen, or on its way for another task. */
@@ -380,27 +319,6 @@
     images.fetched(spec);
   }
 
-  /** Jobs whose tasks failed here since a task last completed here. */
-  public Set<String> erredJobs() {
-    return erredJobs;
-  }
-
-  /** Tasks that failed here since one last completed. */
-  public int errors() {
-    return errors;
-  }
-
-  /** A task failed here. */
-  public void erred() {
-    errors++;
-  }
-
-  /** A task completed here: what failed before says nothing about the machine. */
-  public void worked() {
-    errors = 0;
-    erredJobs.clear();
-  }
-
   /** The tasks bound to it. */
   public Collection<Task> tasks() {
     return tasks.values();
--- a/src/test/java/org/dewreach/controller/DispatcherTest.java
+++ b/src/test/java/org/dewreach/controller/DispatcherTest.java
@@ -103,7 +103,7 @@
     Machine machine = box("m1", true);
     Job first = job("req-1", 3, true);
     job("req-2", 1, true);
-    machine.startedDirectly(new TaskName("req-1", 0), 7);
+    machine.directCommands().started(new TaskName("req-1", 0), 7);
     dispatcher.pass(S, job -> true, 5 * S);
     assertEquals(Set.of(1, 2), Set.copyOf(first.bound().keySet()));
     assertTrue(clusterState.jobs().get("req-2").hasBound());
--- a/src/test/java/org/dewreach/controller/FleetManagerTest.java
+++ b/src/test/java/org/dewreach/controller/FleetManagerTest.java
@@ -111,8 +111,7 @@
 
   private void failed(Machine machine, Job job, long atMicros) {
     job.failedOn(machine.name(), atMicros);
-    machine.erredJobs().add(job.id());
-    machine.erred();
+    machine.faults().erred(job.id());
   }
 
   /**
@@ -124,7 +123,7 @@
     Machine machine = machine("m1");
     failed(machine, job("req-1"), S);
     failed(machine, job("req-2"), S);
-    machine.setAside(S);
+    machine.faults().setAside(S);
     play(2 * S, 58 * S);
     assertEquals(MachinePhase.UP, machine.phase());
     play(59 * S, 65 * S);
@@ -136,7 +135,7 @@
     Machine machine = machine("m1");
     List<Job> jobs = List.of(job("req-1"), job("req-2"));
     jobs.forEach(job -> failed(machine, job, S));
-    machine.setAside(S);
+    machine.faults().setAside(S);
     jobs.forEach(job -> clusterState.markDone(job, 0));
     play(2 * S, 12 * S);
     assertEquals(MachinePhase.RETURNING, machine.phase());
