--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -10,6 +10,7 @@
 import org.dewreach.store.Keys;
 import org.dewreach.store.StateService;
 import org.dewreach.wire.Codec;
+import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.WorkerReport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -98,7 +99,7 @@
       state.get(
           Keys.LEADER,
           (now, status, body) -> {
-            if (status == 200 || status == 404) {
+            if (status == HttpStatus.OK || status == HttpStatus.NOT_FOUND) {
               stateAt = now;
             }
           });
@@ -119,7 +120,7 @@
         body,
         TIMEOUT_MICROS,
         (now, status, answer) -> {
-          if (status == 200
+          if (status == HttpStatus.OK
               && answer != null
               && answer.path("term").asLong() >= Math.max(1, term)) {
             take(leader, answer, nowMicros, now);
@@ -131,7 +132,7 @@
     term = answer.path("term").asLong();
     // Counted from the asking, which was before the leader counted, and less drift.
     long delegatedMicros = answer.path("lent").asLong();
-    until = askedAt + delegatedMicros - delegatedMicros / 500;
+    until = askedAt + delegatedMicros - ClockDrift.within(delegatedMicros);
     echo = answer.path("at").asLong();
     echoOf = leader;
     inContact(false, nowMicros);
@@ -144,7 +145,7 @@
    */
   public void leading(long itsTerm, long delegatedMicros, long nowMicros) {
     term = itsTerm;
-    until = nowMicros + delegatedMicros - delegatedMicros / 500;
+    until = nowMicros + delegatedMicros - ClockDrift.within(delegatedMicros);
     inContact(true, nowMicros);
   }
 
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -1,94 +1,61 @@
 package org.dewreach.leadership;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.Collections;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.random.RandomGenerator;
 import org.dewreach.port.Calls;
-import org.dewreach.port.ConnectionPool;
-import org.dewreach.port.Target;
-import org.dewreach.store.Change;
-import org.dewreach.store.Condition;
 import org.dewreach.store.Keys;
 import org.dewreach.store.StateService;
-import org.dewreach.wire.Codec;
+import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * One controller's part in choosing the leader.
  *
- * <p>Authority is counted from the sending of the last lease renewal that succeeded, less clock
- * drift: the state service ends a lease early for nobody, so the key cannot pass to another node
- * while authority lasts. When authority has run out but the lease turns out to have survived (an
- * outage of the state service gives leases their full time again), the same term goes on. While
- * renewals fail, every node's {@linkplain FollowerGrants grant} stands in for the lease.
+ * <p>A candidate makes a {@link LeaderClaim}: it opens a lease and writes the leader key with it,
+ * if the key is absent. The revision of that write is the term. {@link LeaderAuthority} renews the
+ * lease of the term and says until when it may act; {@link FollowerGrants} is what this node has
+ * granted to the terms of others.
  */
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-  /**
-   * Length of the lease. A default of this project: short enough to take over well within a
-   * worker's lease.
-   */
-  static final long LEASE_TTL_MICROS = 2_600_000;
+  private static final long WATCH_MS = 8_000;
 
-  private static final long RENEW_INTERVAL_MICROS = 550_000;
-  private static final long RENEW_TIMEOUT_MICROS = 800_000;
-  private static final long RENEW_RETRY_MICROS = 150_000;
+  /** Pause before the key is read again after an error, or after this node gave up the lead. */
+  private static final long READ_RETRY_MICROS = 300_000;
 
-  /** Two clocks that drift by up to 0.05% each, doubled, and a little for timer steps. */
-  private static final long AUTHORITY_MICROS = LEASE_TTL_MICROS - LEASE_TTL_MICROS / 500 - 30_000;
+  /** Pause before the key is read again when it stays unclear whether a claim was applied. */
+  private static final long VERIFY_RETRY_MICROS = 200_000;
 
-  private static final long WATCH_MS = 8_000;
+  /** Upper limit of the random delay of a claim. A default of this project. */
+  private static final long MAX_CLAIM_DELAY_MICROS = 150_000;
 
   /** A node that gave up the lead lets others claim it first. A default of this project. */
   private static final long RESIGNED_MICROS = 10_000_000;
 
-  /** With less authority than this left, renewals are failing: grants are asked for. */
-  private static final long LOW_AUTHORITY_MICROS = 1_500_000;
-
-  private static final long REQUEST_INTERVAL_MICROS = 400_000;
-  private static final long REQUEST_TIMEOUT_MICROS = 700_000;
-
   /** Where a node is asked for a grant. */
   public static final String GRANT_PATH = "/peer/promise";
 
-  /** What this controller is in the election. */
-  public enum State {
-    /** Learning who leads. */
-    FOLLOWING,
-    /** The key is absent: waiting a moment so that not all nodes claim it at once. */
-    WAITING,
-    /** Opening a lease for the claim. */
-    OPENING,
-    /** Writing the leader key. */
-    CLAIMING,
-    /** The claim had no clear answer: reading who holds the key. */
-    VERIFYING,
-    /** Holding the key. */
-    LEADING
-  }
-
   /** What the rest of the core wants to know. */
   public interface Listener {
+    /** This node leads under a new term. */
     void onElected(long nowMicros, long term);
 
+    /** The term that this node led is over. */
     void onDeposed(long nowMicros, long term);
   }
 
   private final StateService state;
-  private final Calls calls;
-  private final List<String> others;
   private final String self;
   private final String boot;
   private final RandomGenerator random;
   private final Listener listener;
+  private final LeaderClaim claim;
+  private final LeaderAuthority authority;
 
-  private State phase = State.FOLLOWING;
+  private ElectionState phase = ElectionState.FOLLOWING;
   private String leader;
   private boolean leaderAbsent;
   private long seenRevision;
@@ -98,19 +65,16 @@
   private boolean watching;
   private long readAgainAt;
   private long claimAt;
-  private long leaseId;
-  private long leaseSentAt;
-  private long term;
-  private long authorityUntil;
-  private boolean extending;
-  private boolean failing;
-  private long extendAt;
   private long lastContact = -1;
   private FollowerGrants followerGrants;
-  private boolean mayAct;
-  private long askAt;
-  private final Map<String, Long> grantedUntil = new HashMap<>();
 
+  /**
+   * Without a leader known of yet.
+   *
+   * @param others names of the other controllers
+   * @param boot identifies this process among those of the same name
+   * @param random spreads the claims of several nodes in time
+   */
   public Election(
       StateService state,
       Calls calls,
@@ -120,90 +84,58 @@
       RandomGenerator random,
       Listener listener) {
     this.state = state;
-    this.calls = calls;
-    this.others = others;
     this.self = self;
     this.boot = boot;
     this.random = random;
     this.listener = listener;
+    this.claim = new LeaderClaim(state, self, boot);
+    this.authority =
+        new LeaderAuthority(state, calls, others, self, this::onRenewed, this::onLeaseEnded);
   }
 
-  public State phase() {
+  /** What this controller is in the election now. */
+  public ElectionState phase() {
     return phase;
   }
 
   /** Name of the leader as last seen, or null. */
   public String leader() {
-    return phase == State.LEADING ? self : leader;
+    return phase == ElectionState.LEADING ? self : leader;
   }
 
   /** True if the key was last seen absent: nobody leads then. */
   public boolean leaderAbsent() {
-    return leaderAbsent && phase != State.LEADING;
+    return leaderAbsent && phase != ElectionState.LEADING;
   }
 
+  /** The term that this node leads or last led, or 0. */
   public long term() {
-    return term;
+    return authority.term();
   }
 
   /** True while no other term can act: by the lease, or by every node's grant. */
   public boolean hasAuthority(long nowMicros) {
-    return phase == State.LEADING && mayAct && nowMicros < actsUntil();
+    return phase == ElectionState.LEADING && authority.holds(nowMicros);
   }
 
   /** When authority ends, as far as it is known now. */
   public long actsUntil() {
-    return Math.max(authorityUntil, allGrantedUntil());
-  }
-
-  private long allGrantedUntil() {
-    if (grantedUntil.size() < others.size() + 1) {
-      return Long.MIN_VALUE;
-    }
-    return Collections.min(grantedUntil.values());
+    return authority.actsUntil();
   }
 
   /** Another node's leader asks this one to let no later term act for a while. */
   public boolean grant(long forTerm, long nowMicros) {
     return followerGrants != null
-        && phase != State.LEADING
+        && phase != ElectionState.LEADING
         && followerGrants.grant(forTerm, nowMicros);
   }
 
-  private void requestGrants(long nowMicros) {
-    if (nowMicros < askAt
-        || !hasAuthority(nowMicros)
-        || authorityUntil - nowMicros > LOW_AUTHORITY_MICROS) {
-      return;
-    }
-    askAt = nowMicros + REQUEST_INTERVAL_MICROS;
-    if (followerGrants.grant(term, nowMicros)) {
-      grantedUntil.put(self, nowMicros + FollowerGrants.COUNTED_GRANT_MICROS);
-    }
-    long forTerm = term;
-    for (String other : others) {
-      calls.call(
-          new Target.Member(other),
-          ConnectionPool.LEADERSHIP,
-          "POST",
-          GRANT_PATH,
-          Codec.map().put("term", forTerm),
-          REQUEST_TIMEOUT_MICROS,
-          (now, status, body) -> {
-            boolean given = status == 200 && body != null && body.path("given").asBoolean(false);
-            if (given && phase == State.LEADING && term == forTerm) {
-              grantedUntil.merge(other, nowMicros + FollowerGrants.COUNTED_GRANT_MICROS, Math::max);
-            }
-          });
-    }
-  }
-
   /** When the state service last answered this node, or -1. */
   public long lastContact() {
     return lastContact;
   }
 
-  private void become(State next, String why) {
+  private void become(ElectionState next, String why) {
     if (phase != next) {
       LOG.info("election: {} -> {} ({})", phase, next, why);
       phase = next;
@@ -217,15 +149,7 @@
       followerGrants = new FollowerGrants(0);
     }
     switch (phase) {
-      case LEADING -> {
-        if (!mayAct && followerGrants.letAct(term, nowMicros)) {
-          mayAct = true;
-        }
-        requestGrants(nowMicros);
-        if (!extending && nowMicros >= extendAt) {
-          extend(nowMicros);
-        }
-      }
+      case LEADING -> authority.tick(followerGrants, nowMicros);
       case WAITING -> {
         if (nowMicros >= claimAt) {
           open(nowMicros);
@@ -244,14 +168,14 @@
 
   /** The leader key was found lost by a write: step down at once. */
   public void lost(long nowMicros, String why) {
-    if (phase == State.LEADING) {
+    if (phase == ElectionState.LEADING) {
       depose(nowMicros, why);
     }
   }
 
   /** Gives the lead to another node, which may reach what this one does not. */
   public void resign(long nowMicros, String why) {
-    if (phase == State.LEADING) {
+    if (phase == ElectionState.LEADING) {
       claimNotBefore = nowMicros + RESIGNED_MICROS;
       depose(nowMicros, why);
     }
@@ -262,7 +186,7 @@
     return switch (phase) {
       case FOLLOWING -> lastContact < 0;
       case WAITING, OPENING, CLAIMING, VERIFYING -> true;
-      case LEADING -> !mayAct;
+      case LEADING -> !authority.begun();
     };
   }
 
@@ -275,17 +199,17 @@
       // Not of an earlier term: it would lead requests back to a leader that is over.
       return;
     }
-    if (phase == State.LEADING && itsTerm > term && !hasAuthority(nowMicros)) {
+    if (phase == ElectionState.LEADING && itsTerm > authority.term() && !hasAuthority(nowMicros)) {
       depose(nowMicros, "another node tells of term " + itsTerm);
     }
-    if (phase != State.LEADING) {
+    if (phase != ElectionState.LEADING) {
       leader = name;
     }
   }
 
   /** The latest term this node knows of; for telling others. */
   public long latestTerm() {
-    return phase == State.LEADING ? term : leaderStamp;
+    return phase == ElectionState.LEADING ? authority.term() : leaderStamp;
   }
 
   private void read(long nowMicros) {
@@ -295,91 +219,94 @@
 
   private void onRead(long nowMicros, int status, JsonNode body) {
     reading = false;
-    if (status == 200 || status == 404) {
+    if (status == HttpStatus.OK || status == HttpStatus.NOT_FOUND) {
       lastContact = nowMicros;
     }
-    if (phase != State.FOLLOWING && phase != State.VERIFYING) {
+    if (phase != ElectionState.FOLLOWING && phase != ElectionState.VERIFYING) {
       return;
     }
-    if (status == 200) {
-      JsonNode data = body.path("data");
-      String name = data.path("name").asText();
-      long holderLeaseId = body.path("hold").asLong(0);
-      long stamp = body.path("stamp").asLong();
-      if (name.equals(self) && data.path("boot").asText().equals(boot)) {
-        if (phase == State.VERIFYING && holderLeaseId == leaseId) {
-          elected(nowMicros, stamp);
-        } else {
-          // A claim of ours that was applied late: give it up, nobody may rely on it.
-          drop(nowMicros, holderLeaseId);
-        }
-        return;
-      }
-      if (name.equals(self)) {
-        // Left by an earlier process of this node, which is gone for sure.
-        LOG.info("election: revoking the lease of an earlier process of this node");
-        drop(nowMicros, holderLeaseId);
-        return;
-      }
-      abandonClaim();
-      leader = name;
-      leaderAbsent = false;
-      seenRevision = stamp;
-      leaderStamp = stamp;
-      followerGrants.over(stamp);
-      become(State.FOLLOWING, "led by " + name);
-      watch();
-    } else if (status == 404) {
-      abandonClaim();
-      leader = null;
-      leaderAbsent = true;
-      seenRevision = body.path("ledger_rev").asLong(0);
-      // Every term up to this revision has lost its key.
-      followerGrants.over(seenRevision + 1);
-      if (nowMicros < claimNotBefore) {
-        become(State.FOLLOWING, "another node is to lead");
-        readAgainAt = nowMicros + 300_000;
-        return;
-      }
-      claimAt = nowMicros + random.nextLong(150_000);
-      become(State.WAITING, "no leader");
-    } else if (phase == State.VERIFYING) {
-      retryRead(nowMicros, 200_000);
+    if (status == HttpStatus.OK) {
+      onKeyPresent(nowMicros, body);
+    } else if (status == HttpStatus.NOT_FOUND) {
+      onKeyAbsent(nowMicros, body);
+    } else if (phase == ElectionState.VERIFYING) {
+      retryRead(nowMicros, VERIFY_RETRY_MICROS);
     } else {
-      retryRead(nowMicros, 300_000);
+      retryRead(nowMicros, READ_RETRY_MICROS);
     }
   }
 
-  private void retryRead(long nowMicros, long pause) {
-    if (phase == State.VERIFYING) {
-      // Nothing was granted to anybody yet, so the claim can simply be given up.
-      abandonClaim();
-      become(State.FOLLOWING, "claim unclear");
+  private void onKeyPresent(long nowMicros, JsonNode body) {
+    JsonNode data = body.path("data");
+    String name = data.path("name").asText();
+    long holderLeaseId = body.path("hold").asLong(0);
+    long stamp = body.path("stamp").asLong();
+    if (name.equals(self)) {
+      onOwnKey(nowMicros, data.path("boot").asText(), holderLeaseId, stamp);
+      return;
     }
-    readAgainAt = nowMicros + pause;
+    claim.abandon();
+    leader = name;
+    leaderAbsent = false;
+    seenRevision = stamp;
+    leaderStamp = stamp;
+    followerGrants.over(stamp);
+    become(ElectionState.FOLLOWING, "led by " + name);
+    watch();
   }
 
-  /** Ends the lease of a claim that is not wanted any more; a late put with it is then refused. */
-  private void abandonClaim() {
-    if (leaseId > 0) {
-      long old = leaseId;
-      leaseId = 0;
-      state.revokeLease(old, (now, status, body) -> {});
+  private void onOwnKey(long nowMicros, String holderBoot, long holderLeaseId, long stamp) {
+    if (!holderBoot.equals(boot)) {
+      // Left by an earlier process of this node, which is gone for sure.
+      LOG.info("election: revoking the lease of an earlier process of this node");
+      drop(nowMicros, holderLeaseId);
+    } else if (phase == ElectionState.VERIFYING && claim.hasLease(holderLeaseId)) {
+      elected(nowMicros, stamp);
+    } else {
+      // A claim of ours that was applied late: give it up, nobody may rely on it.
+      drop(nowMicros, holderLeaseId);
     }
   }
 
-  private void drop(long nowMicros, long holderLeaseId) {
-    if (leaseId == holderLeaseId) {
-      leaseId = 0;
+  private void onKeyAbsent(long nowMicros, JsonNode body) {
+    claim.abandon();
+    leader = null;
+    leaderAbsent = true;
+    seenRevision = body.path("ledger_rev").asLong(0);
+    // Every term up to this revision has lost its key.
+    followerGrants.over(seenRevision + 1);
+    if (nowMicros < claimNotBefore) {
+      become(ElectionState.FOLLOWING, "another node is to lead");
+      readAgainAt = nowMicros + READ_RETRY_MICROS;
+      return;
+    }
+    claimAt = nowMicros + random.nextLong(MAX_CLAIM_DELAY_MICROS);
+    become(ElectionState.WAITING, "no leader");
+  }
+
+  private void retryRead(long nowMicros, long pause) {
+    if (phase == ElectionState.VERIFYING) {
+      // Nothing was granted to anybody yet, so the claim can simply be given up.
+      claim.abandon();
+      become(ElectionState.FOLLOWING, "claim unclear");
     }
-    abandonClaim();
-    become(State.FOLLOWING, "revoking an old lease");
+    readAgainAt = nowMicros + pause;
+  }
+
+  private void drop(long nowMicros, long holderLeaseId) {
+    claim.forget(holderLeaseId);
+    claim.abandon();
+    become(ElectionState.FOLLOWING, "revoking an old lease");
     reading = true;
     state.revokeLease(
         holderLeaseId,
         (now, status, body) -> {
           reading = false;
-          readAgainAt = now + (status == 200 || status == 404 ? 0 : 300_000);
+          readAgainAt =
+              now
+                  + (status == HttpStatus.OK || status == HttpStatus.NOT_FOUND
+                      ? 0
+                      : READ_RETRY_MICROS);
         });
   }
 
@@ -391,111 +318,74 @@
         WATCH_MS,
         (now, status, body) -> {
           watching = false;
-          if (status == 200) {
+          if (status == HttpStatus.OK) {
             lastContact = now;
           }
-          readAgainAt = now + (status == 200 || status == 410 ? 0 : 300_000);
-          if (phase == State.FOLLOWING && status == 200 && body.path("log").isEmpty()) {
+          readAgainAt =
+              now + (status == HttpStatus.OK || status == HttpStatus.GONE ? 0 : READ_RETRY_MICROS);
+          if (phase == ElectionState.FOLLOWING
+              && status == HttpStatus.OK
+              && body.path("log").isEmpty()) {
             // Nothing changed; keep watching from here without reading the key again.
             seenRevision = Math.max(seenRevision, body.path("ledger_rev").asLong(0));
             watch();
-          } else if (phase == State.FOLLOWING) {
+          } else if (phase == ElectionState.FOLLOWING) {
             tick(now);
           }
         });
   }
 
   private void open(long nowMicros) {
-    become(State.OPENING, "claiming");
-    long sentAt = nowMicros;
-    state.openLease(
-        LEASE_TTL_MICROS / 1000,
-        1_500_000,
+    become(ElectionState.OPENING, "claiming");
+    claim.openLease(
+        nowMicros,
         (now, status, body) -> {
-          if (status == 200) {
-            leaseId = body.path("hold").asLong();
-            leaseSentAt = sentAt;
-            claim(now);
+          if (status == HttpStatus.OK) {
+            writeKey();
           } else {
-            become(State.FOLLOWING, "no lease: " + status);
-            readAgainAt = now + 300_000;
+            become(ElectionState.FOLLOWING, "no lease: " + status);
+            readAgainAt = now + READ_RETRY_MICROS;
           }
         });
   }
 
-  private void claim(long nowMicros) {
-    become(State.CLAIMING, "lease open");
-    ObjectNode data = Codec.map().put("name", self).put("boot", boot);
-    state.commit(
-        List.of(new Condition(Keys.LEADER, 0)),
-        List.of(new Change(Keys.LEADER, data)),
-        leaseId,
-        1_500_000,
+  private void writeKey() {
+    become(ElectionState.CLAIMING, "lease open");
+    claim.writeKey(
         (now, status, body) -> {
-          if (status == 200) {
+          if (status == HttpStatus.OK) {
             elected(now, body.path("ledger_rev").asLong());
           } else {
-            become(State.VERIFYING, "claim answered " + status);
+            become(ElectionState.VERIFYING, "claim answered " + status);
             read(now);
           }
         });
   }
 
   private void elected(long nowMicros, long stamp) {
-    term = stamp;
-    mayAct = false;
-    failing = false;
-    grantedUntil.clear();
+    authority.begin(stamp, claim.leaseId(), claim.leaseSentAt(), nowMicros);
     leaderAbsent = false;
     leader = self;
-    authorityUntil = leaseSentAt + AUTHORITY_MICROS;
-    extending = false;
-    extendAt = nowMicros;
     lastContact = nowMicros;
-    become(State.LEADING, "term " + term);
-    listener.onElected(nowMicros, term);
+    become(ElectionState.LEADING, "term " + stamp);
+    listener.onElected(nowMicros, stamp);
     tick(nowMicros);
   }
 
-  private void extend(long nowMicros) {
-    extending = true;
-    long sentAt = nowMicros;
-    long forTerm = term;
-    state.renewLease(
-        leaseId,
-        RENEW_TIMEOUT_MICROS,
-        (now, status, body) -> {
-          if (phase != State.LEADING || term != forTerm) {
-            return;
-          }
-          extending = false;
-          if (status == 200) {
-            lastContact = now;
-            if (failing) {
-              LOG.info("election: extensions succeed again");
-            }
-            failing = false;
-            authorityUntil = Math.max(authorityUntil, sentAt + AUTHORITY_MICROS);
-            extendAt = sentAt + RENEW_INTERVAL_MICROS;
-          } else if (status == 404) {
-            depose(now, "lease ended");
-          } else {
-            if (!failing) {
-              LOG.info("election: renewals fail ({}); asking for grants soon", status);
-            }
-            failing = true;
-            extendAt = now + RENEW_RETRY_MICROS;
-          }
-        });
+  private void onRenewed(long nowMicros) {
+    lastContact = nowMicros;
+  }
+
+  private void onLeaseEnded(long nowMicros) {
+    depose(nowMicros, "lease ended");
   }
 
   private void depose(long nowMicros, String why) {
-    long old = term;
-    abandonClaim();
-    authorityUntil = 0;
+    claim.abandon();
+    authority.end();
     leader = null;
-    become(State.FOLLOWING, why);
+    become(ElectionState.FOLLOWING, why);
     readAgainAt = nowMicros;
-    listener.onDeposed(nowMicros, old);
+    listener.onDeposed(nowMicros, authority.term());
   }
 }
--- a/src/main/java/org/dewreach/leadership/FollowerGrants.java
+++ b/src/main/java/org/dewreach/leadership/FollowerGrants.java
@@ -19,15 +19,21 @@
   public static final long GRANT_MICROS = 1_600_000;
 
   /** The leader counts a grant from its asking, and as a little shorter, for clock drift. */
-  static final long COUNTED_GRANT_MICROS = GRANT_MICROS - GRANT_MICROS / 500 - 20_000;
+  static final long COUNTED_GRANT_MICROS = GRANT_MICROS - ClockDrift.within(GRANT_MICROS) - 20_000;
 
-  private static final long QUARANTINE_MICROS = GRANT_MICROS + GRANT_MICROS / 500 + 20_000;
+  private static final long QUARANTINE_MICROS =
+      GRANT_MICROS + ClockDrift.within(GRANT_MICROS) + 20_000;
 
   private final long startedAt;
   private long grantedUntil = Long.MIN_VALUE;
   private long grantedTerm;
   private long lowestLiving;
 
+  /**
+   * Without any grant yet.
+   *
+   * @param startedAt when this node was started; an earlier process may have granted until then
+   */
   public FollowerGrants(long startedAt) {
     this.startedAt = startedAt;
   }
--- a/src/main/java/org/dewreach/leadership/LeaseDelegations.java
+++ b/src/main/java/org/dewreach/leadership/LeaseDelegations.java
@@ -35,7 +35,9 @@
   }
 
   private static final long OUT_OF_CONTACT_MICROS =
-      DelegateRenewer.OUT_OF_CONTACT_MICROS - DelegateRenewer.OUT_OF_CONTACT_MICROS / 500 - 20_000;
+      DelegateRenewer.OUT_OF_CONTACT_MICROS
+          - ClockDrift.within(DelegateRenewer.OUT_OF_CONTACT_MICROS)
+          - 20_000;
 
   private final Map<String, Node> nodes = new HashMap<>();
   private final long term;
@@ -46,7 +48,7 @@
   private long ownUntil = Long.MIN_VALUE;
 
   /**
-   * The Delegations of a term.
+   * The delegations of a term.
    *
    * @param ownRenewalAt when this node last renewed leases as a delegate itself: guards against a
    *     term that goes on after an outage and counts leases without what it answered in between
@@ -91,7 +93,7 @@
       long ago = request.path("answered_ago").asLong(-1);
       // One that has not since its start may have before: an earlier process of it.
       long since = ago < 0 ? request.path("up").asLong(0) : ago;
-      node.answeredAt = Math.max(node.answeredAt, nowMicros - since + since / 500);
+      node.answeredAt = Math.max(node.answeredAt, nowMicros - since + ClockDrift.within(since));
     }
     node.delegatedUntil = Math.max(node.delegatedUntil, nowMicros + delegatedMicros);
     return Codec.map().put("term", term).put("lent", delegatedMicros).put("at", nowMicros);
--- a/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
+++ b/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
@@ -16,6 +16,7 @@
 import org.dewreach.wire.WorkerReport;
 import org.junit.jupiter.api.Test;
 
+/** When a node answers workers in place of the leader. */
 class DelegateRenewerTest {
   private static final long S = 1_000_000;
   private final Calls calls = new Calls();
--- a/src/test/java/org/dewreach/leadership/ElectionTest.java
+++ b/src/test/java/org/dewreach/leadership/ElectionTest.java
@@ -11,6 +11,7 @@
 import org.dewreach.wire.Codec;
 import org.junit.jupiter.api.Test;
 
+/** What a controller takes from others about who leads. */
 class ElectionTest {
   private static final long S = 1_000_000;
 
--- a/src/test/java/org/dewreach/leadership/FollowerGrantsTest.java
+++ b/src/test/java/org/dewreach/leadership/FollowerGrantsTest.java
@@ -6,6 +6,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
+/** Two terms never act at once under what the nodes grant. */
 class FollowerGrantsTest {
   private static final long S = 1_000_000;
 
--- a/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
+++ b/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
@@ -10,6 +10,7 @@
 import org.dewreach.wire.Codec;
 import org.junit.jupiter.api.Test;
 
+/** Until when a leader reckons with what delegates may have answered. */
 class LeaseDelegationsTest {
   private static final long S = 1_000_000;
 
