--- /dev/null
+++ b/src/main/java/org/dewreach/controller/CancellationGate.java
@@ -0,0 +1,69 @@
+package org.dewreach.controller;
+
+import org.dewreach.config.Settings;
+import org.dewreach.job.Job;
+import org.dewreach.leadership.LeaseDelegations;
+
+/**
+ * Balances cancellations and lease delegations: which cancellation may be told while other nodes
+ * may renew leases, and for how long leases may be renewed by others in view of cancelled jobs.
+ */
+final class CancellationGate implements JobRecordWriter.Gate {
+  private final ClusterState clusterState;
+  private final Settings settings;
+  private final LeaseDelegations delegations;
+  private final RecoveryTracker recovery;
+
+  CancellationGate(
+      ClusterState clusterState,
+      Settings settings,
+      LeaseDelegations delegations,
+      RecoveryTracker recovery) {
+    this.clusterState = clusterState;
+    this.settings = settings;
+    this.delegations = delegations;
+    this.recovery = recovery;
+  }
+
+  /** For how long from now the workers of a zone may be answered without this leader. */
+  long delegableMicros(String zone, long nowMicros) {
+    Settings.Workers workers = settings.workers();
+    long delegatedMicros = workers.maxDelegationMicros();
+    for (Job job : clusterState.jobs().values()) {
+      // Its tasks must be gone in time even if no command reaches them any more: so once it is
+      // told, and so that it can be told before long.
+      long until =
+          switch (job.phase()) {
+            case HALTING -> job.withdrawAskedAt() + workers.maxDelegationMicros();
+            case WITHDRAWING, WITHDRAWN -> job.withdrawnAt() + workers.goneInTimeMicros();
+            // When a withdrawn job is being finished its tasks are gone.
+            case ACCEPTING, LIVE, FINISHING, OVER -> Long.MAX_VALUE;
+          };
+      if (until - nowMicros < delegatedMicros && mayRunIn(job, zone)) {
+        delegatedMicros = until - nowMicros;
+      }
+    }
+    return Math.max(0, delegatedMicros);
+  }
+
+  private boolean mayRunIn(Job job, String zone) {
+    return job.boundInZone(zone) > 0 || !recovery.allSeen(job);
+  }
+
+  /**
+   * True if a withdrawal that is told now is kept, whoever answers the workers meanwhile: no task
+   * starts any more, and those that run are gone in time.
+   *
+   * <p>Guards against a machine that goes on after it hung, or hears a start late: what was to
+   * start there would begin after its user was told.
+   */
+  @Override
+  public boolean goneInTime(Job job, long nowMicros) {
+    if (!recovery.allSeen(job) || job.mayBegin()) {
+      return false;
+    }
+    long latest = nowMicros + Math.max(0, settings.workers().goneInTimeMicros());
+    return settings.zones().stream()
+        .noneMatch(zone -> mayRunIn(job, zone) && delegations.delegatedUntil(zone) > latest);
+  }
+}
--- /dev/null
+++ b/src/main/java/org/dewreach/controller/RecoveryTracker.java
@@ -0,0 +1,80 @@
+package org.dewreach.controller;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.dewreach.fleet.FleetPlanner;
+import org.dewreach.job.Job;
+import org.dewreach.machine.Machine;
+import org.dewreach.placement.SortFirstFit;
+
+/** Tracks the machines on which tasks of earlier terms may run that this term does not know of. */
+final class RecoveryTracker {
+  /** How often it is looked at which machines are still to be accounted for. */
+  private static final long UPDATE_INTERVAL_MICROS = 50_000;
+
+  private final ClusterState clusterState;
+  private final FleetManager fleet;
+  private long nextUpdate;
+
+  /** Machines of earlier terms that are not accounted for, while this term recovers. */
+  private final List<Machine> unaccounted = new ArrayList<>();
+
+  /** One of them of each kind: a job that may run on one may run on all of the kind. */
+  private final Map<FleetPlanner.Kind, Machine> unaccountedKinds = new LinkedHashMap<>();
+
+  RecoveryTracker(ClusterState clusterState, FleetManager fleet) {
+    this.clusterState = clusterState;
+    this.fleet = fleet;
+  }
+
+  /** Begins with all machines of the cluster state as it was loaded. */
+  void start() {
+    unaccounted.addAll(clusterState.machines().values());
+  }
+
+  /**
+   * Drops the machines of which it has become known what earlier terms left there; it stays known.
+   *
+   * <p>Guards against a pass over all machines for each event: while a thousand of them report to a
+   * leader that has just started, that took half of its time.
+   *
+   * @return true if it was found now that every machine is accounted for
+   */
+  boolean update(long nowMicros) {
+    if (nowMicros < nextUpdate) {
+      return false;
+    }
+    nextUpdate = nowMicros + UPDATE_INTERVAL_MICROS;
+    unaccounted.removeIf(machine -> !mayRunUnseen(machine, nowMicros));
+    unaccountedKinds.clear();
+    for (Machine machine : unaccounted) {
+      unaccountedKinds.putIfAbsent(
+          new FleetPlanner.Kind(machine.type(), machine.zone(), machine.spot()), machine);
+    }
+    return unaccounted.isEmpty();
+  }
+
+  /** True if tasks of earlier terms may run there that we do not know of. */
+  private boolean mayRunUnseen(Machine machine, long nowMicros) {
+    // One that is in no record was never given commands: it may be a late copy's ghost.
+    boolean open = machine.commandedBefore() && !machine.accountedFor();
+    return switch (machine.phase()) {
+      case UNHEARD, GREETED -> open;
+      case RETURNING -> open && !fleet.leaseSurelyOver(machine, nowMicros);
+      case BOOTING, UP, LOST, DRAINING, GONE -> false;
+    };
+  }
+
+  /**
+   * True if no task of the job can run unseen. While some machines of earlier terms are not
+   * accounted for, that holds for jobs of this term, and for those that were allowed on none of
+   * these machines: services need not wait for what became of spot machines.
+   */
+  boolean allSeen(Job job) {
+    return job.ofThisTerm()
+        || unaccountedKinds.values().stream()
+            .noneMatch(machine -> SortFirstFit.permitted(job.spec(), machine));
+  }
+}
--- a/src/test/java/org/dewreach/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/dewreach/sim/FaultCombinationsTest.java
@@ -57,7 +57,7 @@
       }
     },
 
-    /** Guard: {@code LeadershipTerm.allSeen}. */
+    /** Guard: {@code RecoveryTracker.allSeen}. */
     HAND_OVER_AND_BACK {
       @Override
       void bring(Day day) {
@@ -106,7 +106,7 @@
       }
     },
 
-    /** Guards: {@code FleetManager.leaseSurelyOver}, {@code LeadershipTerm.allSeen}. */
+    /** Guards: {@code FleetManager.leaseSurelyOver}, {@code RecoveryTracker.allSeen}. */
     CUT_ZONE {
       @Override
       void bring(Day day) {
@@ -180,7 +180,7 @@
       }
     },
 
-    /** Guards: {@code Machine.isNewer}, {@code LeadershipTerm.allSeen}. */
+    /** Guards: {@code Machine.isNewer}, {@code RecoveryTracker.allSeen}. */
     OLD_REPORTS {
       @Override
       void bring(Day day) {
@@ -207,7 +207,7 @@
       }
     },
 
-    /** Guards: {@code LeadershipTerm.allSeen}, {@code FleetManager.leaseSurelyOver}. */
+    /** Guards: {@code RecoveryTracker.allSeen}, {@code FleetManager.leaseSurelyOver}. */
     AT_THE_LIMIT {
       @Override
       void bring(Day day) {
@@ -237,7 +237,7 @@
       }
     },
 
-    /** Guards: {@code LeadershipTerm.allSeen}, {@code FleetManager.leaseSurelyOver}. */
+    /** Guards: {@code RecoveryTracker.allSeen}, {@code FleetManager.leaseSurelyOver}. */
     LEADER_ALONE_WITH_WORKERS {
       @Override
       void bring(Day day) {
@@ -261,7 +261,7 @@
     },
 
     /**
-     * Guards: {@code LeadershipTerm.allSeen}; seed 1: the leader condition in {@code
+     * Guards: {@code RecoveryTracker.allSeen}; seed 1: the leader condition in {@code
      * CommitQueue.send}.
      */
     TEN_LEADERS {
@@ -382,7 +382,7 @@
       }
     },
 
-    /** Guards: {@code LeadershipTerm.allSeen}, {@code FleetManager.leaseSurelyOver}. */
+    /** Guards: {@code RecoveryTracker.allSeen}, {@code FleetManager.leaseSurelyOver}. */
     LEADER_ENDS_UNHEARD {
       @Override
       void bring(Day day) {
@@ -412,7 +412,7 @@
       }
     },
 
-    /** Guard: {@code LeadershipTerm.allSeen}. */
+    /** Guard: {@code RecoveryTracker.allSeen}. */
     HELD_REPORT {
       @Override
       void bring(Day day) {
@@ -448,7 +448,7 @@
     },
 
     /**
-     * Guards: {@code LeadershipTerm.allSeen}; with seed 2 the mark in {@code
+     * Guards: {@code RecoveryTracker.allSeen}; with seed 2 the mark in {@code
      * CommitQueue.onConflict}.
      */
     LATE_TRANSACTIONS {
@@ -471,7 +471,7 @@
       }
     },
 
-    /** Guard: {@code LeadershipTerm.allSeen}. */
+    /** Guard: {@code RecoveryTracker.allSeen}. */
     ENDS_FAR_APART {
       @Override
       void bring(Day day) {
--- a/src/test/java/org/dewreach/sim/StaleMessageTest.java
+++ b/src/test/java/org/dewreach/sim/StaleMessageTest.java
@@ -21,7 +21,7 @@
   /** How a case is brought about, and what shows that it took place. */
   private enum Case {
     /**
-     * Guards: {@code LeadershipTerm.allSeen}, {@code FleetManager.leaseSurelyOver}; with seed 10
+     * Guards: {@code RecoveryTracker.allSeen}, {@code FleetManager.leaseSurelyOver}; with seed 10
      * {@code Task.mayStartLate}.
      */
     LATE_COMMANDS {
@@ -49,7 +49,7 @@
 
     /**
      * Guards: the sureness in {@code ReportHandler.take}, {@code Machine.isNewer}, {@code
-     * LeadershipTerm.allSeen}.
+     * RecoveryTracker.allSeen}.
      */
     REPORTS_KEPT_FOR_THE_NEXT_LEADER {
       @Override
@@ -71,7 +71,7 @@
       }
     },
 
-    /** Guards: {@code LeadershipTerm.allSeen}, {@code FleetManager.leaseSurelyOver}. */
+    /** Guards: {@code RecoveryTracker.allSeen}, {@code FleetManager.leaseSurelyOver}. */
     MACHINES_UP_AT_ONCE {
       @Override
       void bring(Day day) {
@@ -104,7 +104,7 @@
       }
     },
 
-    /** Guards: what may run unseen in {@code Dispatcher.pass}, {@code LeadershipTerm.allSeen}. */
+    /** Guards: what may run unseen in {@code Dispatcher.pass}, {@code RecoveryTracker.allSeen}. */
     ALL_TEAMS_AT_THE_LIMIT {
       private boolean full;
 
@@ -134,7 +134,7 @@
       }
     },
 
-    /** Guards: {@code FleetManager.leaseSurelyOver}, {@code LeadershipTerm.allSeen}. */
+    /** Guards: {@code FleetManager.leaseSurelyOver}, {@code RecoveryTracker.allSeen}. */
     ANSWERED_UNDER_PROMISES {
       @Override
       void bring(Day day) {
