--- a/src/test/java/org/dewreach/sim/LeaderFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/LeaderFaultCombination.java
@@ -5,7 +5,7 @@
 
 /** Combinations around leaders that change, end or are left alone. */
 enum LeaderFaultCombination implements FaultCombination {
-  /** Guard: {@code LeadershipTerm.allSeen}. */
+  /** Guard: {@code RecoveryTracker.allSeen}. */
   HAND_OVER_AND_BACK {
     @Override
     public void bring(Day day) {
@@ -33,7 +33,7 @@
     }
   },
 
-  /** Guards: {@code LeadershipTerm.allSeen}, {@code FleetManager.leaseSurelyOver}. */
+  /** Guards: {@code RecoveryTracker.allSeen}, {@code MachineHealthMonitor.leaseSurelyOver}. */
   LEADER_ALONE_WITH_WORKERS {
     @Override
     public void bring(Day day) {
@@ -57,7 +57,7 @@
   },
 
   /**
-   * Guards: {@code LeadershipTerm.allSeen}; seed 1: the leader condition in {@code
+   * Guards: {@code RecoveryTracker.allSeen}; seed 1: the leader condition in {@code
    * CommitQueue.send}.
    */
   TEN_LEADERS {
@@ -100,7 +100,7 @@
     }
   },
 
-  /** Guards: {@code LeadershipTerm.allSeen}, {@code FleetManager.leaseSurelyOver}. */
+  /** Guards: {@code RecoveryTracker.allSeen}, {@code MachineHealthMonitor.leaseSurelyOver}. */
   LEADER_ENDS_UNHEARD {
     @Override
     public void bring(Day day) {
@@ -130,7 +130,7 @@
     }
   },
 
-  /** Guards: {@code LeadershipTerm.allSeen}, {@code FleetManager.leaseSurelyOver}. */
+  /** Guards: {@code RecoveryTracker.allSeen}, {@code MachineHealthMonitor.leaseSurelyOver}. */
   AT_THE_LIMIT {
     @Override
     public void bring(Day day) {
@@ -160,7 +160,7 @@
     }
   },
 
-  /** Guard: {@code LeadershipTerm.allSeen}. */
+  /** Guard: {@code RecoveryTracker.allSeen}. */
   ENDS_FAR_APART {
     @Override
     public void bring(Day day) {
--- a/src/test/java/org/dewreach/sim/StateServiceFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/StateServiceFaultCombination.java
@@ -36,7 +36,7 @@
     }
   },
 
-  /** Guard: {@code FleetManager.leaseSurelyOver}, with seed 3. */
+  /** Guard: {@code MachineHealthMonitor.leaseSurelyOver}, with seed 3. */
   CANCELLED_AT_THE_REFUSAL {
     @Override
     public void bring(Day day) {
@@ -95,7 +95,8 @@
   },
 
   /**
-   * Guards: {@code LeadershipTerm.allSeen}; with seed 2 the mark in {@code CommitQueue.onConflict}.
+   * Guards: {@code RecoveryTracker.allSeen}; with seed 2 the mark in {@code
+   * CommitQueue.onConflict}.
    */
   LATE_TRANSACTIONS {
     @Override
--- a/src/test/java/org/dewreach/sim/WorkerFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/WorkerFaultCombination.java
@@ -4,7 +4,7 @@
 
 /** Combinations around workers that are cut off, mute or lost, and around their late messages. */
 enum WorkerFaultCombination implements FaultCombination {
-  /** Guards: {@code FleetManager.leaseSurelyOver}, {@code LeadershipTerm.allSeen}. */
+  /** Guards: {@code MachineHealthMonitor.leaseSurelyOver}, {@code RecoveryTracker.allSeen}. */
   CUT_ZONE {
     @Override
     public void bring(Day day) {
@@ -59,7 +59,7 @@
     }
   },
 
-  /** Guard: {@code FleetManager.leaseSurelyOver}. */
+  /** Guard: {@code MachineHealthMonitor.leaseSurelyOver}. */
   MUTE_MACHINES {
     @Override
     public void bring(Day day) {
@@ -78,7 +78,7 @@
     }
   },
 
-  /** Guards: {@code Machine.isNewer}, {@code LeadershipTerm.allSeen}. */
+  /** Guards: {@code Machine.isNewer}, {@code RecoveryTracker.allSeen}. */
   OLD_REPORTS {
     @Override
     public void bring(Day day) {
@@ -105,7 +105,7 @@
     }
   },
 
-  /** Guards: {@code Machine.isNewer}, {@code FleetManager.leaseSurelyOver}. */
+  /** Guards: {@code Machine.isNewer}, {@code MachineHealthMonitor.leaseSurelyOver}. */
   MORE_WORK_THAN_ROOM {
     @Override
     public void bring(Day day) {
@@ -126,7 +126,9 @@
     }
   },
 
-  /** Guards: {@code FleetManager.leaseSurelyOver}; with seed 1 {@code Task.mayStartLate}. */
+  /**
+   * Guards: {@code MachineHealthMonitor.leaseSurelyOver}; with seed 1 {@code Task.mayStartLate}.
+   */
   HELD_COMMANDS {
     @Override
     public void bring(Day day) {
@@ -145,7 +147,7 @@
     }
   },
 
-  /** Guard: {@code LeadershipTerm.allSeen}. */
+  /** Guard: {@code RecoveryTracker.allSeen}. */
   HELD_REPORT {
     @Override
     public void bring(Day day) {
