--- /dev/null
+++ b/src/main/java/org/dewreach/controller/JobLookup.java
@@ -0,0 +1,113 @@
+package org.dewreach.controller;
+
+import com.github.benmanes.caffeine.cache.Cache;
+import com.github.benmanes.caffeine.cache.Caffeine;
+import org.dewreach.config.Settings;
+import org.dewreach.store.Keys;
+import org.dewreach.store.RateBudget;
+import org.dewreach.store.StateService;
+import org.dewreach.wire.JobState;
+import org.dewreach.wire.MalformedException;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Looks up jobs that the leader's cluster state does not have, and remembers those that ended. */
+final class JobLookup {
+  private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
+  private static final int MAX_REMEMBERED = 5_000;
+
+  /**
+   * Share of the state service's rate for looking up what the cluster state does not have. A
+   * default of this project.
+   */
+  private static final double RATE_SHARE = 0.3;
+
+  /** The state of a job that was looked up, and how many of its tasks are done. */
+  record Result(JobState jobState, int done) {}
+
+  /** Takes the outcome of a lookup. */
+  interface Callback {
+    /** Called with null if there is no such job. */
+    void onResult(Result found);
+  }
+
+  private final ClusterState clusterState;
+  private final LeaderlessJobImporter jobImporter;
+  private final StateService state;
+  private final RateBudget budget;
+  private final Cache<String, Result> over =
+      Caffeine.newBuilder().maximumSize(MAX_REMEMBERED).executor(Runnable::run).build();
+
+  JobLookup(
+      ClusterState clusterState,
+      LeaderlessJobImporter jobImporter,
+      StateService state,
+      Settings settings) {
+    this.clusterState = clusterState;
+    this.jobImporter = jobImporter;
+    this.state = state;
+    double rps = settings.stateLimits().rps() * RATE_SHARE;
+    this.budget = new RateBudget(rps, rps);
+  }
+
+  /** Returns the final state of a job that ended, or null if it is not remembered. */
+  Result remembered(String id) {
+    return over.getIfPresent(id);
+  }
+
+  /** Keeps the final state of a job, as long as there is room. */
+  void remember(String id, Result result) {
+    over.put(id, result);
+  }
+
+  /**
+   * Reads the state of a job that the cluster state does not have: accepted without us, or over;
+   * null if there is none. A job moves from the new records into our cluster state, and from there
+   * to the final ones, so looking in this order misses none.
+   */
+  void find(String id, Callback then, Runnable unknown, long nowMicros) {
+    if (!budget.tryTake(nowMicros)) {
+      unknown.run();
+      return;
+    }
+    state.get(
+        Keys.newJob(id),
+        (now, status, body) -> {
+          if (status == 200) {
+            boolean withdrawn = body.path("data").path("off").asBoolean(false);
+            jobImporter.adopt(Keys.newJob(id), body.path("data"), body.path("stamp").asLong(), now);
+            then.onResult(new Result(withdrawn ? JobState.WITHDRAWN : JobState.PENDING, 0));
+          } else if (status != 404 || clusterState.jobs().containsKey(id)) {
+            unknown.run();
+          } else {
+            findOver(id, then, unknown);
+          }
+        });
+  }
+
+  private void findOver(String id, Callback then, Runnable unknown) {
+    state.get(
+        Keys.over(id),
+        (now, status, body) -> {
+          if (status == 404) {
+            then.onResult(null);
+            return;
+          }
+          if (status != 200) {
+            unknown.run();
+            return;
+          }
+          try {
+            Result found =
+                new Result(
+                    JobState.of(body.path("data").path("standing").asText()),
+                    body.path("data").path("done").asInt());
+            over.put(id, found);
+            then.onResult(found);
+          } catch (MalformedException e) {
+            LOG.error("final record of {} not understood", id);
+            unknown.run();
+          }
+        });
+  }
+}
--- a/src/main/java/org/dewreach/controller/JobRequestHandler.java
+++ b/src/main/java/org/dewreach/controller/JobRequestHandler.java
@@ -1,7 +1,5 @@
 package org.dewreach.controller;
 
-import com.github.benmanes.caffeine.cache.Cache;
-import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -10,8 +8,6 @@
 import org.dewreach.job.Admission;
 import org.dewreach.job.Job;
 import org.dewreach.job.JobPhase;
-import org.dewreach.store.Keys;
-import org.dewreach.store.RateBudget;
 import org.dewreach.store.StateService;
 import org.dewreach.wire.Codec;
 import org.dewreach.wire.JobRequest;
@@ -23,7 +19,6 @@
 /** The leader's answers to users. Nothing is told that is not durable. */
 final class JobRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(JobRequestHandler.class);
-  private static final int MAX_REMEMBERED = 5_000;
 
   /** Users wait 5 s; halts that are heard at all take less than this. A default of this project. */
   private static final long HALT_MICROS = 1_500_000;
@@ -31,25 +26,12 @@
   /** A question about a job that is about to end, and what answers it then. */
   private record AwaitingEnd(Answer answer, Runnable then) {}
 
-  /** The final state of a job. */
-  record Final(JobState jobState, int done) {}
-
-  /**
-   * Share of the state service's rate for looking up what the cluster state does not have. A
-   * default of this project.
-   */
-  private static final double LOOK_UP_SHARE = 0.3;
-
   private final ClusterState clusterState;
   private final JobRecordWriter recordWriter;
-  private final LeaderlessJobImporter jobImporter;
-  private final RateBudget lookUps;
-  private final StateService state;
+  private final JobLookup lookup;
   private final MachineCatalog catalog;
   private final Settings settings;
   private final long wallOffsetMicros;
-  private final Cache<String, Final> over =
-      Caffeine.newBuilder().maximumSize(MAX_REMEMBERED).executor(Runnable::run).build();
   private final Map<String, List<Answer>> awaitingAcceptance = new HashMap<>();
   private final Map<String, List<Answer>> awaitingWithdrawal = new HashMap<>();
   private final Map<String, List<AwaitingEnd>> awaitingEnd = new HashMap<>();
@@ -64,10 +46,7 @@
       long wallOffsetMicros) {
     this.clusterState = clusterState;
     this.recordWriter = recordWriter;
-    this.jobImporter = jobImporter;
-    double rps = settings.stateLimits().rps() * LOOK_UP_SHARE;
-    this.lookUps = new RateBudget(rps, rps);
-    this.state = state;
+    this.lookup = new JobLookup(clusterState, jobImporter, state, settings);
     this.catalog = catalog;
     this.settings = settings;
     this.wallOffsetMicros = wallOffsetMicros;
@@ -87,16 +66,10 @@
     String id = submit.jobId();
     Job known = clusterState.jobs().get(id);
     if (known != null) {
-      if (known.phase() == JobPhase.ACCEPTING) {
-        await(awaitingAcceptance, id, answer);
-      } else if (isEnding(known)) {
-        awaitEnd(id, answer, () -> submit(submit, answer, nowMicros), nowMicros);
-      } else {
-        answer.send(200, known.jobState().answer(id), 0);
-      }
+      submitKnown(submit, known, answer, nowMicros);
       return;
     }
-    Final done = over.getIfPresent(id);
+    JobLookup.Result done = lookup.remembered(id);
     if (done != null) {
       answer.send(200, done.jobState().answer(id), 0);
       return;
@@ -126,6 +99,18 @@
     }
   }
 
+  /** A repeat of a job that the cluster state has. */
+  private void submitKnown(UserRequest.Submit submit, Job known, Answer answer, long nowMicros) {
+    String id = known.id();
+    if (known.phase() == JobPhase.ACCEPTING) {
+      await(awaitingAcceptance, id, answer);
+    } else if (isEnding(known)) {
+      awaitEnd(id, answer, () -> submit(submit, answer, nowMicros), nowMicros);
+    } else {
+      answer.send(200, known.jobState().answer(id), 0);
+    }
+  }
+
   /**
    * A record exists although the cluster state lacks it: the job is over, or was accepted without
    * us.
@@ -134,7 +119,7 @@
     clusterState.jobs().remove(job.id());
     List<Answer> answers = awaitingAcceptance.remove(job.id());
     if (answers != null) {
-      lookUp(
+      lookup.find(
           job.id(),
           found -> {
             for (Answer answer : answers) {
@@ -152,7 +137,7 @@
 
   /** A repeat of a job that is known is answered with its state, whatever it would be now. */
   private void unlessKnown(String id, Answer answer, int status, String why, long nowMicros) {
-    lookUp(
+    lookup.find(
         id,
         found -> {
           if (found == null && clusterState.jobs().containsKey(id)) {
@@ -169,61 +154,6 @@
         nowMicros);
   }
 
-  private interface Found {
-    void on(Final found);
-  }
-
-  /**
-   * Reads the state of a job that the cluster state does not have: accepted without us, or over;
-   * null if there is none. A job moves from the new records into our cluster state, and from there
-   * to the final ones, so looking in this order misses none.
-   */
-  private void lookUp(String id, Found then, Runnable unknown, long nowMicros) {
-    if (!lookUps.tryTake(nowMicros)) {
-      unknown.run();
-      return;
-    }
-    state.get(
-        Keys.newJob(id),
-        (now, status, body) -> {
-          if (status == 200) {
-            boolean withdrawn = body.path("data").path("off").asBoolean(false);
-            jobImporter.adopt(Keys.newJob(id), body.path("data"), body.path("stamp").asLong(), now);
-            then.on(new Final(withdrawn ? JobState.WITHDRAWN : JobState.PENDING, 0));
-          } else if (status != 404 || clusterState.jobs().containsKey(id)) {
-            unknown.run();
-          } else {
-            lookUpOver(id, then, unknown);
-          }
-        });
-  }
-
-  private void lookUpOver(String id, Found then, Runnable unknown) {
-    state.get(
-        Keys.over(id),
-        (now, status, body) -> {
-          if (status == 404) {
-            then.on(null);
-            return;
-          }
-          if (status != 200) {
-            unknown.run();
-            return;
-          }
-          try {
-            Final found =
-                new Final(
-                    JobState.of(body.path("data").path("standing").asText()),
-                    body.path("data").path("done").asInt());
-            over.put(id, found);
-            then.on(found);
-          } catch (MalformedException e) {
-            LOG.error("final record of {} not understood", id);
-            unknown.run();
-          }
-        });
-  }
-
   private static void await(Map<String, List<Answer>> waiting, String id, Answer answer) {
     waiting.computeIfAbsent(id, key -> new ArrayList<>(1)).add(answer);
   }
@@ -267,12 +197,12 @@
       }
       return;
     }
-    Final done = over.getIfPresent(id);
+    JobLookup.Result done = lookup.remembered(id);
     if (done != null) {
       answer.send(200, done.jobState().answer(id, done.done(), 0), 0);
       return;
     }
-    lookUp(
+    lookup.find(
         id,
         found -> {
           if (found != null) {
@@ -291,26 +221,7 @@
   private void withdraw(String id, Answer answer, long nowMicros) {
     Job job = clusterState.jobs().get(id);
     if (job == null) {
-      Final done = over.getIfPresent(id);
-      if (done != null) {
-        answer.send(200, done.jobState().answer(id), 0);
-        return;
-      }
-      lookUp(
-          id,
-          found -> {
-            boolean over = found != null && found.jobState() != JobState.PENDING;
-            if (over) {
-              answer.send(200, found.jobState().answer(id), 0);
-            } else if (found != null || clusterState.jobs().containsKey(id)) {
-              // Accepted while we looked, or without us and just taken over.
-              answer.later();
-            } else {
-              answer.send(404, null, 0);
-            }
-          },
-          answer::later,
-          nowMicros);
+      withdrawUnknown(id, answer, nowMicros);
       return;
     }
     switch (job.phase()) {
@@ -333,18 +244,46 @@
       case WITHDRAWING -> await(awaitingWithdrawal, id, answer);
       case LIVE -> {
         await(awaitingWithdrawal, id, answer);
-        job.become(JobPhase.HALTING);
-        job.withdrawAskedAt(nowMicros);
-        // At once, not with the next reports, and also while nothing can be written: its user is
-        // told when they are gone.
-        List.copyOf(job.bound().values())
-            .forEach(task -> clusterState.stop(task, "to be withdrawn", nowMicros));
-        clusterState.touch();
-        recordWriter.pump(job, nowMicros);
+        halt(job, nowMicros);
       }
     }
   }
 
+  /** A job that the cluster state does not have: over, accepted without us, or none. */
+  private void withdrawUnknown(String id, Answer answer, long nowMicros) {
+    JobLookup.Result done = lookup.remembered(id);
+    if (done != null) {
+      answer.send(200, done.jobState().answer(id), 0);
+      return;
+    }
+    lookup.find(
+        id,
+        found -> {
+          boolean over = found != null && found.jobState() != JobState.PENDING;
+          if (over) {
+            answer.send(200, found.jobState().answer(id), 0);
+          } else if (found != null || clusterState.jobs().containsKey(id)) {
+            // Accepted while we looked, or without us and just taken over.
+            answer.later();
+          } else {
+            answer.send(404, null, 0);
+          }
+        },
+        answer::later,
+        nowMicros);
+  }
+
+  private void halt(Job job, long nowMicros) {
+    job.become(JobPhase.HALTING);
+    job.withdrawAskedAt(nowMicros);
+    // At once, not with the next reports, and also while nothing can be written: its user is
+    // told when they are gone.
+    List.copyOf(job.bound().values())
+        .forEach(task -> clusterState.stop(task, "to be withdrawn", nowMicros));
+    clusterState.touch();
+    recordWriter.pump(job, nowMicros);
+  }
+
   /**
    * Guards against answers held back while writes do not get through: users are told at once to
    * come back, whatever they wait for.
@@ -389,7 +328,7 @@
   }
 
   void onOver(Job job) {
-    over.put(job.id(), new Final(job.finalState(), job.doneCount()));
+    lookup.remember(job.id(), new JobLookup.Result(job.finalState(), job.doneCount()));
     answerAll(awaitingWithdrawal, job.id(), 200, job.finalState());
     onEnd(job.id());
   }
