--- a/src/main/java/org/dewreach/controller/Core.java
+++ b/src/main/java/org/dewreach/controller/Core.java
@@ -151,7 +151,8 @@
 
   @Override
   public void onElected(long nowMicros, long number) {
-    // What an earlier term of this node lent it, the cluster state of this one does not know of.
+    // What an earlier term of this node delegated it, the cluster state of this one does not know
+    // of.
     ownDelegationUntil = 0;
     nextOwnDelegation = nowMicros;
     term =
--- a/src/main/java/org/dewreach/leadership/FollowerGrants.java
+++ b/src/main/java/org/dewreach/leadership/FollowerGrants.java
@@ -47,7 +47,7 @@
     return nowMicros < grantedUntil;
   }
 
-  /** Promises to let no later term act for a while, unless a later one is known of. */
+  /** Grants that no later term acts for a while, unless a later one is known of. */
   public boolean grant(long term, long nowMicros) {
     if (quarantined(nowMicros) || term < lowestLiving || running(nowMicros) && grantedTerm > term) {
       return false;
--- a/src/main/java/org/dewreach/port/ConnectionPool.java
+++ b/src/main/java/org/dewreach/port/ConnectionPool.java
@@ -5,6 +5,6 @@
   /** Everything that may wait: users' requests, the records, workers, the cloud. */
   GENERAL,
 
-  /** What the lead depends on: the hold, the leader key and the other nodes' promises. */
+  /** What the lead depends on: its lease, the leader key and the other nodes' grants. */
   LEADERSHIP
 }
--- a/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
+++ b/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
@@ -14,7 +14,7 @@
 class LeaseDelegationsTest {
   private static final long S = 1_000_000;
 
-  /** A cancellation has 30 s, a lease 10 s: 20 s less drift and the margin can be lent. */
+  /** A cancellation has 30 s, a lease 10 s: 20 s less drift and the margin can be delegated. */
   private static final Settings.Workers WORKERS = new Settings.Workers(S, 10 * S, 30 * S);
 
   private static Settings settings() {
@@ -74,7 +74,10 @@
     assertEquals(148 * S, delegations.answeredUntil("b", 131 * S));
   }
 
-  /** Guards against a process that forgot, being started again, that it had stood in. */
+  /**
+   * Guards against a process that forgot, being started again, that it had renewed leases as a
+   * delegate.
+   */
   @Test
   void aRestartedNodeMayHaveAnsweredBefore() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
--- a/src/test/java/org/dewreach/sim/BadInputTest.java
+++ b/src/test/java/org/dewreach/sim/BadInputTest.java
@@ -33,7 +33,7 @@
     FOLLOWER_WITHOUT_LEADER,
     /** The leader has just ended and none has followed it. */
     NO_LEADER,
-    /** The leader acts under the other nodes' promises. */
+    /** The leader acts under the other nodes' grants. */
     LEADER_IN_OUTAGE,
     FOLLOWER_IN_OUTAGE,
     /** Every node was started again in the outage. */
@@ -223,7 +223,8 @@
     world.play(131 * S);
     assertTrue(world.checker.accepted(LIVE), "it was not accepted");
     assertEquals("done", world.checker.finalTold(DONE));
-    // The next leader has the finished job neither in its books nor among the states it remembers.
+    // The next leader has the finished job neither in its cluster state nor among the states it
+    // remembers.
     world.crash(world.leading(), S);
     world.play(150 * S);
     Questions questions =
--- a/src/test/java/org/dewreach/sim/CancellationTest.java
+++ b/src/test/java/org/dewreach/sim/CancellationTest.java
@@ -113,7 +113,7 @@
   /**
    * A zone is cut off with a controller that stands in for the leader outside, where users cancel.
    *
-   * <p>Red without the loans in {@code CancellationGate.goneInTime}.
+   * <p>Red without the delegations in {@code CancellationGate.goneInTime}.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
@@ -155,7 +155,8 @@
    * that the leader knows of all their starts.
    *
    * <p>A start that the leader has not seen carried out at the cut may still begin, so its job is
-   * rightly told only when its machine is returned ({@code Job.mayBegin}), after the loans ended.
+   * rightly told only when its machine is returned ({@code Job.mayBegin}), after the delegations
+   * ended.
    */
   private static void playUntilSettled(World world, long untilMicros) {
     world.play(untilMicros - 3 * S);
--- a/src/test/java/org/dewreach/sim/CurrentAnswersTest.java
+++ b/src/test/java/org/dewreach/sim/CurrentAnswersTest.java
@@ -230,7 +230,7 @@
 
   /**
    * A leader that stands still while it looks a repeat up finds the job neither among the new
-   * records nor in its own books: the next leader has taken it over meanwhile.
+   * records nor in its own cluster state: the next leader has taken it over meanwhile.
    *
    * <p>Guard: {@code Core.underAuthority}, which asks for authority also where a submission is
    * judged. Without it the repeat was answered 400 or 422.
--- a/src/test/java/org/dewreach/sim/Day.java
+++ b/src/test/java/org/dewreach/sim/Day.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** What a day has seen by the time its meeting begins, and which trouble is the last to end. */
+/** What a day has seen by the time its combination begins, and which trouble is the last to end. */
 final class Day {
   private static final long S = 1_000_000;
 
--- a/src/test/java/org/dewreach/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/dewreach/sim/FaultCombinationsTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The meetings of two troubles in which schedulers broke rules. Each is brought about with several
- * seeds, from which the moments are drawn around the critical one. The rules are checked after each
- * step; after the troubles also that nobody is forgotten or left waiting.
+ * The combinations of two troubles in which schedulers broke rules. Each is brought about with
+ * several seeds, from which the moments are drawn around the critical one. The rules are checked
+ * after each step; after the troubles also that nobody is forgotten or left waiting.
  */
 class FaultCombinationsTest {
   private static final long S = 1_000_000;
 
-  /** Three seeds of each meeting; more with -Dsim.seeds, from -Dsim.from on. */
+  /** Three seeds of each combination; more with -Dsim.seeds, from -Dsim.from on. */
   static Stream<Arguments> combinations() {
     long from = Long.getLong("sim.from", 1);
     long seeds = Long.getLong("sim.seeds", 3);
@@ -51,7 +51,8 @@
   /**
    * Guards against a new leader that renews leases without knowing what its predecessor had
    * confirmed as cancelled: it won the key a moment before the state service went down for all, so
-   * that its books stay unread, and the other nodes' promises let it answer reports all the time.
+   * that its cluster state is not loaded, and the other nodes' grants let it answer reports all the
+   * time.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2, 5, 6})
--- a/src/test/java/org/dewreach/sim/LeaderFailureTest.java
+++ b/src/test/java/org/dewreach/sim/LeaderFailureTest.java
@@ -129,7 +129,7 @@
     added.forEach(id -> assertTrue(world.checker.finalTold(id) != null, id + " never ended"));
   }
 
-  /** Guards against a process that trips over its own key, hold or forgotten promises. */
+  /** Guards against a process that trips over its own key, hold or forgotten grants. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
   @DisplayName("Controllers that are back at once, also in mid-election, cost no lease")
--- a/src/test/java/org/dewreach/sim/StaleMessageTest.java
+++ b/src/test/java/org/dewreach/sim/StaleMessageTest.java
@@ -139,7 +139,7 @@
       @Override
       void bring(Day day) {
         double refused = day.between(1, 3);
-        // The leader answers reports until the promises end, after another has won the key; then
+        // The leader answers reports until the grants end, after another has won the key; then
         // most machines cannot be reached until their leases are over.
         day.world.state.onLeaderKey =
             name ->
--- a/src/test/java/org/dewreach/sim/StateServiceFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/StateServiceFaultCombination.java
@@ -6,7 +6,8 @@
   REFUSED_THEN_OUTAGE {
     @Override
     public void bring(Day day) {
-      // All nodes of a zone away for longer than what they were lent: then cancellations of tasks
+      // All nodes of a zone away for longer than what they were delegated: then cancellations of
+      // tasks
       // there are confirmed at once, also while their machines cannot be reached.
       boolean away = day.oneIn(2);
       double refused = away ? day.between(32, 36) : day.between(15, 16);
@@ -31,7 +32,7 @@
 
     @Override
     public boolean tookPlace(Day day) {
-      // A leader may also go on under promises, if the outage begins before its hold ends.
+      // A leader may also go on under grants, if the outage begins before its lease ends.
       return day.withdrawn() > 0;
     }
   },
--- a/src/test/java/org/dewreach/sim/World.java
+++ b/src/test/java/org/dewreach/sim/World.java
@@ -108,7 +108,9 @@
     /** A handful of machines; small pages, so that paging is always exercised. */
     static final Size SMALL = new Size(1, 10, 30, 24, 250, 60, 4, 4, 7, 5);
 
-    /** Cancellations have time for more than a lease beside the longest loan of a delegate. */
+    /**
+     * Cancellations have time for more than a lease beside the longest delegation of a delegate.
+     */
     static final Size LONG_CANCEL = new Size(2.5, 15.25, 40.25, 24, 250, 60, 4, 4, 7, 5);
 
     /** Hundreds of machines on small services. */
