--- a/src/test/java/org/dewreach/sim/CancellationTest.java
+++ b/src/test/java/org/dewreach/sim/CancellationTest.java
@@ -117,7 +117,7 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
-  @DisplayName("What a stand-in keeps alive is told to be cancelled only if it is gone in time")
+  @DisplayName("What a delegate keeps alive is told to be cancelled only if it is gone in time")
   void toldOnceDelegationsEndInTime(long seed) {
     World world = new World(seed);
     world.live(100 * S, 1_500_000);
--- a/src/test/java/org/dewreach/sim/CurrentAnswersTest.java
+++ b/src/test/java/org/dewreach/sim/CurrentAnswersTest.java
@@ -6,7 +6,6 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import java.util.stream.LongStream;
 import java.util.stream.Stream;
 import org.dewreach.store.Keys;
 import org.dewreach.wire.JobRequest;
@@ -25,14 +24,14 @@
   private static final long S = 1_000_000;
 
   /** How a combination is brought about, and what shows that it took place. */
-  private enum Combination {
+  private enum Combination implements FaultCombination {
     /**
      * Guards: {@code JobRequestHandler.isEnding}; the second look at live records in {@code
      * LeaderlessRequestHandler.read}.
      */
     CLOSE_LOOKS {
       @Override
-      void bring(Day day) {
+      public void bring(Day day) {
         day.world.users.closeLooks(day.until(90));
         day.world.users.cancelAtEnd(200, day.until(90));
         for (double at = 0; at < 80; at += day.between(0.3, 1.5)) {
@@ -46,7 +45,7 @@
       }
 
       @Override
-      boolean tookPlace(Day day) {
+      public boolean tookPlace(Day day) {
         return day.withdrawn() > 5 && day.world.checker.toldDone > day.doneBefore + 5;
       }
     },
@@ -57,7 +56,7 @@
      */
     ANSWERS_LOST {
       @Override
-      void bring(Day day) {
+      public void bring(Day day) {
         int share = 100 + day.random.nextInt(500);
         day.world.state.loseAnswers(share, day.until(50));
         day.world.users.closeLooks(day.until(60));
@@ -79,7 +78,7 @@
       }
 
       @Override
-      boolean tookPlace(Day day) {
+      public boolean tookPlace(Day day) {
         return day.world.state.lostAnswers > 20 && day.withdrawn() > 3;
       }
     },
@@ -87,7 +86,7 @@
     /** Guard: the second look at live records in {@code LeaderlessRequestHandler.read} (seed 3). */
     CANCELLED_AT_A_CHANGE_OF_LEADER {
       @Override
-      void bring(Day day) {
+      public void bring(Day day) {
         day.world.users.closeLooks(day.until(90));
         for (double at = 2; at < 75; at += day.between(8, 14)) {
           for (int i = 0; i < 4; i++) {
@@ -102,7 +101,7 @@
       }
 
       @Override
-      boolean tookPlace(Day day) {
+      public boolean tookPlace(Day day) {
         return day.leaders() > 2 && day.withdrawn() > 5;
       }
     },
@@ -110,7 +109,7 @@
     /** Guard: the second look at live records in {@code LeaderlessRequestHandler.read}. */
     MANY_SHORT_JOBS {
       @Override
-      void bring(Day day) {
+      public void bring(Day day) {
         day.world.users.closeLooks(day.until(100));
         for (double at = 0; at < 90; at += 0.25) {
           day.in(at, day.world.users::arriveShort);
@@ -122,15 +121,11 @@
       }
 
       @Override
-      boolean tookPlace(Day day) {
+      public boolean tookPlace(Day day) {
         return day.withdrawn() > 20 && day.world.checker.toldDone > day.doneBefore + 100;
       }
     };
 
-    abstract void bring(Day day);
-
-    abstract boolean tookPlace(Day day);
-
     /** The leader ends, stands still, is refused, hears no worker, or is back at once. */
     private static void changeLeader(Day day) {
       String leader = day.leader();
@@ -179,30 +174,14 @@
 
   /** Three seeds of each combination; more with -Dsim.seeds, from -Dsim.from on. */
   static Stream<Arguments> combinations() {
-    long from = Long.getLong("sim.from", 1);
-    long seeds = Long.getLong("sim.seeds", 3);
-    String only = System.getProperty("sim.combination", "");
-    return Stream.of(Combination.values())
-        .filter(combination -> combination.name().startsWith(only))
-        .flatMap(
-            combination ->
-                LongStream.range(from, from + seeds)
-                    .mapToObj(seed -> Arguments.of(combination, seed)));
+    return CombinationRun.seedsOf(Stream.of(Combination.values()));
   }
 
   @ParameterizedTest(name = "{0}, seed {1}")
   @MethodSource("combinations")
   @DisplayName("No node answers anything older than what any node has told before")
   void nothingOlderIsAnswered(Combination combination, long seed) {
-    Day day = new Day(seed);
-    combination.bring(day);
-    World world = day.world;
-    world.checker.quietSince = day.quietFrom;
-    world.play(day.quietFrom + 100 * S);
-    assertEquals(List.of(), world.checker.broken, combination + ", seed " + seed);
-    assertTrue(
-        combination.tookPlace(day),
-        "it did not take place: " + day.leaders() + " leaders, " + day.withdrawn() + " withdrawn");
+    CombinationRun.assertRulesHold(combination, seed);
   }
 
   private static String follower(World world) {
--- a/src/test/java/org/dewreach/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/dewreach/sim/FaultCombinationsTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.stream.LongStream;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -22,30 +21,14 @@
 
   /** Three seeds of each combination; more with -Dsim.seeds, from -Dsim.from on. */
   static Stream<Arguments> combinations() {
-    long from = Long.getLong("sim.from", 1);
-    long seeds = Long.getLong("sim.seeds", 3);
-    String only = System.getProperty("sim.combination", "");
-    return FaultCombination.all()
-        .filter(combination -> combination.name().startsWith(only))
-        .flatMap(
-            combination ->
-                LongStream.range(from, from + seeds)
-                    .mapToObj(seed -> Arguments.of(combination, seed)));
+    return CombinationRun.seedsOf(FaultCombination.all());
   }
 
   @ParameterizedTest(name = "{0}, seed {1}")
   @MethodSource("combinations")
   @DisplayName("The rules hold when two troubles meet, and nobody is forgotten or left waiting")
   void rulesHold(FaultCombination combination, long seed) {
-    Day day = new Day(seed);
-    combination.bring(day);
-    World world = day.world;
-    world.checker.quietSince = day.quietFrom;
-    world.play(day.quietFrom + 100 * S);
-    assertEquals(List.of(), world.checker.broken, combination + ", seed " + seed);
-    assertTrue(
-        combination.tookPlace(day),
-        "it did not take place: " + day.leaders() + " leaders, " + day.withdrawn() + " withdrawn");
+    CombinationRun.assertRulesHold(combination, seed);
   }
 
   /**
@@ -56,7 +39,7 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2, 5, 6})
-  @DisplayName("A leader that has not read the books renews no lease through an outage")
+  @DisplayName("A leader that has not loaded the cluster state renews no lease through an outage")
   void aLeaderThatHasNotLoadedTheStateRenewsNoLease(long seed) {
     Day day = new Day(seed);
     World world = day.world;
--- a/src/test/java/org/dewreach/sim/NetworkPartitionTest.java
+++ b/src/test/java/org/dewreach/sim/NetworkPartitionTest.java
@@ -107,7 +107,7 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  @DisplayName("A term that goes on after an outage counts what its node answered as a stand-in")
+  @DisplayName("A term that goes on after an outage counts what its node answered as a delegate")
   void termGoesOnAfterDelegatedRenewals(long seed) {
     World world = new World(seed);
     world.live(150 * S, 1_500_000);
--- a/src/test/java/org/dewreach/sim/StaleMessageTest.java
+++ b/src/test/java/org/dewreach/sim/StaleMessageTest.java
@@ -1,10 +1,6 @@
 package org.dewreach.sim;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
-
 import java.util.List;
-import java.util.stream.LongStream;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,14 +15,14 @@
   private static final long S = 1_000_000;
 
   /** How a case is brought about, and what shows that it took place. */
-  private enum Case {
+  private enum Case implements FaultCombination {
     /**
      * Guards: {@code RecoveryTracker.allSeen}, {@code MachineHealthMonitor.leaseSurelyOver}; with
      * seed 10 {@code Task.mayStartLate}.
      */
     LATE_COMMANDS {
       @Override
-      void bring(Day day) {
+      public void bring(Day day) {
         day.world.lateCommands(500, day.until(60));
         for (double at = 1; at < 56; at += day.between(10, 14)) {
           arriveSome(day, at, 6);
@@ -42,7 +38,7 @@
       }
 
       @Override
-      boolean tookPlace(Day day) {
+      public boolean tookPlace(Day day) {
         return day.leaders() > 0 && day.withdrawn() > 0 && day.world.staleCommands > 0;
       }
     },
@@ -53,7 +49,7 @@
      */
     REPORTS_KEPT_FOR_THE_NEXT_LEADER {
       @Override
-      void bring(Day day) {
+      public void bring(Day day) {
         day.world.keepReportsForNextLeader(200, day.until(60));
         for (double at = 1; at < 50; at += day.between(12, 16)) {
           double end = at + 4 + day.between(0, 4);
@@ -66,7 +62,7 @@
       }
 
       @Override
-      boolean tookPlace(Day day) {
+      public boolean tookPlace(Day day) {
         return day.leaders() > 0 && day.withdrawn() > 0 && day.world.keptDelivered > 0;
       }
     },
@@ -74,7 +70,7 @@
     /** Guards: {@code RecoveryTracker.allSeen}, {@code MachineHealthMonitor.leaseSurelyOver}. */
     MACHINES_UP_AT_ONCE {
       @Override
-      void bring(Day day) {
+      public void bring(Day day) {
         day.world.cloud.upAtOnce = true;
         day.world.state.lateWrites(100 + day.random.nextInt(400), day.until(60));
         for (double at = 1; at < 50; at += day.between(12, 16)) {
@@ -99,7 +95,7 @@
       }
 
       @Override
-      boolean tookPlace(Day day) {
+      public boolean tookPlace(Day day) {
         return day.leaders() > 0 && day.withdrawn() > 0 && day.world.cloud.upAtOnceCount > 0;
       }
     },
@@ -109,7 +105,7 @@
       private boolean full;
 
       @Override
-      void bring(Day day) {
+      public void bring(Day day) {
         full = false;
         for (int i = 0; i < 24; i++) {
           day.world.users.arriveLong(6, 100 * S);
@@ -129,7 +125,7 @@
       }
 
       @Override
-      boolean tookPlace(Day day) {
+      public boolean tookPlace(Day day) {
         return day.leaders() > 0 && day.withdrawn() > 0 && full;
       }
     },
@@ -137,7 +133,7 @@
     /** Guards: {@code MachineHealthMonitor.leaseSurelyOver}, {@code RecoveryTracker.allSeen}. */
     ANSWERED_UNDER_PROMISES {
       @Override
-      void bring(Day day) {
+      public void bring(Day day) {
         double refused = day.between(1, 3);
         // The leader answers reports until the grants end, after another has won the key; then
         // most machines cannot be reached until their leases are over.
@@ -155,15 +151,11 @@
       }
 
       @Override
-      boolean tookPlace(Day day) {
+      public boolean tookPlace(Day day) {
         return day.leaders() > 0 && day.world.leasesLost > 0;
       }
     };
 
-    abstract void bring(Day day);
-
-    abstract boolean tookPlace(Day day);
-
     /** Jobs with tasks that run for long, all within a second. */
     static void arriveSome(Day day, double at, int jobs) {
       for (int i = 0; i < jobs; i++) {
@@ -223,28 +215,13 @@
 
   /** Three seeds of each case; more with -Dsim.seeds, from -Dsim.from on. */
   static Stream<Arguments> cases() {
-    long from = Long.getLong("sim.from", 1);
-    long seeds = Long.getLong("sim.seeds", 3);
-    String only = System.getProperty("sim.combination", "");
-    return Stream.of(Case.values())
-        .filter(each -> each.name().startsWith(only))
-        .flatMap(
-            each ->
-                LongStream.range(from, from + seeds).mapToObj(seed -> Arguments.of(each, seed)));
+    return CombinationRun.seedsOf(Stream.of(Case.values()));
   }
 
   @ParameterizedTest(name = "{0}, seed {1}")
   @MethodSource("cases")
   @DisplayName("The rules hold when messages of an earlier term meet a new leader")
   void rulesHold(Case combination, long seed) {
-    Day day = new Day(seed);
-    combination.bring(day);
-    World world = day.world;
-    world.checker.quietSince = day.quietFrom;
-    world.play(day.quietFrom + 100 * S);
-    assertEquals(List.of(), world.checker.broken, combination + ", seed " + seed);
-    assertTrue(
-        combination.tookPlace(day),
-        "it did not take place: " + day.leaders() + " leaders, " + day.withdrawn() + " withdrawn");
+    CombinationRun.assertRulesHold(combination, seed);
   }
 }
