--- a/src/test/java/org/dewreach/controller/AcceptedMeanwhileTest.java
+++ b/src/test/java/org/dewreach/controller/AcceptedMeanwhileTest.java
@@ -8,7 +8,6 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
-import java.util.Map;
 import org.dewreach.cloud.CloudService;
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
@@ -32,7 +31,7 @@
 /** Jobs that are accepted while the leader is reading what else there is. */
 class AcceptedMeanwhileTest {
   private static final long S = 1_000_000;
-  private static final Settings SETTINGS = settings();
+  private static final Settings SETTINGS = SettingsFixture.oneNode();
 
   private final Calls calls = new Calls();
   private final StateService state = new StateService(calls);
@@ -73,26 +72,6 @@
     public void onBroken(String why, long nowMicros) {}
   }
 
-  private static Settings settings() {
-    Settings.Address any = new Settings.Address("127.0.0.1", 1);
-    return new Settings(
-        "n0",
-        "a",
-        any,
-        any,
-        List.of(),
-        any,
-        any,
-        List.of("a"),
-        0,
-        Map.of("red", new Settings.Team("red", 4, 10, 0, 0)),
-        List.of(),
-        new Settings.Workers(S, 10 * S, 30 * S),
-        new Settings.StateLimits(100, 50, 8192, 24),
-        new Settings.CloudLimits(100, 3 * S),
-        new Settings.Limits(0.5, 200, 500));
-  }
-
   private static JobRequest spec(String id) {
     return new JobRequest(
         id,
--- a/src/test/java/org/dewreach/controller/FleetManagerTest.java
+++ b/src/test/java/org/dewreach/controller/FleetManagerTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import java.util.Map;
 import org.dewreach.cloud.CloudService;
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
@@ -25,7 +24,7 @@
   private static final long S = 1_000_000;
   private static final MachineType TYPE =
       new MachineType("box", 8, 0, 32, 50, 1, 1, 0.3, 5 * S, List.of("a"));
-  private static final Settings SETTINGS = settings();
+  private static final Settings SETTINGS = SettingsFixture.twoNodes(10 * S);
 
   private final Calls calls = new Calls();
   private final CloudService cloud = new CloudService(calls, 100);
@@ -44,26 +43,6 @@
           0,
           0);
 
-  private static Settings settings() {
-    Settings.Address any = new Settings.Address("127.0.0.1", 1);
-    return new Settings(
-        "n0",
-        "a",
-        any,
-        any,
-        List.of(new Settings.Member("n2", "b", any)),
-        any,
-        any,
-        List.of("a", "b"),
-        0,
-        Map.of("red", new Settings.Team("red", 4, 10, 0, 0)),
-        List.of(),
-        new Settings.Workers(S, 10 * S, 30 * S),
-        new Settings.StateLimits(100, 50, 8192, 24),
-        new Settings.CloudLimits(100, 3 * S),
-        new Settings.Limits(0.5, 200, 500));
-  }
-
   private Machine machine(String name) {
     Machine machine = new Machine(name, "", TYPE, "a", false, MachinePhase.BOOTING, 0);
     machine.recorded(true);
--- a/src/test/java/org/dewreach/controller/LeadershipTermTest.java
+++ b/src/test/java/org/dewreach/controller/LeadershipTermTest.java
@@ -4,7 +4,6 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import java.util.Map;
 import org.dewreach.cloud.CloudService;
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
@@ -22,7 +21,7 @@
 class LeadershipTermTest {
   private static final long S = 1_000_000;
   private static final long LEASE = 10 * S;
-  private static final Settings SETTINGS = settings();
+  private static final Settings SETTINGS = SettingsFixture.twoNodes(LEASE);
 
   private final Calls calls = new Calls();
   private final StateService state = new StateService(calls);
@@ -46,26 +45,6 @@
           0,
           0);
 
-  private static Settings settings() {
-    Settings.Address any = new Settings.Address("127.0.0.1", 1);
-    return new Settings(
-        "n0",
-        "a",
-        any,
-        any,
-        List.of(new Settings.Member("n2", "b", any)),
-        any,
-        any,
-        List.of("a", "b"),
-        0,
-        Map.of("red", new Settings.Team("red", 4, 10, 0, 0)),
-        List.of(),
-        new Settings.Workers(S, LEASE, 30 * S),
-        new Settings.StateLimits(100, 50, 8192, 24),
-        new Settings.CloudLimits(100, 3 * S),
-        new Settings.Limits(0.5, 200, 500));
-  }
-
   /** Answers reads of the cluster state; whatever else is asked for gets no answer. */
   private void tick(long nowMicros) {
     catalog.tick(nowMicros, true);
--- /dev/null
+++ b/src/test/java/org/dewreach/controller/SettingsFixture.java
@@ -0,0 +1,43 @@
+package org.dewreach.controller;
+
+import java.util.List;
+import java.util.Map;
+import org.dewreach.config.Settings;
+
+/** Settings of a small site, for tests of single classes. */
+final class SettingsFixture {
+  private static final long S = 1_000_000;
+  private static final Settings.Address ANY = new Settings.Address("127.0.0.1", 1);
+
+  private SettingsFixture() {}
+
+  /** Node n0 in zone a, alone. */
+  static Settings oneNode() {
+    return settings(List.of(), List.of("a"), 10 * S);
+  }
+
+  /** Node n0 in zone a, with n2 in zone b. */
+  static Settings twoNodes(long leaseMicros) {
+    return settings(List.of(new Settings.Member("n2", "b", ANY)), List.of("a", "b"), leaseMicros);
+  }
+
+  private static Settings settings(
+      List<Settings.Member> members, List<String> zones, long leaseMicros) {
+    return new Settings(
+        "n0",
+        "a",
+        ANY,
+        ANY,
+        members,
+        ANY,
+        ANY,
+        zones,
+        0,
+        Map.of("red", new Settings.Team("red", 4, 10, 0, 0)),
+        List.of(),
+        new Settings.Workers(S, leaseMicros, 30 * S),
+        new Settings.StateLimits(100, 50, 8192, 24),
+        new Settings.CloudLimits(100, 3 * S),
+        new Settings.Limits(0.5, 200, 500));
+  }
+}
