--- a/src/main/java/org/dewreach/cli/Rehearsal.java
+++ b/src/main/java/org/dewreach/cli/Rehearsal.java
@@ -91,12 +91,12 @@
 
   private static void loadOwnClasses()
       throws IOException, URISyntaxException, ReflectiveOperationException {
-    Path jar =
-        Path.of(Rehearsal.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+    Path jar = Path.of(Rehearsal.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     try (JarFile file = new JarFile(jar.toFile())) {
       for (JarEntry entry : (Iterable<JarEntry>) file.stream()::iterator) {
         String name = entry.getName();
-        if (name.startsWith("org/dewreach/") && name.endsWith(".class")
+        if (name.startsWith("org/dewreach/")
+            && name.endsWith(".class")
             && !name.endsWith("package-info.class")
             && !name.startsWith("org/dewreach/script/")) {
           Class.forName(name.substring(0, name.length() - 6).replace('/', '.'));
@@ -111,8 +111,7 @@
     try {
       for (Bodies bodies : Bodies.values()) {
         HttpServer server =
-            new HttpServer(
-                bodies, (method, path, body, reply) -> reply.send(200, body, 1), 10);
+            new HttpServer(bodies, (method, path, body, reply) -> reply.send(200, body, 1), 10);
         Channel channel = server.listen(loop, new Settings.Address("127.0.0.1", 0));
         int port = ((InetSocketAddress) channel.localAddress()).getPort();
         CountDownLatch answered = new CountDownLatch(1);
--- a/src/main/java/org/dewreach/config/Settings.java
+++ b/src/main/java/org/dewreach/config/Settings.java
@@ -33,11 +33,11 @@
   public record Member(String name, String zone, Address address) {}
 
   /** A team's guarantee and limit; infinite where the file says "none" (0). */
-  public record Team(
-      String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+  public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
   /** An aim as the file repeats it; fields that its kind lacks are 0 or null. */
-  public record Objective(String kind, String lane, long withinMicros, double share, double times) {}
+  public record Objective(
+      String kind, String lane, long withinMicros, double share, double times) {}
 
   /** Times that concern the workers. */
   public record Workers(long reportMicros, long leaseMicros, long cancelMicros) {
@@ -48,8 +48,8 @@
     private static final long STAND_IN_MARGIN = 2_000_000;
 
     /**
-     * How long a node may answer workers without its leader. A job whose tasks it may keep alive for
-     * longer than {@link #goneInTimeMicros} is not told to be withdrawn before.
+     * How long a node may answer workers without its leader. A job whose tasks it may keep alive
+     * for longer than {@link #goneInTimeMicros} is not told to be withdrawn before.
      */
     public long standInMicros() {
       return goneInTimeMicros() > 0 ? MOST_STAND_IN : 0;
--- a/src/main/java/org/dewreach/config/SettingsReader.java
+++ b/src/main/java/org/dewreach/config/SettingsReader.java
@@ -67,7 +67,8 @@
     names.add(self);
     for (Section item : top.sections("members")) {
       Settings.Member member =
-          new Settings.Member(item.text("host_name"), item.text("location"), item.address("address"));
+          new Settings.Member(
+              item.text("host_name"), item.text("location"), item.address("address"));
       if (!names.add(member.name())) {
         throw item.wrong("host_name", "named twice");
       }
--- a/src/main/java/org/dewreach/controller/Core.java
+++ b/src/main/java/org/dewreach/controller/Core.java
@@ -463,8 +463,7 @@
     }
     JsonNode body = request.body();
     JsonNode inner = body.get("body");
-    UserRequest parsed =
-        route(body.path("method").asText(), body.path("path").asText(), inner);
+    UserRequest parsed = route(body.path("method").asText(), body.path("path").asText(), inner);
     boolean acts = term != null && term.loaded() && election.hasAuthority(now);
     if (parsed == null || parsed.jobId() == null || !acts) {
       calls.respond(request.requestId(), 200, Forwarded.answer(503, null, 1));
--- a/src/main/java/org/dewreach/controller/DirectDesk.java
+++ b/src/main/java/org/dewreach/controller/DirectDesk.java
@@ -43,11 +43,7 @@
   private long now;
 
   DirectDesk(
-      StateService state,
-      CatalogKeeper catalog,
-      Settings settings,
-      String boot,
-      long wallOffset) {
+      StateService state, CatalogKeeper catalog, Settings settings, String boot, long wallOffset) {
     this.state = state;
     this.catalog = catalog;
     this.settings = settings;
@@ -68,7 +64,11 @@
       return;
     }
     if (request instanceof UserRequest.Query query) {
-      read(query.jobId(), answer, found -> found.send(answer, true), () -> answer.send(404, null, 0));
+      read(
+          query.jobId(),
+          answer,
+          found -> found.send(answer, true),
+          () -> answer.send(404, null, 0));
     } else if (request instanceof UserRequest.Submit submit) {
       submit(submit, answer);
     } else if (request instanceof UserRequest.Withdraw withdraw) {
@@ -131,9 +131,7 @@
       JobRecord job = JobRecord.decode(body.path("data"));
       int done = job.done().cardinality();
       Standing standing =
-          job.withdrawn()
-              ? Standing.WITHDRAWN
-              : done > 0 ? Standing.RUNNING : Standing.PENDING;
+          job.withdrawn() ? Standing.WITHDRAWN : done > 0 ? Standing.RUNNING : Standing.PENDING;
       then.on(new Found(key, id, job, body.path("stamp").asLong(), standing, done));
     } catch (MalformedException e) {
       LOG.error("record of {} not understood: {}", id, e.getMessage());
--- a/src/main/java/org/dewreach/controller/DirectOrders.java
+++ b/src/main/java/org/dewreach/controller/DirectOrders.java
@@ -30,8 +30,8 @@
  * copy finds the attempt known and has no effect. And an attempt that was ever started directly is
  * not cleared on its worker while the session lasts: a copy that arrives after its exit finds it
  * known as well. Nor is the task placed on that machine again in the session, since a new attempt
- * could take the place of the old one there. So that the reports stay small, only so many attempts of a session are started
- * directly; the others wait for the report.
+ * could take the place of the old one there. So that the reports stay small, only so many attempts
+ * of a session are started directly; the others wait for the report.
  */
 final class DirectOrders {
   private static final Logger LOG = LoggerFactory.getLogger(DirectOrders.class);
@@ -94,9 +94,9 @@
   /**
    * Asks a machine for its count, after a report that shows an older one and no token.
    *
-   * <p>Such a report is a late copy of the machine's first, or the first of a worker that began anew
-   * with the same name. The latter would carry out a late copy of a direct start once more; so what
-   * was bound there stays bound until the machine is returned, which is done at once.
+   * <p>Such a report is a late copy of the machine's first, or the first of a worker that began
+   * anew with the same name. The latter would carry out a late copy of a direct start once more; so
+   * what was bound there stays bound until the machine is returned, which is done at once.
    */
   void askForCount(Machine machine) {
     if (machine.anew() != Anew.NO) {
--- a/src/main/java/org/dewreach/controller/Dispatcher.java
+++ b/src/main/java/org/dewreach/controller/Dispatcher.java
@@ -28,8 +28,8 @@
   private static final int MOST_PASSED_OVER = 20;
 
   /**
-   * A job that has waited for its first task for this long gets that from the room kept for services.
-   * Ours.
+   * A job that has waited for its first task for this long gets that from the room kept for
+   * services. Ours.
    */
   private static final long KEPT_FROM = 60_000_000;
 
@@ -152,8 +152,8 @@
   }
 
   /**
-   * Guards against a small job that waits without end beside room kept for services, where the cloud
-   * has no machine for it.
+   * Guards against a small job that waits without end beside room kept for services, where the
+   * cloud has no machine for it.
    */
   private boolean keptFrom(Job job, long nowMicros) {
     return yields(job.spec())
@@ -239,7 +239,8 @@
         if (!hadStart[0] || ++passedOver > MOST_PASSED_OVER) {
           break;
         }
-        // Guards against one task that may not go there again keeping its job, and all like it, away.
+        // Guards against one task that may not go there again keeping its job, and all like it,
+        // away.
         index = job.pendingAfter(index);
         continue;
       }
--- a/src/main/java/org/dewreach/controller/FleetDesk.java
+++ b/src/main/java/org/dewreach/controller/FleetDesk.java
@@ -71,6 +71,7 @@
   private static final long LOST_TRY = 5_000_000;
 
   private static final int MOST_RETURNED = 100;
+
   /** A large fleet takes several calls of a small rate to list; reports tell most of it. Ours. */
   private static final long LIST_EVERY = 5_000_000;
 
@@ -202,10 +203,11 @@
   }
 
   /**
-   * Workers find a new leader within this time, also those that have to try all other nodes in vain.
+   * Workers find a new leader within this time, also those that have to try all other nodes in
+   * vain.
    *
-   * <p>Guards against the only leader outside a cut zone that gives up before its workers have found
-   * it: nobody led for ten seconds then, and nearly all leases ran out.
+   * <p>Guards against the only leader outside a cut zone that gives up before its workers have
+   * found it: nobody led for ten seconds then, and nearly all leases ran out.
    */
   private long arrival() {
     long lastReport = settings.workers().reportMicros() * 5 / 4;
@@ -257,8 +259,7 @@
               || machine.phase() == MachinePhase.UP
               || machine.phase() == MachinePhase.DRAINING;
       if (expected && !machine.deaf()) {
-        boolean quiet =
-            nowMicros - Math.max(startedAt, machine.lastReport()) > quietAfter;
+        boolean quiet = nowMicros - Math.max(startedAt, machine.lastReport()) > quietAfter;
         if (quiet) {
           // What is placed there now would be bound until it is known what became of it.
           machine.notReached();
@@ -334,10 +335,7 @@
         continue;
       }
       if (machine.phase() == MachinePhase.UP) {
-        LOG.info(
-            "machine {} drains: {}",
-            machine.name(),
-            faulty ? "set aside" : "to be taken");
+        LOG.info("machine {} drains: {}", machine.name(), faulty ? "set aside" : "to be taken");
         machine.become(MachinePhase.DRAINING, nowMicros);
         books.touch();
       }
@@ -477,11 +475,8 @@
   private Task movable(Machine machine, long nowMicros) {
     Task found = null;
     for (Task task : machine.tasks()) {
-      boolean settled =
-          task.phase() == TaskPhase.RUNNING && nowMicros - task.startedAt() > SETTLED;
-      if (task.spec().shape() != Shape.SERVICE
-          || task.spec().tasks() > 1
-          || !settled) {
+      boolean settled = task.phase() == TaskPhase.RUNNING && nowMicros - task.startedAt() > SETTLED;
+      if (task.spec().shape() != Shape.SERVICE || task.spec().tasks() > 1 || !settled) {
         return null;
       }
       found = task;
@@ -613,12 +608,7 @@
     }
     for (Rental rental :
         planner.plan(
-            needs,
-            books.machines().values(),
-            askedFor,
-            catalog.types(),
-            longBacklog,
-            nowMicros)) {
+            needs, books.machines().values(), askedFor, catalog.types(), longBacklog, nowMicros)) {
       if (asked.size() < 6 && cloud.mayCall(nowMicros)) {
         // The term makes the name unique among leaders, the counter within the term.
         Asked request = new Asked("dw-" + term + "-" + ++lastRequest, rental);
@@ -717,13 +707,7 @@
       if (!books.machines().containsKey(name) && !isGone(name)) {
         Machine machine =
             new Machine(
-                name,
-                "",
-                kind.type(),
-                kind.zone(),
-                kind.spot(),
-                MachinePhase.BOOTING,
-                nowMicros);
+                name, "", kind.type(), kind.zone(), kind.spot(), MachinePhase.BOOTING, nowMicros);
         books.add(machine);
         register.note(machine, nowMicros);
       }
--- a/src/main/java/org/dewreach/controller/LeaderDesk.java
+++ b/src/main/java/org/dewreach/controller/LeaderDesk.java
@@ -238,9 +238,7 @@
     if (recorder.stalled(nowMicros)) {
       answer.later();
     } else {
-      awaitingEnd
-          .computeIfAbsent(id, key -> new ArrayList<>(1))
-          .add(new AwaitingEnd(answer, then));
+      awaitingEnd.computeIfAbsent(id, key -> new ArrayList<>(1)).add(new AwaitingEnd(answer, then));
     }
   }
 
@@ -357,8 +355,7 @@
 
   /** Its tasks cannot be stopped just now: its user is to ask again. */
   void onHalting(Job job, long nowMicros) {
-    List<Answer> answers =
-        haltsLong(job, nowMicros) ? awaitingWithdrawal.remove(job.id()) : null;
+    List<Answer> answers = haltsLong(job, nowMicros) ? awaitingWithdrawal.remove(job.id()) : null;
     if (answers != null) {
       answers.forEach(Answer::later);
     }
--- a/src/main/java/org/dewreach/controller/Load.java
+++ b/src/main/java/org/dewreach/controller/Load.java
@@ -17,7 +17,9 @@
   private static final int LEAST_LIMIT = 20;
   private static final int MOST_LIMIT = 400;
 
-  /** An answer that took longer is a sign of too much at once. Ours; users wait for 2 s at least. */
+  /**
+   * An answer that took longer is a sign of too much at once. Ours; users wait for 2 s at least.
+   */
   private static final long SLOW_MICROS = 1_500_000;
 
   private static final long MOST_MICROS = 60_000_000;
@@ -73,9 +75,20 @@
   }
 
   String summary() {
-    return inProgress + " in progress of " + limit.getLimit() + ", " + answered + " answered, "
-        + turnedAway + " turned away, " + shed + " shed, p50 " + times.getValueAtPercentile(50)
-        + " us, p99 " + times.getValueAtPercentile(99) + " us";
+    return inProgress
+        + " in progress of "
+        + limit.getLimit()
+        + ", "
+        + answered
+        + " answered, "
+        + turnedAway
+        + " turned away, "
+        + shed
+        + " shed, p50 "
+        + times.getValueAtPercentile(50)
+        + " us, p99 "
+        + times.getValueAtPercentile(99)
+        + " us";
   }
 
   void fill(ObjectNode node) {
--- a/src/main/java/org/dewreach/controller/Preemption.java
+++ b/src/main/java/org/dewreach/controller/Preemption.java
@@ -51,8 +51,7 @@
     Set<String> hopeless = new HashSet<>();
     for (Dispatcher.Waiting item : waiting) {
       JobRequest spec = item.job().spec();
-      boolean alone =
-          spec.shape() != Shape.GANG && !spec.together() && !spec.scatter();
+      boolean alone = spec.shape() != Shape.GANG && !spec.together() && !spec.scatter();
       if (!alone || least == null || !spec.urgency().above(least)) {
         continue;
       }
@@ -87,8 +86,7 @@
   }
 
   /** Sets room for one task aside, choosing tasks to stop where it needs them. */
-  private boolean find(
-      Job job, Map<Machine, Room> rooms, Set<Task> chosen, long nowMicros) {
+  private boolean find(Job job, Map<Machine, Room> rooms, Set<Task> chosen, long nowMicros) {
     JobRequest spec = job.spec();
     // Machines that placement would pass over must not lose tasks for nothing, pass after pass.
     TaskName next = new TaskName(job.id(), Math.max(0, job.nextPending()));
@@ -136,8 +134,7 @@
   }
 
   /** The fewest, latest started of the machine's less urgent tasks that make room, or none. */
-  private static List<Task> victims(
-      Machine machine, JobRequest spec, Room room, Set<Task> chosen) {
+  private static List<Task> victims(Machine machine, JobRequest spec, Room room, Set<Task> chosen) {
     List<Task> less = new ArrayList<>();
     for (Task task : machine.tasks()) {
       if (spec.urgency().above(task.spec().urgency())
--- a/src/main/java/org/dewreach/controller/Recorder.java
+++ b/src/main/java/org/dewreach/controller/Recorder.java
@@ -217,8 +217,7 @@
     boolean withdrawn = job.phase() == JobPhase.WITHDRAWN;
     Standing standing = withdrawn ? Standing.WITHDRAWN : Standing.DONE;
     List<Change> changes = new ArrayList<>();
-    changes.add(
-        new Change(Keys.over(job.id()), JobRecord.encodeOver(standing, job.doneCount())));
+    changes.add(new Change(Keys.over(job.id()), JobRecord.encodeOver(standing, job.doneCount())));
     changes.add(new Change(Keys.job(job.id()), null));
     Write write =
         new Write(
--- a/src/main/java/org/dewreach/controller/ReportDesk.java
+++ b/src/main/java/org/dewreach/controller/ReportDesk.java
@@ -105,7 +105,8 @@
     }
     ObjectNode response = Codec.map().put("warrant", term);
     ArrayNode orders = response.putArray("orders");
-    // Without a report that is sure there are only halts of what is withdrawn. Guards against leases
+    // Without a report that is sure there are only halts of what is withdrawn. Guards against
+    // leases
     // renewed by one new leader after the other, of which each waits for a report with its token.
     if (answerable && machine.recorded()) {
       for (List<Order> group : sure ? List.of(halts, clears, starts) : List.of(halts)) {
@@ -122,8 +123,8 @@
   }
 
   /**
-   * Guards against machines whose reports arrive while answers and commands do not reach them:
-   * what is placed there never starts, and what runs there dies with its lease.
+   * Guards against machines whose reports arrive while answers and commands do not reach them: what
+   * is placed there never starts, and what runs there dies with its lease.
    */
   private void judgeHearing(
       Machine machine, WorkerReport report, boolean sessionOver, long previousAt) {
@@ -205,9 +206,9 @@
       boolean keep =
           machine.wasStartedDirectly(reported.attempt())
               || reported.cause() == Cause.DONE
-              && job != null
-              && (job.isOpen() || job.phase() == JobPhase.FINISHING)
-              && !job.durable().get(name.index());
+                  && job != null
+                  && (job.isOpen() || job.phase() == JobPhase.FINISHING)
+                  && !job.durable().get(name.index());
       if (!keep) {
         clears.add(new Order.Clear(name, reported.attempt()));
       }
--- a/src/main/java/org/dewreach/controller/Term.java
+++ b/src/main/java/org/dewreach/controller/Term.java
@@ -130,8 +130,7 @@
             new RateBudget(writes * 0.9, writes * 0.9),
             onBroken);
     this.recorder = new Recorder(queue, this::goneInTime, this);
-    this.register =
-        new FleetRegister(queue, settings.stateLimits().valueBytes(), wallOffset, this);
+    this.register = new FleetRegister(queue, settings.stateLimits().valueBytes(), wallOffset, this);
     this.loader = new Loader(state, books, register, catalog, wallOffset);
     this.reports = new ReportDesk(number, books);
     this.adopter = new Adopter(state, books, recorder);
@@ -140,15 +139,20 @@
     this.lending = new Lending(number, settings, stoodInAt);
     this.fleet =
         new FleetDesk(
-            number, books, register, lending, cloud, catalog, settings, tuning, nowMicros, wallOffset);
+            number,
+            books,
+            register,
+            lending,
+            cloud,
+            catalog,
+            settings,
+            tuning,
+            nowMicros,
+            wallOffset);
     this.preemption = new Preemption(books);
     this.direct =
         new DirectOrders(
-            number,
-            calls,
-            books,
-            this::directReport,
-            settings.limits().connectionsToWorkers());
+            number, calls, books, this::directReport, settings.limits().connectionsToWorkers());
     this.dispatcher =
         new Dispatcher(
             books,
@@ -199,7 +203,8 @@
     lending.acts(nowMicros);
     if (!acted) {
       acted = true;
-      // Guards against leases counted from before an earlier leader's last answer: under promises it
+      // Guards against leases counted from before an earlier leader's last answer: under promises
+      // it
       // goes on until this one may act.
       fleet.acts(nowMicros);
     }
@@ -410,8 +415,8 @@
    * True if a withdrawal that is told now is kept, whoever answers the workers meanwhile: no task
    * starts any more, and those that run are gone in time.
    *
-   * <p>Guards against a machine that goes on after it hung, or hears a start late: what was to start
-   * there would begin after its user was told.
+   * <p>Guards against a machine that goes on after it hung, or hears a start late: what was to
+   * start there would begin after its user was told.
    */
   private boolean goneInTime(Job job, long nowMicros) {
     if (!allSeen(job) || job.mayBegin()) {
--- a/src/main/java/org/dewreach/fleet/FleetPlanner.java
+++ b/src/main/java/org/dewreach/fleet/FleetPlanner.java
@@ -46,8 +46,7 @@
   public record Need(JobRequest spec, int tasks, long slackMicros) {
     private Need and(Need other) {
       int sum = tasks + other.tasks;
-      double mean =
-          ((double) slackMicros * tasks + (double) other.slackMicros * other.tasks) / sum;
+      double mean = ((double) slackMicros * tasks + (double) other.slackMicros * other.tasks) / sum;
       return new Need(spec, sum, Math.round(mean));
     }
   }
--- a/src/main/java/org/dewreach/job/Job.java
+++ b/src/main/java/org/dewreach/job/Job.java
@@ -306,7 +306,9 @@
     return failures >= DOUBTFUL_FROM;
   }
 
-  /** Its tasks are not placed on the machine until then, or until many others were avoided since. */
+  /**
+   * Its tasks are not placed on the machine until then, or until many others were avoided since.
+   */
   public void avoid(String machine, long untilMicros) {
     suspects.remove(machine);
     suspects.put(machine, untilMicros);
--- a/src/main/java/org/dewreach/job/JobRecord.java
+++ b/src/main/java/org/dewreach/job/JobRecord.java
@@ -75,8 +75,7 @@
         }
       }
     }
-    return new JobRecord(
-        spec, node.path("at").asLong(0), node.path("off").asBoolean(false), done);
+    return new JobRecord(spec, node.path("at").asLong(0), node.path("off").asBoolean(false), done);
   }
 
   /** The final record of a job. */
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -144,9 +144,7 @@
 
   /** True while no other term can act: by the hold, or by every node's promise. */
   public boolean hasAuthority(long nowMicros) {
-    return phase == State.LEADING
-        && mayAct
-        && nowMicros < actsUntil();
+    return phase == State.LEADING && mayAct && nowMicros < actsUntil();
   }
 
   /** When authority ends, as far as it is known now. */
--- a/src/main/java/org/dewreach/leadership/StandIn.java
+++ b/src/main/java/org/dewreach/leadership/StandIn.java
@@ -115,7 +115,9 @@
         body,
         TIMEOUT,
         (now, status, answer) -> {
-          if (status == 200 && answer != null && answer.path("term").asLong() >= Math.max(1, term)) {
+          if (status == 200
+              && answer != null
+              && answer.path("term").asLong() >= Math.max(1, term)) {
             take(leader, answer, nowMicros, now);
           }
         });
--- a/src/main/java/org/dewreach/net/HttpClient.java
+++ b/src/main/java/org/dewreach/net/HttpClient.java
@@ -92,8 +92,7 @@
       Outcome outcome) {
     Call call = new Call(bodies, method, path, body, outcome);
     Pool pool = pools.computeIfAbsent(address, Pool::new);
-    call.timer =
-        loop.schedule(() -> pool.timedOut(call), timeoutMicros, TimeUnit.MICROSECONDS);
+    call.timer = loop.schedule(() -> pool.timedOut(call), timeoutMicros, TimeUnit.MICROSECONDS);
     pool.submit(call);
     if (!sweeping) {
       sweeping = true;
--- a/src/main/java/org/dewreach/net/HttpServer.java
+++ b/src/main/java/org/dewreach/net/HttpServer.java
@@ -158,8 +158,7 @@
 
   private static FullHttpResponse plain(
       HttpResponseStatus status, io.netty.buffer.ByteBuf content) {
-    FullHttpResponse response =
-        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
+    FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
     HttpUtil.setContentLength(response, content.readableBytes());
     return response;
   }
--- a/src/main/java/org/dewreach/net/Node.java
+++ b/src/main/java/org/dewreach/net/Node.java
@@ -58,10 +58,12 @@
     long wallMicros = System.currentTimeMillis() * 1000;
     // Two processes of a node are told apart by their start; the clock alone may step back.
     String boot =
-        Long.toString(wallMicros, 36) + "-" + Long.toString(ProcessHandle.current().pid(), 36)
-            + "-" + Long.toString(startNanos, 36);
-    this.core =
-        new Core(settings, tuning, boot, new Random(boot.hashCode()), wallMicros - now());
+        Long.toString(wallMicros, 36)
+            + "-"
+            + Long.toString(ProcessHandle.current().pid(), 36)
+            + "-"
+            + Long.toString(startNanos, 36);
+    this.core = new Core(settings, tuning, boot, new Random(boot.hashCode()), wallMicros - now());
     settings.members().forEach(member -> members.put(member.name(), member.address()));
   }
 
@@ -88,8 +90,7 @@
             Bodies.MESSAGE_PACK, (m, p, b, r) -> request(Event.Source.PEER, m, p, b, r), fromPeers);
     peers.listen(loop, settings.internalListen());
     clients.listen(loop, settings.clientListen());
-    loop.scheduleAtFixedRate(
-        () -> handle(new Event.Tick()), 0, TICK_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(() -> handle(new Event.Tick()), 0, TICK_MS, TimeUnit.MILLISECONDS);
     LOG.info("node {} serves users at {}", settings.name(), settings.clientListen());
   }
 
--- a/src/main/java/org/dewreach/placement/ServiceRate.java
+++ b/src/main/java/org/dewreach/placement/ServiceRate.java
@@ -5,9 +5,9 @@
 /**
  * How much room to keep for services that are still to come.
  *
- * <p>Departures make room for arrivals on average; what has to be kept is for their unevenness
- * over the time that a new machine takes. With n arrivals expected in that time, that is a little
- * more than the root of n.
+ * <p>Departures make room for arrivals on average; what has to be kept is for their unevenness over
+ * the time that a new machine takes. With n arrivals expected in that time, that is a little more
+ * than the root of n.
  */
 public final class ServiceRate {
   /** Arrivals are forgotten over about this long. Ours. */
--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -61,8 +61,7 @@
         return;
       }
       if (machine.usable()) {
-        room(machine)
-            .set(at, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
+        room(machine).set(at, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
       } else {
         room(machine).remove(at);
       }
@@ -110,8 +109,8 @@
 
   /**
    * As {@link #firstFit(JobRequest, Predicate)}, for work that is to start within some time. The
-   * paper checks the bandwidth left to a server; here it is the rate at which images are fetched:
-   * a machine whose fetches would take too long is passed over while another one can start the task
+   * paper checks the bandwidth left to a server; here it is the rate at which images are fetched: a
+   * machine whose fetches would take too long is passed over while another one can start the task
    * in time, or in two or four times that.
    */
   public Machine firstFit(JobRequest spec, Predicate<Machine> allowed, long withinMicros) {
@@ -178,7 +177,16 @@
 
   /** Tasks with the same likeness fit on the same machines. */
   public static String likeness(JobRequest spec) {
-    return spec.cpus() + "|" + spec.gpus() + "|" + spec.memoryGb() + "|" + spec.types() + "|"
-        + spec.zone() + "|" + spec.spot();
+    return spec.cpus()
+        + "|"
+        + spec.gpus()
+        + "|"
+        + spec.memoryGb()
+        + "|"
+        + spec.types()
+        + "|"
+        + spec.zone()
+        + "|"
+        + spec.spot();
   }
 }
--- a/src/main/java/org/dewreach/port/Calls.java
+++ b/src/main/java/org/dewreach/port/Calls.java
@@ -43,8 +43,7 @@
     long callId = ++lastCallId;
     open.put(callId, handler);
     // The state service fences writes itself, and the cloud's requests do no harm when late.
-    long notAfter =
-        target instanceof Target.Worker ? authorityUntil.getAsLong() : Effect.ANY_TIME;
+    long notAfter = target instanceof Target.Worker ? authorityUntil.getAsLong() : Effect.ANY_TIME;
     outbox.add(new Effect.Call(callId, target, method, path, body, timeoutMicros, notAfter));
   }
 
--- a/src/main/java/org/dewreach/port/Effect.java
+++ b/src/main/java/org/dewreach/port/Effect.java
@@ -26,8 +26,7 @@
    *
    * @param retryAfterS value of the Retry-After header, or 0 for none
    */
-  record Respond(
-      long requestId, int status, JsonNode body, int retryAfterS, long notAfterMicros)
+  record Respond(long requestId, int status, JsonNode body, int retryAfterS, long notAfterMicros)
       implements Effect {
     /** What is answered instead when it is too late: the other side is to ask again. */
     public Respond instead() {
--- a/src/main/java/org/dewreach/script/ScriptReader.java
+++ b/src/main/java/org/dewreach/script/ScriptReader.java
@@ -33,8 +33,13 @@
   private static final int MOST_BYTES = 64 * 1024;
   private static final Set<String> OUTER =
       Set.of(
-          "idle_kept_s", "least_paid_s", "work_off_s", "long_wait_s", "moved_share",
-          "headroom_spreads", "lanes");
+          "idle_kept_s",
+          "least_paid_s",
+          "work_off_s",
+          "long_wait_s",
+          "moved_share",
+          "headroom_spreads",
+          "lanes");
 
   private ScriptReader() {}
 
@@ -96,8 +101,18 @@
     LuaC.install(globals);
     for (String name :
         new String[] {
-          "dofile", "loadfile", "load", "require", "package", "debug", "collectgarbage", "print",
-          "luajava", "io", "os", "coroutine"
+          "dofile",
+          "loadfile",
+          "load",
+          "require",
+          "package",
+          "debug",
+          "collectgarbage",
+          "print",
+          "luajava",
+          "io",
+          "os",
+          "coroutine"
         }) {
       globals.set(name, LuaValue.NIL);
     }
@@ -152,7 +167,8 @@
         }
       }
       double seconds =
-          number(lane.checktable(), "start_within_s", 0, 0, 86_400, "lanes." + key.tojstring() + ".");
+          number(
+              lane.checktable(), "start_within_s", 0, 0, 86_400, "lanes." + key.tojstring() + ".");
       within.put(key.tojstring(), Math.round(seconds * 1e6));
     }
     return Map.copyOf(within);
--- a/src/main/java/org/dewreach/store/CommitQueue.java
+++ b/src/main/java/org/dewreach/store/CommitQueue.java
@@ -58,11 +58,7 @@
   private long lastMark;
 
   public CommitQueue(
-      StateService state,
-      Condition leader,
-      int txnOps,
-      RateBudget budget,
-      Runnable onLeaderLost) {
+      StateService state, Condition leader, int txnOps, RateBudget budget, Runnable onLeaderLost) {
     this.state = state;
     this.leader = leader;
     this.txnOps = txnOps;
--- a/src/main/java/org/dewreach/task/Task.java
+++ b/src/main/java/org/dewreach/task/Task.java
@@ -19,8 +19,7 @@
   private boolean haltSentDirectly;
   private boolean begun;
 
-  public Task(
-      Job job, int index, long attempt, Machine machine, TaskPhase phase, long nowMicros) {
+  public Task(Job job, int index, long attempt, Machine machine, TaskPhase phase, long nowMicros) {
     this.job = job;
     this.index = index;
     this.attempt = attempt;
--- a/src/main/java/org/dewreach/wire/Codec.java
+++ b/src/main/java/org/dewreach/wire/Codec.java
@@ -18,7 +18,9 @@
 import java.math.BigInteger;
 import java.util.Map;
 
-/** CBOR bodies to trees and back. Trees start faster than bound classes, and starting is charged. */
+/**
+ * CBOR bodies to trees and back. Trees start faster than bound classes, and starting is charged.
+ */
 public final class Codec {
   /** The protocol's messages are flat; deeper ones are attacks on the stack. */
   private static final int MOST_DEPTH = 32;
@@ -44,9 +46,9 @@
    * The tree with nothing in it that another coding cannot carry, or that takes long to turn into a
    * number.
    *
-   * <p>Guards against a single body that ends each node it reaches: integers beyond 64 bits, decimal
-   * fractions with a huge exponent and unpaired surrogates decode, and fail when they are passed on
-   * or written.
+   * <p>Guards against a single body that ends each node it reaches: integers beyond 64 bits,
+   * decimal fractions with a huge exponent and unpaired surrogates decode, and fail when they are
+   * passed on or written.
    */
   private static JsonNode plain(JsonNode node) throws IOException {
     if (node instanceof ObjectNode map) {
--- a/src/main/java/org/dewreach/wire/JobRequest.java
+++ b/src/main/java/org/dewreach/wire/JobRequest.java
@@ -37,6 +37,7 @@
     long dueMicros) {
 
   private static final int MOST_TASKS = 100_000;
+
   /** All names of a list together; far more than any site has types. */
   private static final int MOST_NAMES_LENGTH = 800;
 
