--- /dev/null
+++ b/src/test/java/org/dewreach/sim/BadInputTest.java
@@ -0,0 +1,284 @@
+package org.dewreach.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import com.fasterxml.jackson.databind.node.TextNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.Shape;
+import org.dewreach.wire.Urgency;
+import org.junit.jupiter.api.DisplayName;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** What users send out of place is answered as the protocol has it, by any node at any time. */
+class BadInputTest {
+  private static final long S = 1_000_000;
+  private static final String LIVE = "req-live";
+  private static final String DONE = "req-done";
+
+  /** Whom users ask, and what that node can do. */
+  private enum Situation {
+    LEADER,
+    FOLLOWER,
+    /** One that reads the state service, since it does not reach the leader. */
+    FOLLOWER_WITHOUT_LEADER,
+    /** The leader has just ended and none has followed it. */
+    NO_LEADER,
+    /** The leader acts under the other nodes' promises. */
+    LEADER_IN_OUTAGE,
+    FOLLOWER_IN_OUTAGE,
+    /** Every node was started anew in the outage. */
+    NO_LEADER_IN_OUTAGE;
+
+    boolean inOutage() {
+      return name().endsWith("IN_OUTAGE");
+    }
+
+    /** Brings it about; returns the node to ask. */
+    String bring(World world) {
+      String leader = world.leading();
+      String follower =
+          World.NODES.stream().filter(node -> !node.equals(leader)).findFirst().orElseThrow();
+      if (inOutage()) {
+        world.state.outage(200 * S);
+      }
+      if (this == FOLLOWER_WITHOUT_LEADER) {
+        world.network.refuse(follower, leader, Long.MAX_VALUE);
+      } else if (this == NO_LEADER) {
+        world.crash(leader, 30 * S);
+      } else if (this == NO_LEADER_IN_OUTAGE) {
+        World.NODES.forEach(node -> world.crash(node, 100_000));
+        world.play(world.clock.now() + 3 * S);
+      } else if (inOutage()) {
+        // Longer than the hold lasts.
+        world.play(world.clock.now() + 6 * S);
+      }
+      return this == LEADER || this == LEADER_IN_OUTAGE ? leader : follower;
+    }
+  }
+
+  private static JobRequest job(String id, Shape shape, long runsMicros) {
+    return new JobRequest(
+        id,
+        "live",
+        "red",
+        shape,
+        Urgency.HIGH,
+        1,
+        1,
+        0,
+        1,
+        "img",
+        0.1,
+        null,
+        null,
+        false,
+        false,
+        false,
+        runsMicros,
+        0,
+        0,
+        -1);
+  }
+
+  private static ObjectNode fresh(String id) {
+    return job(id, Shape.SWEEP, S).toNode();
+  }
+
+  /** Submissions that are malformed, or can never run, by what is wrong with them. */
+  private static final Map<String, Consumer<ObjectNode>> MALFORMED = new TreeMap<>();
+
+  private static final Map<String, Consumer<ObjectNode>> UNFIT = new TreeMap<>();
+
+  static {
+    List<String> optional = List.of("uid", "builds", "site", "due_s");
+    fresh("req-any")
+        .fieldNames()
+        .forEachRemaining(
+            field -> {
+              if (!optional.contains(field)) {
+                MALFORMED.put("no " + field, body -> body.remove(field));
+              }
+              if (!field.equals("uid")) {
+                MALFORMED.put("map as " + field, body -> body.putObject(field));
+              }
+            });
+    for (String amount :
+        List.of(
+            "cpus",
+            "cards",
+            "memory_gb",
+            "pull_gb",
+            "expected_s",
+            "mark_every_s",
+            "mark_cost_s",
+            "due_s")) {
+      MALFORMED.put("negative " + amount, body -> body.put(amount, -1.0));
+      MALFORMED.put("NaN as " + amount, body -> body.put(amount, Double.NaN));
+      MALFORMED.put("infinite " + amount, body -> body.put(amount, Double.POSITIVE_INFINITY));
+      MALFORMED.put("text as " + amount, body -> body.put(amount, "1"));
+    }
+    MALFORMED.put("no pieces at all", body -> body.put("pieces", 0));
+    MALFORMED.put("negative pieces", body -> body.put("pieces", -3));
+    MALFORMED.put("half a piece", body -> body.put("pieces", 1.5));
+    MALFORMED.put("too many pieces", body -> body.put("pieces", 100_001));
+    MALFORMED.put("unknown shape", body -> body.put("shape", "round"));
+    MALFORMED.put("unknown urgency", body -> body.put("urgency", "now"));
+    UNFIT.put("too many cpus", body -> body.put("cpus", 16.5));
+    UNFIT.put("too much memory", body -> body.put("memory_gb", 64.5));
+    UNFIT.put("cards", body -> body.put("cards", 1.0));
+    UNFIT.put("unknown zone", body -> body.put("site", "z"));
+    UNFIT.put("unknown type", body -> body.putArray("builds").add("none"));
+    UNFIT.put("unknown team", body -> body.put("desk", "nobody"));
+    UNFIT.put("beyond the team's limit", body -> body.put("shape", "service").put("pieces", 40));
+  }
+
+  /** Requests under way, and what was wrong with their answers. */
+  private static final class Questions {
+    /** Apart by more than what a node without a leader takes of the state service's rates. */
+    static final long APART = 100_000;
+
+    /** Less than the time without a leader. */
+    static final int MOST_WITHOUT_LEADER = 20;
+
+    final World world;
+    final String node;
+    final boolean few;
+    final List<String> wrong = new ArrayList<>();
+    int drawn;
+    int asked;
+    int answered;
+    int sentBack;
+
+    Questions(World world, String node, boolean few) {
+      this.few = few;
+      this.world = world;
+      this.node = node;
+    }
+
+    /** Asks; 503 is right only where it is said to be. */
+    void expect(
+        String what,
+        String method,
+        String path,
+        JsonNode body,
+        int status,
+        Set<String> standings,
+        boolean maySendBack) {
+      drawn++;
+      if (few && (drawn % 11 != 0 || asked >= MOST_WITHOUT_LEADER)) {
+        return;
+      }
+      asked++;
+      world.clock.in(
+          asked * APART,
+          () ->
+              world.toNode(
+                  "user",
+                  node,
+                  method,
+                  path,
+                  body,
+                  (given, answer) -> {
+                    answered++;
+                    String standing = answer == null ? "" : answer.path("standing").asText();
+                    if (given == 503 && maySendBack) {
+                      sentBack++;
+                    } else if (given != status || status == 200 && !standings.contains(standing)) {
+                      wrong.add(what + ": " + given + " " + answer);
+                    }
+                  }));
+    }
+  }
+
+  /**
+   * In an outage it cannot be told whether a job that is not in the leader's books is known, so 503
+   * is right there for whatever depends on that. Without a leader the state service tells.
+   *
+   * <p>Guards: {@code LeaderDesk.unlessKnown} and {@code DirectDesk.unlessKnown}; {@code
+   * Answer.later}, which says when to come back.
+   */
+  @ParameterizedTest
+  @EnumSource(Situation.class)
+  @DisplayName("Bad input is answered by any node, with and without leader, and in an outage")
+  void badInput(Situation situation) {
+    World world = new World(5);
+    world.play(10 * S);
+    String all = World.NODES.get(0);
+    world.users.submitNew(job(LIVE, Shape.SERVICE, 0), all);
+    world.users.submitNew(job(DONE, Shape.SWEEP, S), all);
+    world.play(130 * S);
+    world.users.ask(LIVE, all);
+    world.users.ask(DONE, all);
+    world.play(131 * S);
+    assertTrue(world.checker.accepted(LIVE), "it was not accepted");
+    assertEquals("done", world.checker.finalTold(DONE));
+    Questions questions =
+        new Questions(world, situation.bring(world), situation == Situation.NO_LEADER);
+    ask(questions, situation);
+    world.play(world.clock.now() + questions.asked * Questions.APART + 6 * S);
+    assertEquals(List.of(), questions.wrong);
+    assertEquals(questions.asked, questions.answered);
+    assertEquals(0, world.withoutRetryAfter);
+    assertEquals(List.of(), world.checker.broken);
+    assertTrue(situation.inOutage() || questions.sentBack == 0, questions.sentBack + " sent back");
+  }
+
+  private static void ask(Questions questions, Situation situation) {
+    Set<String> live = Set.of("pending", "running");
+    Set<String> done = Set.of("done");
+    boolean undecided = situation.inOutage();
+    // A leader that acts knows these two, whatever the state service does. A follower leaves it
+    // alone for a moment once it could not answer something else.
+    boolean unknown = situation.inOutage() && situation != Situation.LEADER_IN_OUTAGE;
+    questions.expect("cancel done", "POST", abort(DONE), null, 200, done, unknown);
+    questions.expect("cancel none", "POST", abort("req-none"), null, 404, Set.of(), undecided);
+    questions.expect("ask for none", "GET", "/work/req-none", null, 404, Set.of(), undecided);
+    questions.expect("ask for no id", "GET", "/work/none", null, 404, Set.of(), false);
+    questions.expect("no body", "POST", "/work", null, 400, Set.of(), false);
+    questions.expect("no map", "POST", "/work", new TextNode("job"), 400, Set.of(), false);
+    ObjectNode noId = fresh("req-any");
+    noId.remove("uid");
+    questions.expect("no uid", "POST", "/work", noId, 400, Set.of(), false);
+    questions.expect("uid 7", "POST", "/work", fresh("x").put("uid", 7), 400, Set.of(), false);
+    for (var kind : List.of(Map.entry(400, MALFORMED), Map.entry(422, UNFIT))) {
+      kind.getValue()
+          .forEach(
+              (what, change) -> {
+                ObjectNode body = fresh("req-new" + questions.drawn);
+                change.accept(body);
+                questions.expect(what, "POST", "/work", body, kind.getKey(), Set.of(), undecided);
+                repeat(questions, LIVE, what, change, live, unknown);
+                repeat(questions, DONE, what, change, done, unknown);
+              });
+    }
+    repeat(questions, LIVE, "other fields", body -> body.put("pieces", 3), live, unknown);
+    repeat(questions, DONE, "other fields", body -> body.put("pieces", 3), done, unknown);
+  }
+
+  private static void repeat(
+      Questions questions,
+      String id,
+      String what,
+      Consumer<ObjectNode> change,
+      Set<String> standings,
+      boolean maySendBack) {
+    ObjectNode body = fresh(id);
+    change.accept(body);
+    questions.expect(
+        "repeat of " + id + ", " + what, "POST", "/work", body, 200, standings, maySendBack);
+  }
+
+  private static String abort(String id) {
+    return "/work/" + id + "/abort";
+  }
+}
--- a/src/test/java/org/dewreach/sim/SimUsers.java
+++ b/src/test/java/org/dewreach/sim/SimUsers.java
@@ -518,6 +518,14 @@
         (status, body) -> world.checker.onQueryAnswer(id, asked, status, standing(body)));
   }
 
+  /** One submission of a new job, to a given node. */
+  void submitNew(JobRequest spec, String node) {
+    specs.put(spec.id(), spec);
+    ids.add(spec.id());
+    world.checker.onSubmit(spec);
+    submitOnce(spec.id(), spec.toNode(), node);
+  }
+
   /** One submission, to a given node. */
   void submitOnce(String id, ObjectNode described, String node) {
     Checker.Asked asked = world.checker.ask(id);
