--- a/src/main/java/org/dewreach/store/StateService.java
+++ b/src/main/java/org/dewreach/store/StateService.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.dewreach.port.Calls;
-import org.dewreach.port.Lane;
+import org.dewreach.port.ConnectionPool;
 import org.dewreach.port.Target;
 import org.dewreach.wire.Codec;
 
@@ -20,22 +20,22 @@
   private static final long MICROS_PER_MS = 1_000;
 
   private final Calls calls;
-  private final Lane lane;
+  private final ConnectionPool pool;
 
   /** A client that sends its requests through the given calls. */
   public StateService(Calls calls) {
-    this(calls, Lane.GENERAL);
+    this(calls, ConnectionPool.GENERAL);
   }
 
   /** A client whose requests use the connections of the given lane. */
-  public StateService(Calls calls, Lane lane) {
+  public StateService(Calls calls, ConnectionPool pool) {
     this.calls = calls;
-    this.lane = lane;
+    this.pool = pool;
   }
 
   /** Reads one key; 404 if it does not exist. */
   public void get(String key, Calls.ReplyHandler handler) {
-    calls.call(Target.STATE, lane, "GET", "/keys/" + key, null, READ_TIMEOUT_MICROS, handler);
+    calls.call(Target.STATE, pool, "GET", "/keys/" + key, null, READ_TIMEOUT_MICROS, handler);
   }
 
   /**
@@ -47,59 +47,60 @@
   public void range(String prefix, String after, int most, Calls.ReplyHandler handler) {
     String path = "/keys?under=" + prefix + (after == null ? "" : "&after=" + after);
     calls.call(
-        Target.STATE, lane, "GET", path + "&most=" + most, null, RANGE_TIMEOUT_MICROS, handler);
+        Target.STATE, pool, "GET", path + "&most=" + most, null, RANGE_TIMEOUT_MICROS, handler);
   }
 
   /**
    * Waits for changes of keys that begin with a prefix.
    *
    * @param afterRevision the last revision that is known
-   * @param holdMs how long the service may wait for a change before it answers
+   * @param waitMs how long the service may wait for a change before it answers
    */
-  public void watch(String prefix, long afterRevision, long holdMs, Calls.ReplyHandler handler) {
-    String path = "/changes?under=" + prefix + "&after=" + afterRevision + "&hold_ms=" + holdMs;
+  public void watch(String prefix, long afterRevision, long waitMs, Calls.ReplyHandler handler) {
+    String path = "/changes?under=" + prefix + "&after=" + afterRevision + "&hold_ms=" + waitMs;
     calls.call(
         Target.STATE,
-        lane,
+        pool,
         "GET",
         path,
         null,
-        holdMs * MICROS_PER_MS + WATCH_SLACK_MICROS,
+        waitMs * MICROS_PER_MS + WATCH_SLACK_MICROS,
         handler);
   }
 
   /** Grants a lease: keys that are written with it are deleted when it ends. */
-  public void openHold(long ttlMs, long timeoutMicros, Calls.ReplyHandler handler) {
+  public void openLease(long ttlMs, long timeoutMicros, Calls.ReplyHandler handler) {
     ObjectNode body = Codec.map().put("ttl_ms", ttlMs);
-    calls.call(Target.STATE, lane, "POST", "/holds", body, timeoutMicros, handler);
+    calls.call(Target.STATE, pool, "POST", "/holds", body, timeoutMicros, handler);
   }
 
   /** Renews a lease for its full time. */
-  public void extendHold(long hold, long timeoutMicros, Calls.ReplyHandler handler) {
+  public void renewLease(long leaseId, long timeoutMicros, Calls.ReplyHandler handler) {
     calls.call(
         Target.STATE,
-        lane,
+        pool,
         "POST",
-        "/holds/" + hold + "/extend",
+        "/holds/" + leaseId + "/extend",
         Codec.map(),
         timeoutMicros,
         handler);
   }
 
   /** Revokes a lease, and deletes the keys written with it. */
-  public void dropHold(long hold, Calls.ReplyHandler handler) {
-    calls.call(Target.STATE, lane, "DELETE", "/holds/" + hold, null, READ_TIMEOUT_MICROS, handler);
+  public void revokeLease(long leaseId, Calls.ReplyHandler handler) {
+    calls.call(
+        Target.STATE, pool, "DELETE", "/holds/" + leaseId, null, READ_TIMEOUT_MICROS, handler);
   }
 
   /**
    * One transaction: all changes if all conditions hold, or none (409).
    *
-   * @param hold the lease that puts are attached to, or 0
+   * @param leaseId the lease that puts are attached to, or 0
    */
   public void commit(
       List<Condition> conditions,
       List<Change> changes,
-      long hold,
+      long leaseId,
       long timeoutMicros,
       Calls.ReplyHandler handler) {
     ObjectNode body = Codec.map();
@@ -114,12 +115,12 @@
       } else {
         ObjectNode put = then.addObject().put("put", change.key());
         put.set("data", change.data());
-        if (hold > 0) {
-          put.put("hold", hold);
+        if (leaseId > 0) {
+          put.put("hold", leaseId);
         }
       }
     }
-    calls.call(Target.STATE, lane, "POST", "/commit", body, timeoutMicros, handler);
+    calls.call(Target.STATE, pool, "POST", "/commit", body, timeoutMicros, handler);
   }
 
   /** The keys named in a 409. */
--- a/src/main/java/org/dewreach/wire/Codec.java
+++ b/src/main/java/org/dewreach/wire/Codec.java
@@ -25,7 +25,7 @@
   /** The protocol's messages are flat; deeper ones are attacks on the stack. */
   private static final int MAX_DEPTH = 32;
 
-  /** Digits of a decimal fraction, before and after the point. Ours. */
+  /** Digits of a decimal fraction, before and after the point. A default of this project. */
   private static final int MAX_SCALE = 400;
 
   private static final ObjectMapper CBOR =
--- a/src/main/java/org/dewreach/wire/Shape.java
+++ b/src/main/java/org/dewreach/wire/JobKind.java
@@ -1,7 +1,7 @@
 package org.dewreach.wire;
 
 /** How a job's tasks run. */
-public enum Shape {
+public enum JobKind {
   /** Independent tasks; each runs to completion. */
   SWEEP("sweep"),
   /** Tasks that run to completion, and only all at the same time. */
@@ -11,7 +11,7 @@
 
   private final String word;
 
-  Shape(String word) {
+  JobKind(String word) {
     this.word = word;
   }
 
@@ -21,10 +21,10 @@
   }
 
   /** The value with the given word; any other word is malformed. */
-  public static Shape of(String word) throws MalformedException {
-    for (Shape shape : values()) {
-      if (shape.word.equals(word)) {
-        return shape;
+  public static JobKind of(String word) throws MalformedException {
+    for (JobKind jobKind : values()) {
+      if (jobKind.word.equals(word)) {
+        return jobKind;
       }
     }
     throw new MalformedException("shape: unknown");
--- a/src/main/java/org/dewreach/wire/JobRequest.java
+++ b/src/main/java/org/dewreach/wire/JobRequest.java
@@ -13,8 +13,8 @@
  * @param id the id that the user chose
  * @param lane the class of service, for which the settings may state objectives
  * @param team whose quota it counts against
- * @param shape how its tasks run
- * @param urgency its priority
+ * @param jobKind how its tasks run
+ * @param priority its priority
  * @param tasks how many tasks it has
  * @param cpus what each task takes
  * @param gpus what each task takes
@@ -35,8 +35,8 @@
     String id,
     String lane,
     String team,
-    Shape shape,
-    Urgency urgency,
+    JobKind jobKind,
+    Priority priority,
     int tasks,
     double cpus,
     double gpus,
@@ -87,8 +87,8 @@
         id,
         Fields.text(map, "lane"),
         Fields.text(map, "desk"),
-        Shape.of(Fields.text(map, "shape")),
-        Urgency.of(Fields.text(map, "urgency")),
+        JobKind.of(Fields.text(map, "shape")),
+        Priority.of(Fields.text(map, "urgency")),
         (int) Fields.count(map, "pieces", 1, MAX_TASKS),
         cpus,
         Fields.amount(map, "cards"),
@@ -135,7 +135,7 @@
   public ObjectNode toNode() {
     ObjectNode map = Codec.map();
     map.put("uid", id).put("lane", lane).put("desk", team);
-    map.put("shape", shape.word()).put("urgency", urgency.word()).put("pieces", tasks);
+    map.put("shape", jobKind.word()).put("urgency", priority.word()).put("pieces", tasks);
     map.put("cpus", cpus).put("cards", gpus).put("memory_gb", memoryGb);
     map.put("bundle", image).put("pull_gb", imageGb);
     if (types == null) {
--- a/src/main/java/org/dewreach/wire/Standing.java
+++ b/src/main/java/org/dewreach/wire/JobState.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** What a user is told about a job. */
-public enum Standing {
+public enum JobState {
   /** Accepted; no task has been started. */
   PENDING("pending"),
   /** Some task runs or has run. */
@@ -15,7 +15,7 @@
 
   private final String word;
 
-  Standing(String word) {
+  JobState(String word) {
     this.word = word;
   }
 
@@ -25,10 +25,10 @@
   }
 
   /** The value with the given word; any other word is malformed. */
-  public static Standing of(String word) throws MalformedException {
-    for (Standing standing : values()) {
-      if (standing.word.equals(word)) {
-        return standing;
+  public static JobState of(String word) throws MalformedException {
+    for (JobState jobState : values()) {
+      if (jobState.word.equals(word)) {
+        return jobState;
       }
     }
     throw new MalformedException("standing: unknown");
--- a/src/main/java/org/dewreach/wire/Urgency.java
+++ b/src/main/java/org/dewreach/wire/Priority.java
@@ -1,7 +1,7 @@
 package org.dewreach.wire;
 
 /** Priority of a job, most urgent first. */
-public enum Urgency {
+public enum Priority {
   /** Serves users right now. */
   PRODUCTION("production"),
   /** Goes before ordinary work. */
@@ -13,7 +13,7 @@
 
   private final String word;
 
-  Urgency(String word) {
+  Priority(String word) {
     this.word = word;
   }
 
@@ -23,15 +23,15 @@
   }
 
   /** True if work of this urgency may stop work of the other. */
-  public boolean above(Urgency other) {
+  public boolean above(Priority other) {
     return ordinal() < other.ordinal();
   }
 
   /** The value with the given word; any other word is malformed. */
-  public static Urgency of(String word) throws MalformedException {
-    for (Urgency urgency : values()) {
-      if (urgency.word.equals(word)) {
-        return urgency;
+  public static Priority of(String word) throws MalformedException {
+    for (Priority priority : values()) {
+      if (priority.word.equals(word)) {
+        return priority;
       }
     }
     throw new MalformedException("urgency: unknown");
--- a/src/main/java/org/dewreach/wire/Order.java
+++ b/src/main/java/org/dewreach/wire/WorkerCommand.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** A command to a worker. */
-public sealed interface Order {
+public sealed interface WorkerCommand {
   /** The task that the command is about. */
   TaskName task();
 
@@ -14,7 +14,7 @@
   ObjectNode toNode();
 
   /** Start a task. Has no effect if the worker knows this attempt already. */
-  record Start(TaskName task, long attempt) implements Order {
+  record Start(TaskName task, long attempt) implements WorkerCommand {
     @Override
     public ObjectNode toNode() {
       return base("start", this);
@@ -22,7 +22,7 @@
   }
 
   /** Stop a task, leaving it the given time to save. */
-  record Halt(TaskName task, long attempt, long graceMicros) implements Order {
+  record Halt(TaskName task, long attempt, long graceMicros) implements WorkerCommand {
     @Override
     public ObjectNode toNode() {
       return base("halt", this).put("wind_down_s", graceMicros / Fields.MICROS_PER_SECOND);
@@ -30,17 +30,17 @@
   }
 
   /** Remove an exited task from the reports. */
-  record Clear(TaskName task, long attempt) implements Order {
+  record Clear(TaskName task, long attempt) implements WorkerCommand {
     @Override
     public ObjectNode toNode() {
       return base("clear", this);
     }
   }
 
-  private static ObjectNode base(String verb, Order order) {
+  private static ObjectNode base(String verb, WorkerCommand command) {
     return Codec.map()
         .put("verb", verb)
-        .put("piece", order.task().toString())
-        .put("try", order.attempt());
+        .put("piece", command.task().toString())
+        .put("try", command.attempt());
   }
 }
--- /dev/null
+++ b/src/test/java/org/dewreach/leadership/FollowerGrantsTest.java
@@ -0,0 +1,70 @@
+package org.dewreach.leadership;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Random;
+import org.junit.jupiter.api.Test;
+
+class FollowerGrantsTest {
+  private static final long S = 1_000_000;
+
+  @Test
+  void aRunningGrantKeepsLaterTermsFromActing() {
+    FollowerGrants followerGrants = new FollowerGrants(0);
+    assertTrue(followerGrants.grant(5, 10 * S));
+    assertFalse(followerGrants.letAct(9, 10 * S + 1));
+    assertTrue(followerGrants.letAct(9, 10 * S + FollowerGrants.GRANT_MICROS));
+    assertFalse(followerGrants.grant(5, 20 * S), "a later term acts");
+  }
+
+  @Test
+  void aRestartedNodeWaitsUntilItsForgottenGrantsAreOver() {
+    FollowerGrants followerGrants = new FollowerGrants(10 * S);
+    assertFalse(followerGrants.grant(5, 10 * S + FollowerGrants.GRANT_MICROS));
+    assertFalse(followerGrants.letAct(9, 10 * S + FollowerGrants.GRANT_MICROS));
+    assertTrue(followerGrants.letAct(9, 12 * S));
+  }
+
+  @Test
+  void aTermWhoseKeyIsGoneGetsNoGrant() {
+    FollowerGrants followerGrants = new FollowerGrants(0);
+    followerGrants.over(8);
+    assertFalse(followerGrants.grant(7, 10 * S));
+    assertTrue(followerGrants.grant(8, 10 * S));
+  }
+
+  /** Two terms at three nodes, asked and restarted at random: never do both act. */
+  @Test
+  void neverTwoTermsAtOnce() {
+    for (long seed = 0; seed < 400; seed++) {
+      Random random = new Random(seed);
+      FollowerGrants[] nodes = {
+        new FollowerGrants(-9 * S), new FollowerGrants(-9 * S), new FollowerGrants(-9 * S)
+      };
+      long[] grantedUntil = {Long.MIN_VALUE, Long.MIN_VALUE, Long.MIN_VALUE};
+      boolean laterActs = false;
+      for (long now = 0; now < 30 * S; now += random.nextInt(300_000)) {
+        int node = random.nextInt(3);
+        boolean earlierActs =
+            now < Math.min(grantedUntil[0], Math.min(grantedUntil[1], grantedUntil[2]));
+        switch (random.nextInt(12)) {
+          case 0 -> {
+            // Node 1 is the later leader's: with it, the later term ends.
+            nodes[node] = new FollowerGrants(now);
+            laterActs &= node != 1;
+          }
+          case 1 -> laterActs |= nodes[1].letAct(20, now);
+          default -> {
+            // The earlier leader asks only while it acts, or at first.
+            if ((now < 2 * S || earlierActs) && nodes[node].grant(10, now)) {
+              grantedUntil[node] = now + FollowerGrants.COUNTED_GRANT_MICROS;
+            }
+          }
+        }
+        earlierActs = now < Math.min(grantedUntil[0], Math.min(grantedUntil[1], grantedUntil[2]));
+        assertFalse(laterActs && earlierActs, "seed " + seed + " at " + now);
+      }
+    }
+  }
+}
--- a/src/test/java/org/dewreach/net/LeaseConnectionsTest.java
+++ b/src/test/java/org/dewreach/net/LeaseConnectionsTest.java
@@ -153,7 +153,7 @@
    * slow state service costs the lead. No read ends before the node gives the first one up, and by
    * then extensions came while all connections for reads were taken.
    *
-   * <p>Guard: {@code Lane.AUTHORITY} in {@code Node.client}.
+   * <p>Guard: {@code ConnectionPool.LEADERSHIP} in {@code Node.client}.
    */
   @Test
   void renewalsDoNotWaitBehindUsersReads() throws Exception {
