--- a/src/main/java/org/dewreach/controller/Core.java
+++ b/src/main/java/org/dewreach/controller/Core.java
@@ -14,7 +14,6 @@
 import org.dewreach.port.ConnectionPool;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
-import org.dewreach.port.Target;
 import org.dewreach.store.StateService;
 import org.dewreach.wire.Codec;
 import org.dewreach.wire.JobRequest;
@@ -27,42 +26,10 @@
 public final class Core implements Election.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(Core.class);
 
-  /** Users wait 2 s for the answer to a query, of which some is left for reading the record. */
-  private static final long FORWARD_TIMEOUT_MICROS = 1_200_000;
-
-  /**
-   * A leader that has been silent lately is not waited for longer than this: the job can be kept
-   * without it. One that answers is only slow, and keeping jobs without it would add to its load:
-   * each then takes three state changes instead of one.
-   */
-  private static final long FORWARD_SUBMIT_TIMEOUT_MICROS = 150_000;
-
-  /** As long as the leader answers others. */
-  private static final long SLOW_SUBMIT_TIMEOUT_MICROS = 600_000;
-
-  /** A leader that answered within this time is alive. */
-  private static final long RECENT_REPLY_MICROS = 300_000;
-
-  /** A leader that did not answer is left alone for this long, where there is another way. */
-  private static final long LEADER_PAUSE_MICROS = 500_000;
-
-  /** After a request that no leader took, the other nodes are asked who leads. */
-  private static final long LEADER_DOUBT_MICROS = 3_000_000;
-
-  private static final int BUSY_RETRY_S = 2;
-
   private static final long SUMMARY_INTERVAL_MICROS = 30_000_000;
 
-  /** A node started in an outage asks the others soon. */
-  private static final long STARTED_ALONE_MICROS = 1_000_000;
-
   private static final long OWN_DELEGATION_INTERVAL_MICROS = 500_000;
 
-  private static final long ASK_PEERS_INTERVAL_MICROS = 500_000;
-
-  /** Longer than a watch of the leader key stays open without an answer. */
-  private static final long STATE_SILENT_MICROS = 10_000_000;
-
   /** Read-only numbers, at the internal address. */
   public static final String STATS_PATH = "/stats";
 
@@ -75,6 +42,8 @@
   private final Election election;
   private final LeaderlessRequestHandler direct;
   private final DelegateRenewer delegateRenewer;
+  private final LeaderDiscovery discovery;
+  private final LeaderForwarder forwarder;
   private final long wallOffsetMicros;
   private LeadershipTerm term;
   private long now;
@@ -82,13 +51,6 @@
   private final WaitingReports waitingReports;
   private long nextSummary;
   private boolean ready;
-  private long askPeersAt;
-  private int nextPeer;
-  private long leaderAgainAt;
-  private String askedLeader;
-  private long leaderAnsweredAt;
-  private long doubtUntil;
-  private long firstEventAt = -1;
   private long nextOwnDelegation;
   private long ownDelegationUntil;
 
@@ -123,13 +85,14 @@
     this.waitingReports = new WaitingReports(settings.limits().maxConnections());
     this.delegateRenewer = new DelegateRenewer(calls, state, settings);
     this.direct = new LeaderlessRequestHandler(state, catalog, settings, boot, wallOffsetMicros);
+    this.discovery = new LeaderDiscovery(calls, settings, election, delegateRenewer);
+    this.forwarder = new LeaderForwarder(calls, direct);
   }
 
   /** Handles one event; the effects are to be carried out in order. */
   public List<Effect> handle(long nowMicros, Event event) {
     now = Math.max(now, nowMicros);
-    if (firstEventAt < 0) {
-      firstEventAt = now;
+    if (nextSummary == 0) {
       nextSummary = now + SUMMARY_INTERVAL_MICROS;
     }
     direct.now(now);
@@ -151,8 +114,8 @@
     if (!waitingReports.isEmpty()) {
       waitingReports.takeDue(undecided(), now, this::answerReport);
     }
-    askPeers();
-    delegateRenewer();
+    discovery.tick(term != null, forwarder.doubtsLeader(now), now);
+    renewDelegations();
     if (now >= nextSummary) {
       nextSummary = now + SUMMARY_INTERVAL_MICROS;
       LOG.info("load: {}", load.summary());
@@ -160,7 +123,7 @@
   }
 
   /** Keeps up what this node may answer workers should it lose the others. */
-  private void delegateRenewer() {
+  private void renewDelegations() {
     if (leading()) {
       if (now >= nextOwnDelegation) {
         nextOwnDelegation = now + OWN_DELEGATION_INTERVAL_MICROS;
@@ -173,34 +136,6 @@
     delegateRenewer.tick(election.leader(), now);
   }
 
-  /** A node that the state service does not answer learns from the others who leads. */
-  private void askPeers() {
-    boolean cut =
-        election.lastContact() < 0
-            ? now - firstEventAt > STARTED_ALONE_MICROS
-            : now - election.lastContact() > STATE_SILENT_MICROS;
-    // A leader without authority may have been followed by another one without noticing.
-    boolean ask = term == null ? cut || now < doubtUntil : !election.hasAuthority(now);
-    if (!ask || now < askPeersAt || settings.members().isEmpty()) {
-      return;
-    }
-    askPeersAt = now + ASK_PEERS_INTERVAL_MICROS;
-    Settings.Member member = settings.members().get(nextPeer++ % settings.members().size());
-    calls.call(
-        new Target.Member(member.name()),
-        "GET",
-        Forwarded.LEADER_PATH,
-        null,
-        1_000_000,
-        (at, status, body) -> {
-          if (status == 200 && body != null && body.path("leader").isTextual()) {
-            String leader = body.path("leader").textValue();
-            election.hint(leader, body.path("term").asLong(0), at);
-            delegateRenewer.over(body.path("term").asLong(0));
-          }
-        });
-  }
-
   /** Until when what this node decides now may leave it. */
   private long actsUntil() {
     return leading() ? election.actsUntil() : Effect.ANY_TIME;
@@ -308,7 +243,7 @@
   }
 
   private void onUser(Event.Request request) {
-    UserRequest parsed = route(request.method(), request.path(), request.body());
+    UserRequest parsed = UserRequestParser.parse(request.method(), request.path(), request.body());
     if (parsed == null) {
       calls.respond(request.requestId(), known(request) ? 400 : 404, null);
       return;
@@ -323,11 +258,15 @@
       return;
     }
     if (load.full()) {
-      calls.respondRetry(request.requestId(), 503, null, BUSY_RETRY_S);
+      calls.respondRetry(request.requestId(), 503, null, LoadLimiter.BUSY_RETRY_S);
       return;
     }
     LoadLimiter.Entry entry = load.enter(now);
-    Answer answer = answer(request.requestId(), entry);
+    dispatch(request, parsed, answer(request.requestId(), entry));
+  }
+
+  /** Gives a user's request to the term of this node, to the leader, or serves it without one. */
+  private void dispatch(Event.Request request, UserRequest parsed, Answer answer) {
     if (term != null) {
       // Before a leader may act, or knows what is there, jobs are kept and read without it.
       if (term.loaded() && election.hasAuthority(now)) {
@@ -338,9 +277,8 @@
       return;
     }
     String leader = election.leader();
-    boolean otherWay = !(parsed instanceof UserRequest.Withdraw) && now < leaderAgainAt;
-    if (leader != null && !leader.equals(settings.name()) && !otherWay) {
-      forward(leader, request, parsed, answer);
+    if (leader != null && !leader.equals(settings.name()) && !forwarder.paused(parsed, now)) {
+      forwarder.forward(leader, request, parsed, answer, now);
     } else {
       direct.handle(parsed, answer);
     }
@@ -350,28 +288,6 @@
     return request.path().equals("/work") && request.method().equals("POST");
   }
 
-  private static UserRequest route(String method, String path, JsonNode body) {
-    if (path.equals("/work")) {
-      if (!method.equals("POST")) {
-        return null;
-      }
-      JsonNode uid = body == null ? null : body.get("uid");
-      boolean hasId = uid != null && uid.isTextual() && JobRequest.isId(uid.textValue());
-      return new UserRequest.Submit(hasId ? uid.textValue() : null, body);
-    }
-    if (!path.startsWith("/work/")) {
-      return null;
-    }
-    String rest = path.substring("/work/".length());
-    if (method.equals("GET") && rest.indexOf('/') < 0) {
-      return new UserRequest.Query(rest);
-    }
-    if (method.equals("POST") && rest.endsWith("/abort")) {
-      return new UserRequest.Withdraw(rest.substring(0, rest.length() - "/abort".length()));
-    }
-    return null;
-  }
-
   private Answer answer(long requestId, LoadLimiter.Entry entry) {
     return (status, body, retryAfterS) -> {
       load.leave(entry, status, now);
@@ -400,48 +316,6 @@
     };
   }
 
-  private void forward(String leader, Event.Request request, UserRequest parsed, Answer answer) {
-    if (!leader.equals(askedLeader)) {
-      // A new leader is taken to be alive.
-      askedLeader = leader;
-      leaderAnsweredAt = now;
-    }
-    boolean doubtful = now - leaderAnsweredAt > RECENT_REPLY_MICROS;
-    boolean submit = parsed instanceof UserRequest.Submit;
-    boolean brief = submit && doubtful;
-    calls.call(
-        new Target.Member(leader),
-        "POST",
-        Forwarded.PATH,
-        Forwarded.request(request.method(), request.path(), request.body()),
-        brief
-            ? FORWARD_SUBMIT_TIMEOUT_MICROS
-            : submit ? SLOW_SUBMIT_TIMEOUT_MICROS : FORWARD_TIMEOUT_MICROS,
-        (at, status, body) -> {
-          int given = status == 200 && body != null ? body.path("status").asInt(503) : 503;
-          boolean busy = status == 200 && Forwarded.isBusy(body);
-          if (given != 503 || busy) {
-            leaderAnsweredAt = at;
-          }
-          if (busy) {
-            // It leads, and has more to do than it can: going round it would not help.
-            answer.send(503, null, BUSY_RETRY_S);
-          } else if (given != 503) {
-            JsonNode inner = body.get("body");
-            boolean empty = inner == null || inner.isNull();
-            answer.send(given, empty ? null : inner, body.path("retry").asInt(0));
-          } else {
-            // Guards against polls that fail for a while because the leader could not answer one of
-            // them: in an outage it still knows most jobs, and nobody else knows any.
-            if (status != 200 || Forwarded.isNotLeading(body)) {
-              leaderAgainAt = at + LEADER_PAUSE_MICROS;
-              doubtUntil = at + LEADER_DOUBT_MICROS;
-            }
-            direct.handle(parsed, answer);
-          }
-        });
-  }
-
   private ObjectNode stats() {
     ObjectNode node = Codec.map().put("node", settings.name()).put("leader", election.leader());
     node.put("election", election.phase().name()).put("term", termNumber());
@@ -454,48 +328,59 @@
   }
 
   private void onPeer(Event.Request request) {
-    if (request.path().equals(Forwarded.LEADER_PATH)) {
-      ObjectNode known = Codec.map().put("leader", election.leader());
-      calls.respond(request.requestId(), 200, known.put("term", election.latestTerm()));
-      return;
-    }
-    if (request.path().equals(STATS_PATH)) {
-      calls.respond(request.requestId(), 200, stats());
-      return;
-    }
-    if (request.path().equals(Election.GRANT_PATH) && request.body() != null) {
-      boolean given = election.grant(request.body().path("term").asLong(), now);
-      calls.respond(request.requestId(), 200, Codec.map().put("given", given));
-      return;
-    }
-    if (request.path().equals(DelegateRenewer.PATH) && request.body() != null) {
-      boolean leads = leading();
-      ObjectNode delegation = leads ? term.onDelegationRequest(request.body(), now) : null;
-      calls.respond(request.requestId(), 200, leads ? delegation : Codec.map().put("term", 0));
-      return;
+    long requestId = request.requestId();
+    JsonNode body = request.body();
+    switch (request.path()) {
+      case Forwarded.LEADER_PATH -> {
+        ObjectNode known = Codec.map().put("leader", election.leader());
+        calls.respond(requestId, 200, known.put("term", election.latestTerm()));
+      }
+      case STATS_PATH -> calls.respond(requestId, 200, stats());
+      case Election.GRANT_PATH, DelegateRenewer.PATH, Forwarded.PATH -> {
+        if (body == null) {
+          calls.respond(requestId, 404, null);
+        } else {
+          onPeerPost(request.path(), requestId, body);
+        }
+      }
+      default -> calls.respond(requestId, 404, null);
     }
-    if (!request.path().equals(Forwarded.PATH) || request.body() == null) {
-      calls.respond(request.requestId(), 404, null);
-      return;
+  }
+
+  private void onPeerPost(String path, long requestId, JsonNode body) {
+    switch (path) {
+      case Election.GRANT_PATH -> {
+        boolean given = election.grant(body.path("term").asLong(), now);
+        calls.respond(requestId, 200, Codec.map().put("given", given));
+      }
+      case DelegateRenewer.PATH -> {
+        ObjectNode delegation =
+            leading() ? term.onDelegationRequest(body, now) : Codec.map().put("term", 0);
+        calls.respond(requestId, 200, delegation);
+      }
+      default -> onForwarded(requestId, body);
     }
-    JsonNode body = request.body();
-    JsonNode inner = body.get("body");
-    UserRequest parsed = route(body.path("method").asText(), body.path("path").asText(), inner);
+  }
+
+  /** Answers a user's request that another node has forwarded to this one as the leader. */
+  private void onForwarded(long requestId, JsonNode body) {
+    UserRequest parsed =
+        UserRequestParser.parse(
+            body.path("method").asText(), body.path("path").asText(), body.get("body"));
     boolean leads = term != null && term.loaded() && election.hasAuthority(now);
     if (parsed == null || parsed.jobId() == null || !leads) {
-      calls.respond(request.requestId(), 200, Forwarded.notLeading());
+      calls.respond(requestId, 200, Forwarded.notLeading());
       return;
     }
     if (load.full()) {
-      calls.respond(request.requestId(), 200, Forwarded.busy());
+      calls.respond(requestId, 200, Forwarded.busy());
       return;
     }
     LoadLimiter.Entry entry = load.enter(now);
     Answer answer =
         (status, answerBody, retryAfterS) -> {
           load.leave(entry, status, now);
-          calls.respond(
-              request.requestId(), 200, Forwarded.answer(status, answerBody, retryAfterS));
+          calls.respond(requestId, 200, Forwarded.answer(status, answerBody, retryAfterS));
         };
     term.user(parsed, underAuthority(answer), now);
   }
--- /dev/null
+++ b/src/main/java/org/dewreach/controller/LeaderDiscovery.java
@@ -0,0 +1,79 @@
+package org.dewreach.controller;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import org.dewreach.config.Settings;
+import org.dewreach.leadership.DelegateRenewer;
+import org.dewreach.leadership.Election;
+import org.dewreach.peer.Forwarded;
+import org.dewreach.port.Calls;
+import org.dewreach.port.Target;
+
+/** Asks the other nodes who leads while the state service does not tell. */
+final class LeaderDiscovery {
+  /** A node started in an outage asks the others soon. */
+  private static final long STARTED_ALONE_MICROS = 1_000_000;
+
+  private static final long ASK_PEERS_INTERVAL_MICROS = 500_000;
+
+  private static final long ASK_TIMEOUT_MICROS = 1_000_000;
+
+  /** Longer than a watch of the leader key stays open without an answer. */
+  private static final long STATE_SILENT_MICROS = 10_000_000;
+
+  private final Calls calls;
+  private final Settings settings;
+  private final Election election;
+  private final DelegateRenewer delegateRenewer;
+  private long startedAt = -1;
+  private long askPeersAt;
+  private int nextPeer;
+
+  LeaderDiscovery(
+      Calls calls, Settings settings, Election election, DelegateRenewer delegateRenewer) {
+    this.calls = calls;
+    this.settings = settings;
+    this.election = election;
+    this.delegateRenewer = delegateRenewer;
+  }
+
+  /**
+   * Asks the next node if it is time.
+   *
+   * @param hasTerm true if this node was elected and has not noticed the end of its term
+   * @param doubtsLeader true if the known leader did not take a request lately
+   */
+  void tick(boolean hasTerm, boolean doubtsLeader, long nowMicros) {
+    if (startedAt < 0) {
+      startedAt = nowMicros;
+    }
+    // A leader without authority may have been followed by another one without noticing.
+    boolean ask =
+        hasTerm ? !election.hasAuthority(nowMicros) : stateServiceSilent(nowMicros) || doubtsLeader;
+    if (!ask || nowMicros < askPeersAt || settings.members().isEmpty()) {
+      return;
+    }
+    askPeersAt = nowMicros + ASK_PEERS_INTERVAL_MICROS;
+    Settings.Member member = settings.members().get(nextPeer++ % settings.members().size());
+    calls.call(
+        new Target.Member(member.name()),
+        "GET",
+        Forwarded.LEADER_PATH,
+        null,
+        ASK_TIMEOUT_MICROS,
+        this::onReply);
+  }
+
+  private boolean stateServiceSilent(long nowMicros) {
+    return election.lastContact() < 0
+        ? nowMicros - startedAt > STARTED_ALONE_MICROS
+        : nowMicros - election.lastContact() > STATE_SILENT_MICROS;
+  }
+
+  private void onReply(long at, int status, JsonNode body) {
+    if (status == 200 && body != null && body.path("leader").isTextual()) {
+      long term = body.path("term").asLong(0);
+      election.hint(body.path("leader").textValue(), term, at);
+      delegateRenewer.over(term);
+    }
+  }
+}
--- a/src/main/java/org/dewreach/controller/LoadLimiter.java
+++ b/src/main/java/org/dewreach/controller/LoadLimiter.java
@@ -13,6 +13,9 @@
  * workers are not counted, and so never shed.
  */
 final class LoadLimiter {
+  /** After how many seconds a user who was turned away is to ask again. */
+  static final int BUSY_RETRY_S = 2;
+
   private static final int FIRST_LIMIT = 100;
   private static final int MIN_LIMIT = 20;
   private static final int MAX_LIMIT = 400;
--- /dev/null
+++ b/src/main/java/org/dewreach/controller/UserRequestParser.java
@@ -0,0 +1,41 @@
+package org.dewreach.controller;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import org.dewreach.wire.JobRequest;
+
+/** Maps the method and path of a user's HTTP request to a typed request. */
+final class UserRequestParser {
+  private static final String JOBS_PATH = "/work";
+  private static final String JOB_PREFIX = JOBS_PATH + "/";
+  private static final String WITHDRAW_SUFFIX = "/abort";
+
+  private UserRequestParser() {}
+
+  /**
+   * Returns the typed request, or null if there is none of this method and path.
+   *
+   * <p>A submission without a valid job id is returned with a null id.
+   */
+  static UserRequest parse(String method, String path, JsonNode body) {
+    if (path.equals(JOBS_PATH)) {
+      return method.equals("POST") ? new UserRequest.Submit(validId(body), body) : null;
+    }
+    if (!path.startsWith(JOB_PREFIX)) {
+      return null;
+    }
+    String rest = path.substring(JOB_PREFIX.length());
+    if (method.equals("GET") && rest.indexOf('/') < 0) {
+      return new UserRequest.Query(rest);
+    }
+    if (method.equals("POST") && rest.endsWith(WITHDRAW_SUFFIX)) {
+      return new UserRequest.Withdraw(rest.substring(0, rest.length() - WITHDRAW_SUFFIX.length()));
+    }
+    return null;
+  }
+
+  private static String validId(JsonNode body) {
+    JsonNode uid = body == null ? null : body.get("uid");
+    boolean valid = uid != null && uid.isTextual() && JobRequest.isId(uid.textValue());
+    return valid ? uid.textValue() : null;
+  }
+}
