--- a/src/test/java/org/dewreach/sim/World.java
+++ b/src/test/java/org/dewreach/sim/World.java
@@ -127,6 +127,9 @@
 
   final Size size;
 
+  /** All that the controllers have decided so far. */
+  final EffectDigest digest = new EffectDigest();
+
   World(long seed) {
     this(seed, 1);
   }
@@ -451,6 +454,7 @@
       return;
     }
     List<Effect> effects = core.handle(steady(node), event);
+    effects.forEach(effect -> digest.add(clock.now(), name, effect));
     if (node.freezeAtRequestFor > 0 && isOfUser(event)) {
       node.freezeFor = node.freezeAtRequestFor;
       node.freezeAtRequestFor = 0;
