--- a/src/main/java/org/dewreach/cloud/CloudClient.java
+++ b/src/main/java/org/dewreach/cloud/CloudClient.java
@@ -38,7 +38,7 @@
 
   /** Reads the catalog. */
   public void catalog(long nowMicros, Outbox.ReplyHandler handler) {
-    budget.take(nowMicros, 1);
+    budget.consume(nowMicros, 1);
     outbox.call(Target.CLOUD, "GET", "/catalog", null, TIMEOUT_MICROS, handler);
   }
 
@@ -55,7 +55,7 @@
       boolean spot,
       int count,
       Outbox.ReplyHandler handler) {
-    budget.take(nowMicros, 1);
+    budget.consume(nowMicros, 1);
     ObjectNode body = Codec.map();
     body.put("hire", request).put("build", type).put("site", zone);
     body.put("loaners", spot).put("count", count);
@@ -64,7 +64,7 @@
 
   /** Returns machines. */
   public void giveBack(long nowMicros, List<String> machines, Outbox.ReplyHandler handler) {
-    budget.take(nowMicros, 1);
+    budget.consume(nowMicros, 1);
     ObjectNode body = Codec.map();
     ArrayNode hosts = body.putArray("hosts");
     machines.forEach(hosts::add);
@@ -77,7 +77,7 @@
    * @param after the last machine of the page before, or null
    */
   public void list(long nowMicros, String after, Outbox.ReplyHandler handler) {
-    budget.take(nowMicros, 1);
+    budget.consume(nowMicros, 1);
     String path = "/rentals?" + (after == null ? "" : "after=" + after + "&") + "most=" + PAGE_SIZE;
     outbox.call(Target.CLOUD, "GET", path, null, TIMEOUT_MICROS, handler);
   }
--- a/src/main/java/org/dewreach/history/FinalStateWatcher.java
+++ b/src/main/java/org/dewreach/history/FinalStateWatcher.java
@@ -1,9 +1,12 @@
 package org.dewreach.history;
 
-import com.fasterxml.jackson.databind.JsonNode;
+import org.dewreach.store.KeyValue;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.wire.HttpStatus;
+import org.dewreach.store.RangePage;
+import org.dewreach.store.RangeResult;
+import org.dewreach.store.WatchBatch;
+import org.dewreach.store.WatchResult;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -69,11 +72,11 @@
     switch (phase) {
       case LISTING -> {
         become(Phase.READING, nowMicros);
-        state.range(Keys.OVER, after, PAGE_SIZE, this::onPage);
+        state.range(Keys.FINAL_STATES, after, PAGE_SIZE, this::onPage);
       }
       case PAUSED -> {
         become(Phase.WATCHING, nowMicros);
-        state.watch(Keys.OVER, revision, WATCH_MS, this::onChanges);
+        state.watch(Keys.FINAL_STATES, revision, WATCH_MS, this::onChanges);
       }
       case READING, WATCHING -> {
         // a request is under way
@@ -86,24 +89,22 @@
     return revision;
   }
 
-  private void onPage(long nowMicros, int status, JsonNode body) {
-    if (status != HttpStatus.OK) {
+  private void onPage(long nowMicros, RangeResult result) {
+    if (!(result instanceof RangePage page)) {
       become(Phase.LISTING, nowMicros + RETRY_MICROS);
       return;
     }
     if (after == null) {
-      revision = body.path("ledger_rev").asLong();
+      revision = page.storeRevision();
     }
-    JsonNode entries = body.path("entries");
-    for (JsonNode entry : entries) {
-      after = entry.path("path").asText();
-      FinalState found = decode(after, entry.path("data"));
+    for (KeyValue entry : page.entries()) {
+      after = entry.key();
+      FinalState found = decode(entry);
       if (found != null) {
         finalStates.listed(jobId(after), found);
       }
     }
-    boolean more = body.path("more").asBoolean(false) && !entries.isEmpty();
-    if (more && !finalStates.full()) {
+    if (page.more() && !finalStates.full()) {
       become(Phase.LISTING, nowMicros + PAUSE_MICROS);
     } else {
       LOG.info("{} final states known at revision {}", finalStates.size(), revision);
@@ -111,39 +112,36 @@
     }
   }
 
-  private void onChanges(long nowMicros, int status, JsonNode body) {
-    if (status == HttpStatus.GONE) {
+  private void onChanges(long nowMicros, WatchResult result) {
+    if (result instanceof WatchResult.Compacted) {
       LOG.info("changes after revision {} are not kept any more, listing anew", revision);
       after = null;
       become(Phase.LISTING, nowMicros);
       return;
     }
-    if (status != HttpStatus.OK) {
+    if (!(result instanceof WatchBatch batch)) {
       become(Phase.PAUSED, nowMicros + RETRY_MICROS);
       return;
     }
-    for (JsonNode change : body.path("log")) {
-      if (change.hasNonNull("put")) {
-        String key = change.path("put").asText();
-        FinalState found = decode(key, change.path("data"));
-        if (found != null) {
-          finalStates.ended(jobId(key), found);
-        }
+    for (KeyValue entry : batch.puts()) {
+      FinalState found = decode(entry);
+      if (found != null) {
+        finalStates.ended(jobId(entry.key()), found);
       }
     }
-    revision = body.path("ledger_rev").asLong();
+    revision = batch.storeRevision();
     become(Phase.PAUSED, nowMicros + PAUSE_MICROS);
   }
 
   private static String jobId(String key) {
-    return key.substring(Keys.OVER.length());
+    return key.substring(Keys.FINAL_STATES.length());
   }
 
-  private static FinalState decode(String key, JsonNode value) {
+  private static FinalState decode(KeyValue entry) {
     try {
-      return FinalState.decode(value);
+      return FinalStateRecord.decode(entry.value());
     } catch (MalformedException e) {
-      LOG.error("{} not understood, left alone: {}", key, e.getMessage());
+      LOG.error("{} not understood, left alone: {}", entry.key(), e.getMessage());
       return null;
     }
   }
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -9,6 +9,7 @@
 import org.dewreach.port.Target;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
+import org.dewreach.store.RequestFailure;
 import org.dewreach.wire.Codec;
 import org.dewreach.wire.Heartbeat;
 import org.dewreach.wire.HttpStatus;
@@ -98,8 +99,8 @@
       // A node that reaches the state service is not cut off, and learns there who leads.
       state.get(
           Keys.LEADER,
-          (now, status, body) -> {
-            if (status == HttpStatus.OK || status == HttpStatus.NOT_FOUND) {
+          (now, result) -> {
+            if (!(result instanceof RequestFailure)) {
               stateAt = now;
             }
           });
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -1,12 +1,16 @@
 package org.dewreach.leadership;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.random.RandomGenerator;
 import org.dewreach.port.Outbox;
+import org.dewreach.store.KeyValue;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.wire.HttpStatus;
+import org.dewreach.store.LeaseGrant;
+import org.dewreach.store.ReadResult;
+import org.dewreach.store.RequestFailure;
+import org.dewreach.store.TransactionResult;
+import org.dewreach.store.WatchBatch;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -59,7 +63,7 @@
   private String leader;
   private boolean leaderAbsent;
   private long seenRevision;
-  private long leaderStamp;
+  private long leaderRevision;
   private long claimNotBefore;
   private boolean reading;
   private boolean watching;
@@ -195,7 +199,7 @@
    * more and hears of a later term is over.
    */
   public void hint(String name, long itsTerm, long nowMicros) {
-    if (name == null || name.equals(self) || itsTerm < leaderStamp) {
+    if (name == null || name.equals(self) || itsTerm < leaderRevision) {
       // Not of an earlier term: it would lead requests back to a leader that is over.
       return;
     }
@@ -209,7 +213,7 @@
 
   /** The latest term this node knows of; for telling others. */
   public long latestTerm() {
-    return phase == ElectionState.LEADING ? authority.term() : leaderStamp;
+    return phase == ElectionState.LEADING ? authority.term() : leaderRevision;
   }
 
   private void read(long nowMicros) {
@@ -217,18 +221,18 @@
     state.get(Keys.LEADER, this::onRead);
   }
 
-  private void onRead(long nowMicros, int status, JsonNode body) {
+  private void onRead(long nowMicros, ReadResult result) {
     reading = false;
-    if (status == HttpStatus.OK || status == HttpStatus.NOT_FOUND) {
+    if (!(result instanceof RequestFailure)) {
       lastContact = nowMicros;
     }
     if (phase != ElectionState.FOLLOWING && phase != ElectionState.VERIFYING) {
       return;
     }
-    if (status == HttpStatus.OK) {
-      onKeyPresent(nowMicros, body);
-    } else if (status == HttpStatus.NOT_FOUND) {
-      onKeyAbsent(nowMicros, body);
+    if (result instanceof KeyValue entry) {
+      onKeyPresent(nowMicros, entry);
+    } else if (result instanceof ReadResult.Absent absent) {
+      onKeyAbsent(nowMicros, absent);
     } else if (phase == ElectionState.VERIFYING) {
       retryRead(nowMicros, VERIFY_RETRY_MICROS);
     } else {
@@ -236,43 +240,41 @@
     }
   }
 
-  private void onKeyPresent(long nowMicros, JsonNode body) {
-    JsonNode data = body.path("data");
-    String name = data.path("name").asText();
-    long holderLeaseId = body.path("hold").asLong(0);
-    long stamp = body.path("stamp").asLong();
+  private void onKeyPresent(long nowMicros, KeyValue entry) {
+    LeaderRecord holder = LeaderRecord.decode(entry.value());
+    String name = holder.name();
     if (name.equals(self)) {
-      onOwnKey(nowMicros, data.path("boot").asText(), holderLeaseId, stamp);
+      onOwnKey(nowMicros, holder.boot(), entry.leaseId(), entry.revision());
       return;
     }
     claim.abandon();
     leader = name;
     leaderAbsent = false;
-    seenRevision = stamp;
-    leaderStamp = stamp;
-    followerGrants.over(stamp);
+    seenRevision = entry.revision();
+    leaderRevision = entry.revision();
+    followerGrants.over(entry.revision());
     become(ElectionState.FOLLOWING, "led by " + name);
     watch();
   }
 
-  private void onOwnKey(long nowMicros, String holderBoot, long holderLeaseId, long stamp) {
+  private void onOwnKey(long nowMicros, String holderBoot, long holderLeaseId, long revision) {
     if (!holderBoot.equals(boot)) {
       // Left by an earlier process of this node, which is gone for sure.
       LOG.info("election: revoking the lease of an earlier process of this node");
       drop(nowMicros, holderLeaseId);
     } else if (phase == ElectionState.VERIFYING && claim.hasLease(holderLeaseId)) {
-      elected(nowMicros, stamp);
+      elected(nowMicros, revision);
     } else {
       // A claim of ours that was applied late: give it up, nobody may rely on it.
       drop(nowMicros, holderLeaseId);
     }
   }
 
-  private void onKeyAbsent(long nowMicros, JsonNode body) {
+  private void onKeyAbsent(long nowMicros, ReadResult.Absent absent) {
     claim.abandon();
     leader = null;
     leaderAbsent = true;
-    seenRevision = body.path("ledger_rev").asLong(0);
+    seenRevision = absent.storeRevision();
     // Every term up to this revision has lost its key.
     followerGrants.over(seenRevision + 1);
     if (nowMicros < claimNotBefore) {
@@ -300,13 +302,9 @@
     reading = true;
     state.revokeLease(
         holderLeaseId,
-        (now, status, body) -> {
+        (now, result) -> {
           reading = false;
-          readAgainAt =
-              now
-                  + (status == HttpStatus.OK || status == HttpStatus.NOT_FOUND
-                      ? 0
-                      : READ_RETRY_MICROS);
+          readAgainAt = now + (result instanceof RequestFailure ? READ_RETRY_MICROS : 0);
         });
   }
 
@@ -316,18 +314,17 @@
         Keys.LEADER,
         seenRevision,
         WATCH_MS,
-        (now, status, body) -> {
+        (now, result) -> {
           watching = false;
-          if (status == HttpStatus.OK) {
+          if (result instanceof WatchBatch) {
             lastContact = now;
           }
-          readAgainAt =
-              now + (status == HttpStatus.OK || status == HttpStatus.GONE ? 0 : READ_RETRY_MICROS);
+          readAgainAt = now + (result instanceof RequestFailure ? READ_RETRY_MICROS : 0);
           if (phase == ElectionState.FOLLOWING
-              && status == HttpStatus.OK
-              && body.path("log").isEmpty()) {
+              && result instanceof WatchBatch batch
+              && batch.events().isEmpty()) {
             // Nothing changed; keep watching from here without reading the key again.
-            seenRevision = Math.max(seenRevision, body.path("ledger_rev").asLong(0));
+            seenRevision = Math.max(seenRevision, batch.storeRevision());
             watch();
           } else if (phase == ElectionState.FOLLOWING) {
             tick(now);
@@ -339,11 +336,11 @@
     become(ElectionState.OPENING, "claiming");
     claim.openLease(
         nowMicros,
-        (now, status, body) -> {
-          if (status == HttpStatus.OK) {
+        (now, result) -> {
+          if (result instanceof LeaseGrant) {
             writeKey();
           } else {
-            become(ElectionState.FOLLOWING, "no lease: " + status);
+            become(ElectionState.FOLLOWING, "no lease: " + result);
             readAgainAt = now + READ_RETRY_MICROS;
           }
         });
@@ -352,23 +349,23 @@
   private void writeKey() {
     become(ElectionState.CLAIMING, "lease open");
     claim.writeKey(
-        (now, status, body) -> {
-          if (status == HttpStatus.OK) {
-            elected(now, body.path("ledger_rev").asLong());
+        (now, result) -> {
+          if (result instanceof TransactionResult.Committed committed) {
+            elected(now, committed.revision());
           } else {
-            become(ElectionState.VERIFYING, "claim answered " + status);
+            become(ElectionState.VERIFYING, "claim answered " + result);
             read(now);
           }
         });
   }
 
-  private void elected(long nowMicros, long stamp) {
-    authority.begin(stamp, claim.leaseId(), claim.leaseSentAt(), nowMicros);
+  private void elected(long nowMicros, long term) {
+    authority.begin(term, claim.leaseId(), claim.leaseSentAt(), nowMicros);
     leaderAbsent = false;
     leader = self;
     lastContact = nowMicros;
-    become(ElectionState.LEADING, "term " + stamp);
-    listener.onElected(nowMicros, stamp);
+    become(ElectionState.LEADING, "term " + term);
+    listener.onElected(nowMicros, term);
     tick(nowMicros);
   }
 
--- a/src/main/java/org/dewreach/leadership/LeaderAuthority.java
+++ b/src/main/java/org/dewreach/leadership/LeaderAuthority.java
@@ -10,6 +10,8 @@
 import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
 import org.dewreach.store.KeyValueStore;
+import org.dewreach.store.LeaseGrant;
+import org.dewreach.store.LeaseResult;
 import org.dewreach.wire.Codec;
 import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
@@ -228,16 +230,16 @@
     state.renewLease(
         leaseId,
         RENEW_TIMEOUT_MICROS,
-        (now, status, body) -> {
+        (now, result) -> {
           if (leads(forTerm)) {
-            onRenewalReply(nowMicros, now, status);
+            onRenewalReply(nowMicros, now, result);
           }
         });
   }
 
-  private void onRenewalReply(long sentAt, long nowMicros, int status) {
+  private void onRenewalReply(long sentAt, long nowMicros, LeaseResult result) {
     renewing = false;
-    if (status == HttpStatus.OK) {
+    if (result instanceof LeaseGrant) {
       onRenewed.accept(nowMicros);
       if (failing) {
         LOG.info("election: extensions succeed again");
@@ -245,11 +247,11 @@
       failing = false;
       authorityUntil = Math.max(authorityUntil, sentAt + AUTHORITY_MICROS);
       renewAt = sentAt + RENEW_INTERVAL_MICROS;
-    } else if (status == HttpStatus.NOT_FOUND) {
+    } else if (result instanceof LeaseResult.Expired) {
       onLeaseEnded.accept(nowMicros);
     } else {
       if (!failing) {
-        LOG.info("election: renewals fail ({}); asking for grants soon", status);
+        LOG.info("election: renewals fail ({}); asking for grants soon", result);
       }
       failing = true;
       renewAt = nowMicros + RENEW_RETRY_MICROS;
--- a/src/main/java/org/dewreach/leadership/LeaderClaim.java
+++ b/src/main/java/org/dewreach/leadership/LeaderClaim.java
@@ -1,14 +1,14 @@
 package org.dewreach.leadership;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import org.dewreach.port.Outbox;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
+import org.dewreach.store.LeaseGrant;
+import org.dewreach.store.LeaseResult;
 import org.dewreach.store.Mutation;
 import org.dewreach.store.Precondition;
-import org.dewreach.wire.Codec;
-import org.dewreach.wire.HttpStatus;
+import org.dewreach.store.ResultHandler;
+import org.dewreach.store.TransactionResult;
 
 /** A claim of this node to the leader key: the lease opened for it, and the write of the key. */
 final class LeaderClaim {
@@ -35,25 +35,24 @@
   }
 
   /** Opens the lease; its time counts from now. */
-  void openLease(long nowMicros, Outbox.ReplyHandler handler) {
-    state.openLease(
+  void openLease(long nowMicros, ResultHandler<LeaseResult> handler) {
+    state.grantLease(
         LeaderAuthority.LEASE_TTL_MICROS / MICROS_PER_MS,
         TIMEOUT_MICROS,
-        (now, status, body) -> {
-          if (status == HttpStatus.OK) {
-            leaseId = body.path("hold").asLong();
+        (now, result) -> {
+          if (result instanceof LeaseGrant grant) {
+            leaseId = grant.leaseId();
             leaseSentAt = nowMicros;
           }
-          handler.onReply(now, status, body);
+          handler.onResult(now, result);
         });
   }
 
   /** Writes the leader key with the lease, unless the key is there. */
-  void writeKey(Outbox.ReplyHandler handler) {
-    ObjectNode data = Codec.map().put("name", self).put("boot", boot);
+  void writeKey(ResultHandler<TransactionResult> handler) {
     state.commit(
-        List.of(new Precondition(Keys.LEADER, 0)),
-        List.of(new Mutation(Keys.LEADER, data)),
+        List.of(Precondition.absent(Keys.LEADER)),
+        List.of(Mutation.put(Keys.LEADER, new LeaderRecord(self, boot).encode())),
         leaseId,
         TIMEOUT_MICROS,
         handler);
@@ -86,7 +85,7 @@
     if (leaseId > 0) {
       long old = leaseId;
       leaseId = 0;
-      state.revokeLease(old, (now, status, body) -> {});
+      state.revokeLease(old, (now, result) -> {});
     }
   }
 }
--- a/src/main/java/org/dewreach/request/JobLookup.java
+++ b/src/main/java/org/dewreach/request/JobLookup.java
@@ -3,11 +3,16 @@
 import java.util.function.Consumer;
 import org.dewreach.config.Settings;
 import org.dewreach.history.FinalState;
+import org.dewreach.history.FinalStateRecord;
 import org.dewreach.history.FinalStates;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.LeaderlessJobImporter;
+import org.dewreach.state.LeaderlessJobRecord;
+import org.dewreach.store.KeyValue;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
+import org.dewreach.store.ReadResult;
+import org.dewreach.store.RequestFailure;
 import org.dewreach.store.TokenBucket;
 import org.dewreach.wire.JobState;
 import org.dewreach.wire.MalformedException;
@@ -59,18 +64,18 @@
    * to the final ones, so looking in this order misses none.
    */
   void find(String id, Callback then, Consumer<RetryReason> unknown, long nowMicros) {
-    if (!budget.tryTake(nowMicros)) {
+    if (!budget.tryAcquire(nowMicros)) {
       unknown.accept(RetryReason.STATE_RATE);
       return;
     }
     state.get(
-        Keys.newJob(id),
-        (now, status, body) -> {
-          if (status == 200) {
-            boolean cancelled = body.path("data").path("off").asBoolean(false);
-            jobImporter.adopt(Keys.newJob(id), body.path("data"), body.path("stamp").asLong(), now);
+        Keys.leaderlessJob(id),
+        (now, result) -> {
+          if (result instanceof KeyValue found) {
+            boolean cancelled = LeaderlessJobRecord.isCancelled(found.value());
+            jobImporter.importJob(found, now);
             then.onResult(new Result(cancelled ? JobState.CANCELLED : JobState.PENDING, 0));
-          } else if (status != 404) {
+          } else if (result instanceof RequestFailure) {
             unknown.accept(RetryReason.READ_FAILED);
           } else if (clusterState.jobs().containsKey(id)) {
             unknown.accept(RetryReason.BEING_ACCEPTED);
@@ -82,18 +87,18 @@
 
   private void findOver(String id, Callback then, Consumer<RetryReason> unknown) {
     state.get(
-        Keys.over(id),
-        (now, status, body) -> {
-          if (status == 404) {
+        Keys.finalState(id),
+        (now, result) -> {
+          if (result instanceof ReadResult.Absent) {
             then.onResult(null);
             return;
           }
-          if (status != 200) {
+          if (!(result instanceof KeyValue entry)) {
             unknown.accept(RetryReason.READ_FAILED);
             return;
           }
           try {
-            FinalState found = FinalState.decode(body.path("data"));
+            FinalState found = FinalStateRecord.decode(entry.value());
             finalStates.read(id, found);
             then.onResult(new Result(found.jobState(), found.done()));
           } catch (MalformedException e) {
--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -1,21 +1,23 @@
 package org.dewreach.request;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.BitSet;
 import java.util.List;
 import org.dewreach.config.Settings;
 import org.dewreach.history.FinalState;
+import org.dewreach.history.FinalStateRecord;
 import org.dewreach.history.FinalStates;
 import org.dewreach.model.Admission;
 import org.dewreach.state.JobRecord;
+import org.dewreach.state.LeaderlessJobRecord;
 import org.dewreach.state.MachineTypeCatalog;
-import org.dewreach.store.CommitQueue;
+import org.dewreach.store.KeyValue;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
 import org.dewreach.store.Mutation;
 import org.dewreach.store.Precondition;
+import org.dewreach.store.ReadResult;
 import org.dewreach.store.TokenBucket;
-import org.dewreach.wire.HttpStatus;
+import org.dewreach.store.TransactionResult;
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.JobState;
 import org.dewreach.wire.MalformedException;
@@ -73,7 +75,7 @@
   public void handle(UserRequest request, Responder answer) {
     // Renewals of the lead come first: polls in a bad moment must not use up the rate.
     boolean writing = request instanceof UserRequest.Submit;
-    boolean admitted = writing ? writes.tryTake(now) : reads.available(now) >= 1;
+    boolean admitted = writing ? writes.tryAcquire(now) : reads.available(now) >= 1;
     if (!admitted) {
       answer.later(RetryReason.STATE_RATE);
       return;
@@ -93,7 +95,7 @@
 
   /** A job as found in the state service, under the key given: not over if it has a record. */
   private record Found(
-      String key, String id, JobRecord live, long stamp, JobState jobState, int done) {
+      String key, String id, JobRecord live, long revision, JobState jobState, int done) {
     void send(Responder answer, boolean counts) {
       answer.send(200, counts ? jobState.answer(id, done, 0) : jobState.answer(id), 0);
     }
@@ -109,7 +111,7 @@
    * new ones: a job that was somewhere at the start is then met, however it moves meanwhile.
    */
   private static List<String> keysToRead(String id) {
-    return List.of(Keys.job(id), Keys.newJob(id), Keys.job(id), Keys.over(id));
+    return List.of(Keys.job(id), Keys.leaderlessJob(id), Keys.job(id), Keys.finalState(id));
   }
 
   /**
@@ -120,7 +122,7 @@
    */
   private void read(String id, Responder answer, Then then, Runnable absent) {
     List<String> keys = keysToRead(id);
-    reads.take(now, keys.size());
+    reads.consume(now, keys.size());
     readFirst(keys, id, answer, then, absent);
   }
 
@@ -135,45 +137,45 @@
     List<String> rest = keys.subList(1, keys.size());
     state.get(
         key,
-        (now, status, body) -> {
-          if (status == HttpStatus.NOT_FOUND) {
+        (now, result) -> {
+          if (result instanceof ReadResult.Absent) {
             readFirst(rest, id, answer, then, absent);
             return;
           }
-          reads.giveBack(rest.size());
-          if (status == HttpStatus.OK) {
-            decode(key, id, body, answer, then);
+          reads.refund(rest.size());
+          if (result instanceof KeyValue entry) {
+            decode(id, entry, answer, then);
           } else {
             answer.later(RetryReason.READ_FAILED);
           }
         });
   }
 
-  private void decode(String key, String id, JsonNode body, Responder answer, Then then) {
+  private void decode(String id, KeyValue entry, Responder answer, Then then) {
     try {
-      boolean isFinal = key.equals(Keys.over(id));
-      then.on(isFinal ? foundFinal(key, id, body) : foundLive(key, id, body));
+      boolean isFinal = entry.key().equals(Keys.finalState(id));
+      then.on(isFinal ? foundFinal(id, entry) : foundLive(id, entry));
     } catch (MalformedException e) {
-      LOG.error("{} not understood: {}", key, e.getMessage());
+      LOG.error("{} not understood: {}", entry.key(), e.getMessage());
       answer.later(RetryReason.RECORD_MALFORMED);
     }
   }
 
-  private Found foundFinal(String key, String id, JsonNode body) throws MalformedException {
-    FinalState found = FinalState.decode(body.path("data"));
+  private Found foundFinal(String id, KeyValue entry) throws MalformedException {
+    FinalState found = FinalStateRecord.decode(entry.value());
     finalStates.read(id, found);
-    return new Found(key, id, null, 0, found.jobState(), found.done());
+    return new Found(entry.key(), id, null, 0, found.jobState(), found.done());
   }
 
-  private static Found foundLive(String key, String id, JsonNode body) throws MalformedException {
-    JobRecord job = JobRecord.decode(body.path("data"));
+  private static Found foundLive(String id, KeyValue entry) throws MalformedException {
+    JobRecord job = JobRecord.decode(entry.value());
     int done = job.done().cardinality();
     JobState jobState = done > 0 ? JobState.RUNNING : JobState.PENDING;
     return new Found(
-        key,
+        entry.key(),
         id,
         job,
-        body.path("stamp").asLong(),
+        entry.revision(),
         job.cancelled() ? JobState.CANCELLED : jobState,
         done);
   }
@@ -203,20 +205,19 @@
   private void create(JobSpec spec, Responder answer) {
     String id = spec.id();
     // The time of acceptance is only used for ordering; a node's wall clock is good enough.
-    var data = JobRecord.encode(spec, wallMicros(), false, new BitSet());
-    data.put(CommitQueue.MARK, mark());
+    var data = LeaderlessJobRecord.encode(spec, wallMicros(), false, new BitSet(), mark());
     state.commit(
         List.of(
-            new Precondition(Keys.newJob(id), 0),
+            new Precondition(Keys.leaderlessJob(id), 0),
             new Precondition(Keys.job(id), 0),
-            new Precondition(Keys.over(id), 0)),
-        List.of(new Mutation(Keys.newJob(id), data)),
+            new Precondition(Keys.finalState(id), 0)),
+        List.of(new Mutation(Keys.leaderlessJob(id), data)),
         0,
         TIMEOUT_MICROS,
-        (now, status, body) -> {
-          if (status == 200) {
+        (now, result) -> {
+          if (result instanceof TransactionResult.Committed) {
             answer.send(201, JobState.PENDING.answer(id), 0);
-          } else if (status == 409) {
+          } else if (result instanceof TransactionResult.PreconditionFailed) {
             unlessKnown(id, answer, () -> answer.later(RetryReason.BEING_ACCEPTED));
           } else {
             // Unclear or refused: the user's next try finds out.
@@ -230,21 +231,22 @@
       found.send(answer, false);
       return;
     }
-    if (!found.key().equals(Keys.newJob(found.id()))) {
+    if (!found.key().equals(Keys.leaderlessJob(found.id()))) {
       // Its tasks may run: only a leader knows when they are sure to be gone in time.
       answer.later(RetryReason.NEEDS_LEADER);
       return;
     }
     JobRecord live = found.live();
-    var data = JobRecord.encode(live.spec(), live.acceptedWallMicros(), true, live.done());
-    data.put(CommitQueue.MARK, mark());
+    var data =
+        LeaderlessJobRecord.encode(
+            live.spec(), live.acceptedWallMicros(), true, live.done(), mark());
     state.commit(
-        List.of(new Precondition(found.key(), found.stamp())),
+        List.of(new Precondition(found.key(), found.revision())),
         List.of(new Mutation(found.key(), data)),
         0,
         TIMEOUT_MICROS,
-        (now, status, body) -> {
-          if (status == 200) {
+        (now, result) -> {
+          if (result instanceof TransactionResult.Committed) {
             answer.send(200, JobState.CANCELLED.answer(found.id()), 0);
           } else {
             answer.later(RetryReason.WRITE_NOT_CONFIRMED);
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -1,13 +1,15 @@
 package org.dewreach.state;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import org.dewreach.model.Job;
 import org.dewreach.model.JobPhase;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
+import org.dewreach.store.KeyValue;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
+import org.dewreach.store.RangePage;
+import org.dewreach.store.RangeResult;
 import org.dewreach.wire.MachineType;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
@@ -20,7 +22,7 @@
   private static final long RETRY_MICROS = 200_000;
 
   private enum Phase {
-    MACHINES(Keys.MACHINES),
+    MACHINES(Keys.MACHINE_PAGES),
     JOBS(Keys.JOBS),
     DONE(null);
 
@@ -71,17 +73,17 @@
     state.range(phase.prefix, after, PAGE_SIZE, this::onPage);
   }
 
-  private void onPage(long nowMicros, int status, JsonNode body) {
+  private void onPage(long nowMicros, RangeResult result) {
     if (closed) {
       return;
     }
     reading = false;
-    if (status != 200) {
+    if (!(result instanceof RangePage page)) {
       readAt = nowMicros + RETRY_MICROS;
       return;
     }
-    for (JsonNode entry : body.path("entries")) {
-      String key = entry.path("path").asText();
+    for (KeyValue entry : page.entries()) {
+      String key = entry.key();
       try {
         if (phase == Phase.MACHINES) {
           page(key.substring(phase.prefix.length()), entry, nowMicros);
@@ -93,22 +95,22 @@
       }
       after = key;
     }
-    if (!body.path("more").asBoolean(false) || body.path("entries").isEmpty()) {
+    if (!page.more()) {
       after = null;
       phase = Phase.values()[phase.ordinal() + 1];
     }
     tick(nowMicros);
   }
 
-  private void page(String key, JsonNode entry, long nowMicros) throws MalformedException {
+  private void page(String key, KeyValue entry, long nowMicros) throws MalformedException {
     int number;
     try {
       number = Integer.parseInt(key);
     } catch (NumberFormatException e) {
       throw new MalformedException("no number of a page");
     }
-    registry.loadedPage(number, entry.path("stamp").asLong());
-    for (MachineRegistry.Entry saved : MachineRegistry.read(entry.path("data"))) {
+    registry.loadedPage(number, entry.revision());
+    for (MachineRegistry.Entry saved : MachineRegistry.read(entry.value())) {
       if (!clusterState.machines().containsKey(saved.name())) {
         Machine machine = machine(saved, nowMicros);
         clusterState.add(machine);
@@ -137,15 +139,15 @@
     return machine;
   }
 
-  private void job(JsonNode entry) throws MalformedException {
-    JobRecord saved = JobRecord.decode(entry.path("data"));
+  private void job(KeyValue entry) throws MalformedException {
+    JobRecord saved = JobRecord.decode(entry.value());
     Job job =
         new Job(
             saved.spec(),
             saved.acceptedWallMicros(),
             false,
             saved.cancelled() ? JobPhase.CANCELLED : JobPhase.ACTIVE);
-    job.stamp(entry.path("stamp").asLong());
+    job.stamp(entry.revision());
     job.restore(saved.done());
     clusterState.jobs().put(job.id(), job);
   }
--- a/src/main/java/org/dewreach/state/JobRecord.java
+++ b/src/main/java/org/dewreach/state/JobRecord.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.BitSet;
-import org.dewreach.store.CommitQueue;
+import org.dewreach.wire.Codec;
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MalformedException;
 
@@ -24,7 +24,7 @@
   /** The record of a job that is not over. */
   public static ObjectNode encode(
       JobSpec spec, long acceptedWallMicros, boolean cancelled, BitSet done) {
-    ObjectNode node = CommitQueue.value();
+    ObjectNode node = Codec.map();
     node.set("job", spec.toNode());
     node.put("at", acceptedWallMicros);
     if (cancelled) {
@@ -51,6 +51,11 @@
     return node;
   }
 
+  /** Whether a stored job is cancelled, which can be read even if its spec cannot. */
+  static boolean isCancelled(JsonNode node) {
+    return node.path("off").asBoolean(false);
+  }
+
   private static int end(int low) {
     return low + MAX_BITS;
   }
@@ -83,6 +88,6 @@
         }
       }
     }
-    return new JobRecord(spec, node.path("at").asLong(0), node.path("off").asBoolean(false), done);
+    return new JobRecord(spec, node.path("at").asLong(0), isCancelled(node), done);
   }
 }
--- a/src/main/java/org/dewreach/state/JobRecordWriter.java
+++ b/src/main/java/org/dewreach/state/JobRecordWriter.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.dewreach.history.FinalState;
+import org.dewreach.history.FinalStateRecord;
 import org.dewreach.model.Job;
 import org.dewreach.model.JobPhase;
 import org.dewreach.store.CommitQueue;
@@ -97,10 +98,10 @@
         nowMicros,
         new ConditionalWrite(
             List.of(
-                new Precondition(Keys.newJob(job.id()), stamp),
+                new Precondition(Keys.leaderlessJob(job.id()), stamp),
                 new Precondition(Keys.job(job.id()), 0),
-                new Precondition(Keys.over(job.id()), 0)),
-            List.of(put, new Mutation(Keys.newJob(job.id()), null)),
+                new Precondition(Keys.finalState(job.id()), 0)),
+            List.of(put, new Mutation(Keys.leaderlessJob(job.id()), null)),
             true,
             (now, outcome, revision) -> {
               job.writing(false);
@@ -124,9 +125,9 @@
     job.writing(true);
     List<Precondition> conditions =
         List.of(
-            new Precondition(Keys.newJob(job.id()), 0),
+            new Precondition(Keys.leaderlessJob(job.id()), 0),
             new Precondition(Keys.job(job.id()), 0),
-            new Precondition(Keys.over(job.id()), 0));
+            new Precondition(Keys.finalState(job.id()), 0));
     Mutation put =
         new Mutation(
             Keys.job(job.id()),
@@ -240,13 +241,13 @@
     JobState jobState = cancelled ? JobState.CANCELLED : JobState.DONE;
     List<Mutation> changes = new ArrayList<>();
     FinalState finalState = new FinalState(jobState, job.doneCount());
-    changes.add(new Mutation(Keys.over(job.id()), finalState.encode()));
+    changes.add(new Mutation(Keys.finalState(job.id()), FinalStateRecord.encode(finalState)));
     changes.add(new Mutation(Keys.job(job.id()), null));
     ConditionalWrite write =
         new ConditionalWrite(
             List.of(
                 new Precondition(Keys.job(job.id()), job.stamp()),
-                new Precondition(Keys.over(job.id()), 0)),
+                new Precondition(Keys.finalState(job.id()), 0)),
             changes,
             !cancelled,
             (now, outcome, revision) -> {
--- a/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
+++ b/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
@@ -1,11 +1,15 @@
 package org.dewreach.state;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.function.Consumer;
 import org.dewreach.model.Job;
 import org.dewreach.model.JobPhase;
+import org.dewreach.store.KeyValue;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
+import org.dewreach.store.RangePage;
+import org.dewreach.store.RangeResult;
+import org.dewreach.store.WatchBatch;
+import org.dewreach.store.WatchResult;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -70,16 +74,16 @@
   public void tick(long nowMicros) {
     if (!closed && phase == Phase.LISTING && nowMicros >= againAt) {
       become(Phase.READING);
-      state.range(Keys.NEW, after, PAGE_SIZE, this::onPage);
+      state.range(Keys.LEADERLESS_JOBS, after, PAGE_SIZE, this::onPage);
     }
   }
 
-  private void onPage(long nowMicros, int status, JsonNode body) {
+  private void onPage(long nowMicros, RangeResult result) {
     if (closed) {
       return;
     }
     become(Phase.LISTING);
-    if (status != 200) {
+    if (!(result instanceof RangePage page)) {
       againAt = nowMicros + RETRY_MICROS;
       return;
     }
@@ -87,14 +91,13 @@
     if (after == null) {
       // Guards against a job that is kept under an earlier key than the pages have come to: the
       // watch begins where the first page did.
-      listedSince = body.path("ledger_rev").asLong();
+      listedSince = page.storeRevision();
     }
-    JsonNode entries = body.path("entries");
-    for (JsonNode entry : entries) {
-      after = entry.path("path").asText();
-      adopt(after, entry.path("data"), entry.path("stamp").asLong(), nowMicros);
+    for (KeyValue entry : page.entries()) {
+      after = entry.key();
+      importJob(entry, nowMicros);
     }
-    if (body.path("more").asBoolean(false) && !entries.isEmpty()) {
+    if (page.more()) {
       tick(nowMicros);
     } else {
       after = null;
@@ -110,34 +113,29 @@
 
   private void watch(long revision) {
     watching = true;
-    state.watch(Keys.NEW, revision, WATCH_MS, this::onChanges);
+    state.watch(Keys.LEADERLESS_JOBS, revision, WATCH_MS, this::onChanges);
   }
 
-  private void onChanges(long nowMicros, int status, JsonNode body) {
+  private void onChanges(long nowMicros, WatchResult result) {
     if (closed) {
       return;
     }
     watching = false;
-    if (status != 200) {
+    if (!(result instanceof WatchBatch batch)) {
       lookAgain(nowMicros + RETRY_MICROS);
       return;
     }
-    for (JsonNode change : body.path("log")) {
-      if (change.hasNonNull("put")) {
-        String key = change.path("put").asText();
-        adopt(key, change.path("data"), change.path("stamp").asLong(), nowMicros);
-      }
-    }
-    watch(body.path("ledger_rev").asLong());
+    batch.puts().forEach(entry -> importJob(entry, nowMicros));
+    watch(batch.storeRevision());
   }
 
   /** Takes a job over, unless that is being done already. */
-  public void adopt(String key, JsonNode data, long stamp, long nowMicros) {
+  public void importJob(KeyValue entry, long nowMicros) {
     JobRecord saved;
     try {
-      saved = JobRecord.decode(data);
+      saved = LeaderlessJobRecord.decode(entry.value());
     } catch (MalformedException e) {
-      LOG.error("{} not understood, left alone: {}", key, e.getMessage());
+      LOG.error("{} not understood, left alone: {}", entry.key(), e.getMessage());
       return;
     }
     String id = saved.spec().id();
@@ -148,7 +146,8 @@
     Job job = new Job(saved.spec(), saved.acceptedWallMicros(), true, JobPhase.PERSISTING);
     clusterState.jobs().put(id, job);
     boolean taken =
-        recordWriter.adopt(job, stamp, saved.cancelled(), nowMicros, () -> again(job, nowMicros));
+        recordWriter.adopt(
+            job, entry.revision(), saved.cancelled(), nowMicros, () -> again(job, nowMicros));
     if (!taken) {
       again(job, nowMicros + RETRY_MICROS);
     }
--- a/src/main/java/org/dewreach/state/MachineRegistry.java
+++ b/src/main/java/org/dewreach/state/MachineRegistry.java
@@ -16,6 +16,7 @@
 import org.dewreach.store.Keys;
 import org.dewreach.store.Mutation;
 import org.dewreach.store.Precondition;
+import org.dewreach.wire.Codec;
 
 /**
  * The durable list of machines that a later leader has to wait for, many to a record.
@@ -23,8 +24,8 @@
  * <p>A machine is noted when it was rented, so that its boot is waited for, and marked before its
  * first command, so that nothing is started again that may run there. One record for each machine
  * took three writes for each, and a fleet of hundreds used up the state service's rate for most of
- * a minute. Each record is conditional on its own stamp, so a late copy of an earlier form, which
- * lacks machines, is never applied.
+ * a minute. Each record is conditional on its own revision, so a late copy of an earlier form,
+ * which lacks machines, is never applied.
  */
 public final class MachineRegistry {
   /**
@@ -51,7 +52,7 @@
     final Set<Machine> machines = new LinkedHashSet<>();
     final Set<Machine> toMark = new LinkedHashSet<>();
     final Set<Machine> marked = new LinkedHashSet<>();
-    long stamp;
+    long revision;
     int bytes;
     long dueAt = Long.MAX_VALUE;
     boolean writing;
@@ -81,8 +82,8 @@
   }
 
   /** Takes a page that an earlier leader left; its machines follow by {@link #loaded}. */
-  void loadedPage(int number, long stamp) {
-    page(number).stamp = stamp;
+  void loadedPage(int number, long revision) {
+    page(number).revision = revision;
   }
 
   void loaded(int number, Machine machine) {
@@ -168,7 +169,7 @@
   private void write(Page page, long nowMicros) {
     Set<Machine> marks = new LinkedHashSet<>(page.marked);
     marks.addAll(page.toMark);
-    ObjectNode value = CommitQueue.value();
+    ObjectNode value = Codec.map();
     ObjectNode list = value.putObject("machines");
     for (Machine machine : page.machines) {
       ArrayNode entry = list.putArray(machine.name());
@@ -182,8 +183,8 @@
         queue.add(
             nowMicros,
             new ConditionalWrite(
-                List.of(new Precondition(Keys.machines(page.number), page.stamp)),
-                List.of(new Mutation(Keys.machines(page.number), value)),
+                List.of(new Precondition(Keys.machinePage(page.number), page.revision)),
+                List.of(new Mutation(Keys.machinePage(page.number), value)),
                 urgent,
                 (now, outcome, revision) -> written(page, marks, outcome, revision, now)));
     if (!taken) {
@@ -201,7 +202,7 @@
     page.writing = false;
     switch (outcome) {
       case WRITTEN -> {
-        page.stamp = revision;
+        page.revision = revision;
         for (Machine machine : marks) {
           page.toMark.remove(machine);
           if (page.machines.contains(machine)) {
--- a/src/main/java/org/dewreach/state/MachineTypeCatalog.java
+++ b/src/main/java/org/dewreach/state/MachineTypeCatalog.java
@@ -3,8 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import org.dewreach.cloud.CloudClient;
+import org.dewreach.store.KeyValue;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
+import org.dewreach.store.ReadResult;
 import org.dewreach.wire.MachineType;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
@@ -66,15 +68,17 @@
       triedStore = true;
       state.get(
           Keys.CATALOG,
-          (now, status, body) -> {
+          (now, result) -> {
             asking = false;
-            if (status == 200) {
-              take(body.path("data"));
-            } else if (status != 404) {
+            if (result instanceof KeyValue found) {
+              take(found.value());
+              nextAsk = now + (leading ? 500_000 : REFRESH_MICROS);
+            } else if (result instanceof ReadResult.Absent) {
+              nextAsk = now;
+            } else {
               triedStore = false;
+              nextAsk = now + 500_000;
             }
-            nextAsk =
-                now + (status == 200 && !leading ? REFRESH_MICROS : status == 404 ? 0 : 500_000);
           });
       return;
     }
--- a/src/main/java/org/dewreach/store/CommitQueue.java
+++ b/src/main/java/org/dewreach/store/CommitQueue.java
@@ -1,14 +1,11 @@
 package org.dewreach.store;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.Iterator;
 import java.util.List;
 import org.dewreach.wire.Codec;
-import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -40,7 +37,7 @@
   private static final int CONDITIONS_PER_CHANGE = 4;
 
   /** Field of every value that tells which transaction wrote it. */
-  public static final String MARK = "w";
+  public static final String TRANSACTION_ID_FIELD = "w";
 
   /** Named states of the queue. */
   private enum Phase {
@@ -176,13 +173,13 @@
     if (batch.isEmpty()) {
       return;
     }
-    mark = leader.stamp() + "." + (++lastMark);
+    mark = leader.revision() + "." + (++lastMark);
     unsure = false;
     batchSince = nowMicros;
     for (ConditionalWrite write : batch) {
       for (Mutation change : write.changes()) {
-        if (change.data() != null) {
-          change.data().put(MARK, mark);
+        if (change.value() != null) {
+          change.value().put(TRANSACTION_ID_FIELD, mark);
         }
       }
     }
@@ -222,7 +219,8 @@
   private static int size(ConditionalWrite write) {
     int bytes = OVERHEAD_BYTES;
     for (Mutation change : write.changes()) {
-      bytes += OVERHEAD_BYTES + (change.data() == null ? 0 : Codec.write(change.data()).length * 2);
+      bytes +=
+          OVERHEAD_BYTES + (change.value() == null ? 0 : Codec.write(change.value()).length * 2);
     }
     return bytes;
   }
@@ -235,27 +233,35 @@
       conditions.addAll(write.conditions());
       changes.addAll(write.changes());
     }
-    budget.take(nowMicros, changes.size());
+    budget.consume(nowMicros, changes.size());
     become(Phase.SENT);
     state.commit(conditions, changes, 0, TIMEOUT_MICROS, this::onReply);
   }
 
-  private void onReply(long nowMicros, int status, JsonNode body) {
+  private void onReply(long nowMicros, TransactionResult result) {
     if (closed) {
       return;
     }
-    switch (status) {
-      case HttpStatus.OK -> finish(nowMicros, body.path("ledger_rev").asLong());
-      case HttpStatus.CONFLICT -> onConflict(nowMicros, body);
-      case 0 -> {
+    if (result instanceof TransactionResult.Committed committed) {
+      finish(nowMicros, committed.revision());
+    } else if (result instanceof TransactionResult.PreconditionFailed conflict) {
+      onConflict(nowMicros, conflict);
+    } else if (result instanceof RequestFailure failure) {
+      onFailure(nowMicros, failure);
+    }
+  }
+
+  private void onFailure(long nowMicros, RequestFailure failure) {
+    switch (failure.cause()) {
+      case NO_RESPONSE -> {
         unsure = true;
         pause(nowMicros);
       }
-      case HttpStatus.TOO_MANY_REQUESTS, HttpStatus.UNAVAILABLE -> pause(nowMicros);
-      default -> {
+      case RATE_LIMITED, UNAVAILABLE -> pause(nowMicros);
+      case REJECTED -> {
         if (batch.size() > 1) {
           // Guards against one write that the service refuses taking others with it.
-          LOG.warn("state service refuses a transaction with {}: trying each write alone", status);
+          LOG.warn("state service refuses a transaction with {}: trying each write alone", failure);
           alone = batch.size();
           for (Iterator<ConditionalWrite> it = new ArrayDeque<>(batch).descendingIterator();
               it.hasNext(); ) {
@@ -268,7 +274,7 @@
           return;
         }
         // A transaction that the service calls malformed would block the queue for ever.
-        LOG.error("state service refuses a transaction with {}: dropping {}", status, batch);
+        LOG.error("state service refuses a transaction with {}: dropping {}", failure, batch);
         List<ConditionalWrite> dropped = batch;
         batch = List.of();
         become(Phase.IDLE);
@@ -293,38 +299,40 @@
     pump(nowMicros);
   }
 
-  private void onConflict(long nowMicros, JsonNode body) {
-    if (KeyValueStore.failed(body, leader.key())) {
+  private void onConflict(long nowMicros, TransactionResult.PreconditionFailed conflict) {
+    if (conflict.keys().contains(leader.key())) {
       onLeaderLost.run();
       return;
     }
     Mutation put = unsure ? firstPut() : null;
     if (put == null) {
-      dropFailed(nowMicros, body);
+      dropFailed(nowMicros, conflict);
       return;
     }
     // An earlier copy may have been applied: its mark tells.
     become(Phase.CHECKING);
-    state.get(put.key(), (now, status, value) -> onChecked(now, status, value, body));
+    state.get(put.key(), (now, result) -> onChecked(now, result, conflict));
   }
 
-  private void onChecked(long nowMicros, int status, JsonNode value, JsonNode conflict) {
+  private void onChecked(
+      long nowMicros, ReadResult result, TransactionResult.PreconditionFailed conflict) {
     if (closed) {
       return;
     }
-    if (status == HttpStatus.OK && mark.equals(value.path("data").path(MARK).asText())) {
-      finish(nowMicros, value.path("stamp").asLong());
-    } else if (status == HttpStatus.OK || status == HttpStatus.NOT_FOUND) {
-      dropFailed(nowMicros, conflict);
-    } else {
+    if (result instanceof RequestFailure) {
       pause(nowMicros);
+    } else if (result instanceof KeyValue found
+        && mark.equals(found.value().path(TRANSACTION_ID_FIELD).asText())) {
+      finish(nowMicros, found.revision());
+    } else {
+      dropFailed(nowMicros, conflict);
     }
   }
 
   private Mutation firstPut() {
     for (ConditionalWrite write : batch) {
       for (Mutation change : write.changes()) {
-        if (change.data() != null) {
+        if (change.value() != null) {
           return change;
         }
       }
@@ -333,12 +341,11 @@
   }
 
   /** Takes the writes whose own conditions failed out of the batch and sends the rest anew. */
-  private void dropFailed(long nowMicros, JsonNode conflict) {
+  private void dropFailed(long nowMicros, TransactionResult.PreconditionFailed conflict) {
     List<ConditionalWrite> dropped = new ArrayList<>();
     List<ConditionalWrite> kept = new ArrayList<>();
     for (ConditionalWrite write : batch) {
-      boolean failed =
-          write.conditions().stream().anyMatch(c -> KeyValueStore.failed(conflict, c.key()));
+      boolean failed = write.conditions().stream().anyMatch(c -> conflict.keys().contains(c.key()));
       (failed ? dropped : kept).add(write);
     }
     if (dropped.isEmpty()) {
@@ -358,9 +365,4 @@
     }
     pump(nowMicros);
   }
-
-  /** A value for a write; the queue adds its mark. */
-  public static ObjectNode value() {
-    return Codec.map();
-  }
 }
--- a/src/main/java/org/dewreach/store/Keys.java
+++ b/src/main/java/org/dewreach/store/Keys.java
@@ -2,43 +2,43 @@
 
 /** The layout of the keys. */
 public final class Keys {
-  /** The leader key: its stamp is the term, its value names the leader. */
+  /** The leader key: the revision of its write is the term, its value names the leader. */
   public static final String LEADER = "dw/leader";
 
-  /** The last catalog that a leader fetched, for a start while the cloud is away. */
+  /** The last catalog that a leader fetched, for a start while the cloud provider is down. */
   public static final String CATALOG = "dw/catalog";
 
-  /** Jobs that are not over: description, cancellation, tasks done. */
+  /** Prefix of the jobs that have not ended: spec, cancellation, completed tasks. */
   public static final String JOBS = "dw/job/";
 
-  /** Jobs that were accepted without a leader; the leader takes them over. */
-  public static final String NEW = "dw/new/";
+  /** Prefix of the jobs that were accepted without a leader, until the leader imports them. */
+  public static final String LEADERLESS_JOBS = "dw/new/";
 
-  /** Final states of jobs, kept for ever. */
-  public static final String OVER = "dw/over/";
+  /** Prefix of the final states of jobs, which are kept for ever. */
+  public static final String FINAL_STATES = "dw/over/";
 
-  /** Pages of machines that were rented, or may have been given commands. */
-  public static final String MACHINES = "dw/machines/";
+  /** Prefix of the pages of machines that were rented, or may have been given commands. */
+  public static final String MACHINE_PAGES = "dw/machines/";
 
   private Keys() {}
 
   /** Key of a job that was accepted without a leader. */
-  public static String newJob(String id) {
-    return NEW + id;
+  public static String leaderlessJob(String jobId) {
+    return LEADERLESS_JOBS + jobId;
   }
 
-  /** Key of a job that is not over. */
-  public static String job(String id) {
-    return JOBS + id;
+  /** Key of a job that has not ended. */
+  public static String job(String jobId) {
+    return JOBS + jobId;
   }
 
   /** Key of a job's final state. */
-  public static String over(String id) {
-    return OVER + id;
+  public static String finalState(String jobId) {
+    return FINAL_STATES + jobId;
   }
 
   /** Key of a page of machines. */
-  public static String machines(int page) {
-    return MACHINES + page;
+  public static String machinePage(int number) {
+    return MACHINE_PAGES + number;
   }
 }
--- /dev/null
+++ b/src/main/java/org/dewreach/store/ResultHandler.java
@@ -0,0 +1,12 @@
+package org.dewreach.store;
+
+/**
+ * Receives the outcome of a request to the key-value store.
+ *
+ * @param <T> the outcomes that the request can have
+ */
+@FunctionalInterface
+public interface ResultHandler<T> {
+  /** Called exactly once per request. */
+  void onResult(long nowMicros, T result);
+}
--- a/src/test/java/org/dewreach/controller/LeadershipTermTest.java
+++ b/src/test/java/org/dewreach/controller/LeadershipTermTest.java
@@ -74,8 +74,8 @@
     }
     ObjectNode answer = Codec.map().put("ledger_rev", 80).put("more", false);
     var entries = answer.putArray("entries");
-    if (path.contains(Keys.MACHINES)) {
-      ObjectNode page = entries.addObject().put("path", Keys.machines(0)).put("stamp", 70);
+    if (path.contains(Keys.MACHINE_PAGES)) {
+      ObjectNode page = entries.addObject().put("path", Keys.machinePage(0)).put("stamp", 70);
       page.putObject("data")
           .putObject("machines")
           .putArray("m1")
--- a/src/test/java/org/dewreach/history/FinalStateWatcherTest.java
+++ b/src/test/java/org/dewreach/history/FinalStateWatcherTest.java
@@ -50,7 +50,10 @@
     ObjectNode page = Codec.map().put("ledger_rev", revision).put("more", more);
     ArrayNode entries = page.putArray("entries");
     for (String id : ids) {
-      entries.addObject().put("path", Keys.over(id)).set("data", DONE.encode());
+      entries
+          .addObject()
+          .put("path", Keys.finalState(id))
+          .set("data", FinalStateRecord.encode(DONE));
     }
     return page;
   }
@@ -59,7 +62,7 @@
     ObjectNode body = Codec.map().put("ledger_rev", revision);
     ArrayNode log = body.putArray("log");
     for (String id : ids) {
-      log.addObject().put("put", Keys.over(id)).set("data", DONE.encode());
+      log.addObject().put("put", Keys.finalState(id)).set("data", FinalStateRecord.encode(DONE));
     }
     return body;
   }
@@ -68,7 +71,7 @@
   void listsAllPagesAndThenWatchesFromTheFirst() {
     reply(nextCall(), 200, page(40, true, "req-1", "req-2"));
     Effect.Call second = nextCall();
-    assertTrue(second.path().contains("after=" + Keys.over("req-2")), second.path());
+    assertTrue(second.path().contains("after=" + Keys.finalState("req-2")), second.path());
     reply(second, 200, page(45, false, "req-3"));
     Effect.Call watch = nextCall();
     assertTrue(watch.path().startsWith("/changes"), watch.path());
--- a/src/test/java/org/dewreach/sim/CurrentAnswersTest.java
+++ b/src/test/java/org/dewreach/sim/CurrentAnswersTest.java
@@ -203,7 +203,8 @@
     world.play(world.clock.now() + 300_000);
     world.users.nodes = Simulation.NODES;
     assertTrue(world.checker.accepted(spec.id()), "it was not accepted");
-    assertTrue(world.state.keys.containsKey(Keys.newJob(spec.id())), "it was taken over already");
+    assertTrue(
+        world.state.keys.containsKey(Keys.leaderlessJob(spec.id())), "it was taken over already");
     return spec;
   }
 
@@ -257,7 +258,7 @@
     world.play(world.clock.now() + 300_000);
     world.users.cancel(spec.id(), leader);
     world.play(watchTells - 100_000);
-    assertTrue(world.state.keys.containsKey(Keys.over(spec.id())), "it is not over");
+    assertTrue(world.state.keys.containsKey(Keys.finalState(spec.id())), "it is not over");
     world.state.slow(world.clock.now() + 4 * S);
     int repeats = 400;
     int[] answered = {0};
--- a/src/test/java/org/dewreach/sim/Simulation.java
+++ b/src/test/java/org/dewreach/sim/Simulation.java
@@ -526,7 +526,7 @@
 
   /** Lists and watches of the final records. */
   private static boolean isBackground(Effect.Call call) {
-    return call.path().contains("?under=" + Keys.OVER);
+    return call.path().contains("?under=" + Keys.FINAL_STATES);
   }
 
   private static String hostOf(Target target) {
--- a/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
+++ b/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
@@ -115,7 +115,7 @@
 
   private static ObjectNode page(long revision, boolean more, String id) {
     ObjectNode page = Codec.map().put("ledger_rev", revision).put("more", more);
-    ObjectNode entry = page.putArray("entries").addObject().put("path", Keys.newJob(id));
+    ObjectNode entry = page.putArray("entries").addObject().put("path", Keys.leaderlessJob(id));
     entry.put("stamp", 40).set("data", JobRecord.encode(spec(id), 0, false, new BitSet()));
     return page;
   }
@@ -143,8 +143,8 @@
   void aSubmissionIsNotRefusedIfItsJobIsAcceptedWhileItIsLookedUp() {
     UserRequest submit = new UserRequest.Submit("req-1", Codec.map().put("uid", "req-1"));
     desk.handle(submit, (status, body, retry) -> answered.add(status), S);
-    reply(sent("/keys/" + Keys.newJob("req-1")), 404, Codec.map());
-    Effect.Call lastLook = sent("/keys/" + Keys.over("req-1"));
+    reply(sent("/keys/" + Keys.leaderlessJob("req-1")), 404, Codec.map());
+    Effect.Call lastLook = sent("/keys/" + Keys.finalState("req-1"));
     clusterState.jobs().put("req-1", new Job(spec("req-1"), 0, true, JobPhase.ACTIVE));
     reply(lastLook, 404, Codec.map());
     assertEquals(List.of(503), answered, "to come back");
--- a/src/test/java/org/dewreach/store/CommitQueueTest.java
+++ b/src/test/java/org/dewreach/store/CommitQueueTest.java
@@ -32,7 +32,7 @@
         0,
         new ConditionalWrite(
             List.of(new Precondition(key, 0)),
-            List.of(new Mutation(key, CommitQueue.value())),
+            List.of(Mutation.put(key, Codec.map())),
             true,
             (now, outcome, revision) -> outcomes.add(key + " " + outcome)));
   }
@@ -132,7 +132,7 @@
   private final ConditionalWrite ending =
       new ConditionalWrite(
           List.of(new Precondition("ending", 0)),
-          List.of(new Mutation("ending", CommitQueue.value())),
+          List.of(Mutation.put("ending", Codec.map())),
           true,
           (now, outcome, revision) -> outcomes.add("ending " + outcome));
 
