--- a/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
@@ -89,8 +89,8 @@
   }
 
   private void forget(Machine machine, String why, long nowMicros) {
-    clusterState.gone(machine, why, nowMicros);
-    registry.forget(machine, nowMicros);
+    clusterState.removeMachine(machine, why, nowMicros);
+    registry.deregister(machine, nowMicros);
     goneNames.add(machine.name());
     if (goneNames.size() > MAX_REMEMBERED_NAMES) {
       goneNames.remove(goneNames.iterator().next());
--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -110,9 +110,9 @@
   private Machine spareMachine(long nowMicros) {
     double ordinary = clusterState.freeCpus(false);
     double spot = clusterState.freeCpus(true);
-    double headroom = clusterState.services().headroomCpus(bootMicros(), nowMicros);
+    double headroom = clusterState.serviceRate().headroomCpus(bootMicros(), nowMicros);
     Machine best = null;
-    for (Machine machine : clusterState.list().machines()) {
+    for (Machine machine : clusterState.sortedMachines().machines()) {
       if (!machine.schedulable() || nowMicros - machine.knownSince() < tuning.leastPaidMicros()) {
         continue;
       }
--- a/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
@@ -190,8 +190,8 @@
       Machine machine =
           new Machine(
               name, "", kind.type(), kind.zone(), kind.spot(), MachinePhase.BOOTING, nowMicros);
-      clusterState.add(machine);
-      registry.note(machine, nowMicros);
+      clusterState.addMachine(machine);
+      registry.register(machine, nowMicros);
     }
   }
 }
--- a/src/main/java/org/dewreach/controller/CancellationGate.java
+++ b/src/main/java/org/dewreach/controller/CancellationGate.java
@@ -11,7 +11,7 @@
  * Balances cancellations and lease delegations: which cancellation may be told while other nodes
  * may renew leases, and for how long leases may be renewed by others in view of cancelled jobs.
  */
-final class CancellationGate implements JobRecordWriter.Gate {
+final class CancellationGate implements JobRecordWriter.CancellationCheck {
   private final ClusterState clusterState;
   private final Settings settings;
   private final LeaseDelegations delegations;
@@ -62,7 +62,7 @@
    * start there would begin after its user was told.
    */
   @Override
-  public boolean goneInTime(Job job, long nowMicros) {
+  public boolean tasksEndInTime(Job job, long nowMicros) {
     if (!recovery.allSeen(job) || job.mayStartLater()) {
       return false;
     }
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.List;
 import java.util.function.LongPredicate;
 import java.util.function.LongSupplier;
 import org.dewreach.cloud.CloudClient;
@@ -30,15 +29,12 @@
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.store.CommitQueue;
-import org.dewreach.store.ConditionalWrite;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.store.Mutation;
 import org.dewreach.store.Precondition;
 import org.dewreach.store.TokenBucket;
 import org.dewreach.wire.Heartbeat;
 import org.dewreach.wire.JobKind;
-import org.dewreach.wire.MachineType;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -241,9 +237,7 @@
     if (phase == Phase.RECOVERING) {
       updateRecovery(nowMicros);
     }
-    if (catalog.takeFromCloud()) {
-      saveCatalog(nowMicros);
-    }
+    catalog.saveIfRefreshed(queue, nowMicros);
     registry.tick(nowMicros);
     jobImporter.tick(nowMicros);
     placement.tick(phase == Phase.ACTIVE, nowMicros);
@@ -276,19 +270,9 @@
     }
   }
 
-  private void saveCatalog(long nowMicros) {
-    queue.add(
-        nowMicros,
-        new ConditionalWrite(
-            List.of(),
-            List.of(new Mutation(Keys.CATALOG, MachineType.catalogNode(catalog.types()))),
-            false,
-            (now, outcome, revision) -> {}));
-  }
-
   private void pumpJobs(long nowMicros) {
     for (Job job : new ArrayList<>(clusterState.jobs().values())) {
-      recordWriter.pump(job, nowMicros);
+      recordWriter.writeIfDue(job, nowMicros);
       if (phase == Phase.CLOSED) {
         return;
       }
@@ -352,7 +336,7 @@
   public void onAccepted(Job job, long nowMicros) {
     LOG.info("job {} accepted: {} tasks", job.id(), job.spec().tasks());
     if (job.spec().jobKind() == JobKind.SERVICE) {
-      clusterState.services().arrived(job.spec(), nowMicros);
+      clusterState.serviceRate().arrived(job.spec(), nowMicros);
     }
     clusterState.requestPlacement();
     users.onAccepted(job);
@@ -376,12 +360,12 @@
   }
 
   @Override
-  public void onMarked(long nowMicros) {
+  public void onMachinesRegistered(long nowMicros) {
     clusterState.requestPlacement();
   }
 
   @Override
-  public void onBroken(String why, long nowMicros) {
+  public void onRecordConflict(String why, long nowMicros) {
     LOG.error("term {}: records do not match, giving up the lead: {}", number, why);
     onBroken.run();
   }
--- a/src/main/java/org/dewreach/controller/PlacementLoop.java
+++ b/src/main/java/org/dewreach/controller/PlacementLoop.java
@@ -66,7 +66,7 @@
   void tick(boolean mayPreempt, long nowMicros) {
     boolean due = nowMicros - lastPass >= MAX_PLACEMENT_INTERVAL_MICROS;
     if (nowMicros - lastPass < intervalMicros()
-        || !(clusterState.pollPlacementRequested() || due)) {
+        || !(clusterState.consumePlacementRequest() || due)) {
       return;
     }
     lastPass = nowMicros;
--- a/src/main/java/org/dewreach/controller/TermSummary.java
+++ b/src/main/java/org/dewreach/controller/TermSummary.java
@@ -58,7 +58,7 @@
         cpus,
         tasks,
         waitingTasks(waiting),
-        queue.waiting(),
+        queue.pendingWrites(),
         queue.transactionAgeMicros(nowMicros) / MICROS_PER_MS);
   }
 
@@ -70,7 +70,7 @@
     }
     node.put("jobs", clusterState.jobs().size());
     node.put("machines", clusterState.machines().size()).put("tasks_bound", tasks);
-    node.put("tasks_waiting", waitingTasks(waiting)).put("writes_queued", queue.waiting());
+    node.put("tasks_waiting", waitingTasks(waiting)).put("writes_queued", queue.pendingWrites());
   }
 
   private static int waitingTasks(List<TaskPlacer.Waiting> waiting) {
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -78,7 +78,7 @@
       answerStale(requestId, machine, report, nowMicros);
       return;
     }
-    registry.mark(machine, nowMicros);
+    registry.registerForCommands(machine, nowMicros);
     var response = reports.take(machine, report, true, nowMicros);
     machine.answered(nowMicros);
     outbox.respond(requestId, 200, response);
@@ -129,7 +129,7 @@
       if (task.state() == Heartbeat.TaskState.EXITED) {
         Job job = clusterState.jobs().get(task.name().jobId());
         if (job != null) {
-          recordWriter.pump(job, nowMicros);
+          recordWriter.writeIfDue(job, nowMicros);
           if (closed.getAsBoolean()) {
             return;
           }
@@ -155,7 +155,7 @@
             MachinePhase.BOOTING,
             nowMicros);
     machine.requireToken();
-    clusterState.add(machine);
+    clusterState.addMachine(machine);
     return machine;
   }
 }
--- a/src/main/java/org/dewreach/membership/CloudReconciler.java
+++ b/src/main/java/org/dewreach/membership/CloudReconciler.java
@@ -119,8 +119,8 @@
             MachinePhase.BOOTING,
             nowMicros);
     machine.knownSince(nowMicros - listed.ageMicros());
-    clusterState.add(machine);
-    registry.note(machine, nowMicros);
+    clusterState.addMachine(machine);
+    registry.register(machine, nowMicros);
     return machine;
   }
 }
--- a/src/main/java/org/dewreach/model/Job.java
+++ b/src/main/java/org/dewreach/model/Job.java
@@ -44,7 +44,6 @@
   private JobState finalState;
   private long stamp;
   private BitSet durable = new BitSet();
-  private boolean writing;
   private long progressAt;
   private long cancelRequestedAt;
   private long cancelledAt = Long.MIN_VALUE / 2;
@@ -138,16 +137,6 @@
     stamp = newStamp;
   }
 
-  /** True while a write of its record has no outcome. */
-  public boolean writing() {
-    return writing;
-  }
-
-  /** Sets whether a write of its record has no outcome. */
-  public void writing(boolean now) {
-    writing = now;
-  }
-
   /** When progress was last written. */
   public long progressAt() {
     return progressAt;
--- a/src/main/java/org/dewreach/request/JobRequestHandler.java
+++ b/src/main/java/org/dewreach/request/JobRequestHandler.java
@@ -99,7 +99,7 @@
     Job job = new Job(spec, nowMicros + wallOffsetMicros, true, JobPhase.PERSISTING);
     clusterState.jobs().put(id, job);
     await(awaitingAcceptance, id, answer);
-    if (!recordWriter.accept(job, nowMicros, () -> knownAlready(job, nowMicros))) {
+    if (!recordWriter.writeNewJob(job, nowMicros, () -> knownAlready(job, nowMicros))) {
       clusterState.jobs().remove(id);
       sendBack(awaitingAcceptance, id, RetryReason.WRITE_QUEUE_FULL);
     }
@@ -274,7 +274,7 @@
     List.copyOf(job.bound().values())
         .forEach(task -> clusterState.stop(task, "to be withdrawn", nowMicros));
     clusterState.requestPlacement();
-    recordWriter.pump(job, nowMicros);
+    recordWriter.writeIfDue(job, nowMicros);
   }
 
   /**
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -95,7 +95,7 @@
     // On ordinary machines such work also leaves room for services, which stopping does not make.
     boolean spotOnly = TaskPlacer.yields(spec);
     List<Machine> candidates = new ArrayList<>();
-    for (Machine machine : clusterState.list().machines()) {
+    for (Machine machine : clusterState.sortedMachines().machines()) {
       if (machine.schedulable()
           && SortFirstFit.permitted(spec, machine)
           && (machine.spot() || !spotOnly)
--- a/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
@@ -40,7 +40,7 @@
             MAX_MOVES_SAVED,
             moveBudget
                 + replicas() * tuning.movedShare() * roundIntervalMicros / MICROS_PER_SECOND);
-    clusterState.list().lookAgain();
+    clusterState.sortedMachines().lookAgain();
     for (Machine machine : clusterState.machines().values()) {
       if (moveBudget < 1) {
         return;
@@ -84,7 +84,7 @@
     JobSpec spec = found.spec();
     Machine target =
         clusterState
-            .list()
+            .sortedMachines()
             .firstFit(
                 spec, other -> SortFirstFit.permitted(spec, other) && other.fetchMicros(spec) == 0);
     return target == null ? null : found;
--- a/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -42,7 +42,7 @@
 
   /** Stops at most one task of each machine that runs empty; the next passes place it again. */
   public void move(long nowMicros) {
-    clusterState.list().lookAgain();
+    clusterState.sortedMachines().lookAgain();
     Set<Machine> targets = new HashSet<>();
     for (Machine machine : emptiestFirst()) {
       Task movable = movable(machine, nowMicros);
@@ -98,7 +98,7 @@
     JobSpec spec = task.spec();
     Machine machine =
         clusterState
-            .list()
+            .sortedMachines()
             .firstFit(spec, other -> !taken.contains(other) && startsAtOnce(spec, other));
     return machine != null ? machine : keepOneFor(task);
   }
@@ -132,7 +132,7 @@
           && startsAtOnce(spec, machine)) {
         LOG.info("machine {} is kept for tasks of others", machine.name());
         machine.cordoned(false);
-        clusterState.list().changed(machine);
+        clusterState.sortedMachines().changed(machine);
         return machine;
       }
     }
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -99,8 +99,8 @@
             clusterState.jobs().values(),
             job -> job.startable() && job.pending() > 0 && !reserved.containsKey(job),
             nowMicros + wallOffsetMicros);
-    clusterState.list().lookAgain();
-    headroom = clusterState.services().headroomCpus(bootMicros, nowMicros);
+    clusterState.sortedMachines().lookAgain();
+    headroom = clusterState.serviceRate().headroomCpus(bootMicros, nowMicros);
     boolean measured = false;
     Set<String> full = new HashSet<>();
     int placed = 0;
@@ -221,7 +221,7 @@
       return List.of(job.bound().values().iterator().next().machine().zone());
     }
     List<String> zones = new ArrayList<>();
-    for (Machine machine : clusterState.list().machines()) {
+    for (Machine machine : clusterState.sortedMachines().machines()) {
       if (!zones.contains(machine.zone())) {
         zones.add(machine.zone());
       }
@@ -251,7 +251,9 @@
       TaskName name = new TaskName(job.id(), index);
       boolean[] hadStart = {false};
       Machine machine =
-          clusterState.list().firstFit(spec, allowed.and(m -> !barred(m, name, hadStart)), within);
+          clusterState
+              .sortedMachines()
+              .firstFit(spec, allowed.and(m -> !barred(m, name, hadStart)), within);
       if (machine == null) {
         barred |= hadStart[0];
         if (!hadStart[0] || ++passedOver > MAX_PASSED_OVER) {
--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -19,55 +19,64 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The leader's record of one term: jobs, machines and which task is bound where. */
+/** What the leader of one term knows: jobs, machines, and which task is bound to which machine. */
 public final class ClusterState {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
+  /** Attempts of a term are numbered below this bit; the term stands above it. */
+  private static final int ATTEMPT_NUMBER_BITS = 24;
+
   private final long term;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final Map<String, Machine> machines = new LinkedHashMap<>();
-  private final SortFirstFit list = new SortFirstFit();
+  private final SortFirstFit sortedMachines = new SortFirstFit();
   private final Quotas quotas;
-  private final ServiceRate services;
+  private final ServiceRate serviceRate;
   private final Set<Machine> machinesToCommand = new LinkedHashSet<>();
-  private long lastAttempt;
-  private boolean changed = true;
+  private long lastAttemptNumber;
+  private boolean placementRequested = true;
 
+  /** The empty state of a term. */
   public ClusterState(long term, Map<String, Settings.Team> teams, Tuning tuning) {
-    this.services = new ServiceRate(tuning.headroomSpreads());
+    this.serviceRate = new ServiceRate(tuning.headroomSpreads());
     this.term = term;
     this.quotas = new Quotas(teams);
   }
 
+  /** The jobs that have not ended, by id. */
   public Map<String, Job> jobs() {
     return jobs;
   }
 
+  /** All machines by name; {@link #addMachine} and {@link #removeMachine} change them. */
   public Map<String, Machine> machines() {
     return machines;
   }
 
-  public SortFirstFit list() {
-    return list;
+  /** All machines in the order in which placement walks them. */
+  public SortFirstFit sortedMachines() {
+    return sortedMachines;
   }
 
+  /** What each team's bound tasks take. */
   public Quotas quotas() {
     return quotas;
   }
 
-  /** Machines with tasks that were assigned or told to stop lately. */
+  /** Machines with tasks that were assigned or told to stop lately; the sender removes them. */
   public Set<Machine> machinesToCommand() {
     return machinesToCommand;
   }
 
-  public ServiceRate services() {
-    return services;
+  /** The rate at which services arrive. */
+  public ServiceRate serviceRate() {
+    return serviceRate;
   }
 
-  /** CPUs that spot machines, or ordinary ones, have free for new tasks. */
+  /** CPUs that spot machines, or on-demand ones, have free for new tasks. */
   public double freeCpus(boolean spot) {
     double free = 0;
-    for (Machine machine : list.machines()) {
+    for (Machine machine : sortedMachines.machines()) {
       if (machine.spot() == spot && machine.schedulable()) {
         free += machine.freeCpus();
       }
@@ -75,99 +84,111 @@
     return free;
   }
 
-  /** Room or demand changed: placement should look again. */
+  /** Requests a placement pass, because free capacity or demand has changed. */
   public void requestPlacement() {
-    changed = true;
+    placementRequested = true;
   }
 
-  public boolean pollPlacementRequested() {
-    boolean was = changed;
-    changed = false;
-    return was;
+  /** True if a placement pass was requested since the last call. */
+  public boolean consumePlacementRequest() {
+    boolean requested = placementRequested;
+    placementRequested = false;
+    return requested;
   }
 
-  /** Never the same again: the term is part of it, and a term has one leader. */
+  /** A number that no other attempt ever has: it contains the term, which has one leader. */
   public long nextAttempt() {
-    return (term << 24) + ++lastAttempt;
+    return (term << ATTEMPT_NUMBER_BITS) + ++lastAttemptNumber;
   }
 
-  public void add(Machine machine) {
+  /** Adds a machine. */
+  public void addMachine(Machine machine) {
     machines.put(machine.name(), machine);
-    list.add(machine);
-    changed = true;
+    sortedMachines.add(machine);
+    requestPlacement();
   }
 
-  /** Binds a task to a machine; from here on it counts as being there. */
+  /** Binds a task to a machine; from here on it counts as running there. */
   public Task bind(
       Job job, int index, long attempt, Machine machine, TaskPhase phase, long nowMicros) {
     Task task = new Task(job, index, attempt, machine, phase, nowMicros);
     job.bind(task);
     machine.bind(task);
-    list.changed(machine);
+    sortedMachines.changed(machine);
     if (phase == TaskPhase.ASSIGNED) {
       machinesToCommand.add(machine);
     }
     quotas.add(job.spec(), 1);
-    LOG.debug("task {} attempt {} bound to {} as {}", task.name(), attempt, machine.name(), phase);
+    LOG.debug(
+        "task bound: task={} attempt={} machine={} phase={}",
+        task.name(),
+        attempt,
+        machine.name(),
+        phase);
     return task;
   }
 
-  /** The task is proven gone from its machine. */
-  public void unbind(Task task, String why, long nowMicros) {
+  /** Unbinds a task that is proven gone from its machine. */
+  public void unbind(Task task, String reason, long nowMicros) {
     LOG.debug(
-        "task {} attempt {} gone from {}: {}",
+        "task unbound: task={} attempt={} machine={} reason=\"{}\"",
         task.name(),
         task.attempt(),
         task.machine().name(),
-        why);
+        reason);
     task.become(TaskPhase.GONE, nowMicros);
     task.machine().unbind(task, nowMicros);
     Job job = task.job();
     job.unbind(task);
-    list.changed(task.machine());
+    sortedMachines.changed(task.machine());
     quotas.add(job.spec(), -1);
-    changed = true;
+    requestPlacement();
   }
 
-  /** Everything that was bound to the machine is proven gone. */
-  public void unbindAll(Machine machine, String why, long nowMicros) {
+  /** Unbinds all tasks of a machine, which are proven gone. */
+  public void unbindAll(Machine machine, String reason, long nowMicros) {
     List<Task> tasks = new ArrayList<>(machine.tasks());
     if (!tasks.isEmpty()) {
-      LOG.info("machine {}: {} tasks lost: {}", machine.name(), tasks.size(), why);
+      LOG.info(
+          "tasks lost: machine={} tasks={} reason=\"{}\"", machine.name(), tasks.size(), reason);
     }
-    tasks.forEach(task -> unbind(task, why, nowMicros));
+    tasks.forEach(task -> unbind(task, reason, nowMicros));
   }
 
-  /** The machine is gone for sure, with everything on it. */
-  public void gone(Machine machine, String why, long nowMicros) {
-    unbindAll(machine, why, nowMicros);
-    LOG.info("machine {} is gone: {}", machine.name(), why);
+  /** Removes a machine that is proven gone, and unbinds its tasks. */
+  public void removeMachine(Machine machine, String reason, long nowMicros) {
+    unbindAll(machine, reason, nowMicros);
+    LOG.info("machine removed: machine={} reason=\"{}\"", machine.name(), reason);
     machine.become(MachinePhase.GONE, nowMicros);
     machines.remove(machine.name());
     machinesToCommand.remove(machine);
-    list.remove(machine);
-    changed = true;
+    sortedMachines.remove(machine);
+    requestPlacement();
   }
 
-  /** A task has completed, wherever that was. */
+  /** Records that a task has completed, on whichever machine. */
   public void markDone(Job job, int index) {
     if (job.markDone(index)) {
       job.succeeded();
-      changed = true;
+      requestPlacement();
     }
   }
 
-  /** Asks for a task to be stopped. A start that was never sent is simply taken back. */
-  public void stop(Task task, String why, long nowMicros) {
+  /** Stops a task; one whose start was never sent is unbound at once. */
+  public void stop(Task task, String reason, long nowMicros) {
     switch (task.phase()) {
-      case ASSIGNED -> unbind(task, why, nowMicros);
+      case ASSIGNED -> unbind(task, reason, nowMicros);
       case STARTING, PULLING, RUNNING -> {
-        LOG.debug("task {} to stop on {}: {}", task.name(), task.machine().name(), why);
+        LOG.debug(
+            "task stopping: task={} machine={} reason=\"{}\"",
+            task.name(),
+            task.machine().name(),
+            reason);
         task.become(TaskPhase.STOPPING, nowMicros);
         machinesToCommand.add(task.machine());
       }
       case STOPPING, GONE -> {
-        // on its way already
+        // being stopped already
       }
     }
   }
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -15,7 +15,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads what earlier leaders left: live jobs, and machines that may have been given commands. */
+/**
+ * Loads what earlier leaders stored: first the machines that may have been given commands, then the
+ * jobs that have not ended.
+ */
 public final class ClusterStateLoader {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterStateLoader.class);
   private static final int PAGE_SIZE = 200;
@@ -26,51 +29,63 @@
     JOBS(Keys.JOBS),
     DONE(null);
 
-    final String prefix;
+    final String keyPrefix;
 
-    Phase(String prefix) {
-      this.prefix = prefix;
+    Phase(String keyPrefix) {
+      this.keyPrefix = keyPrefix;
+    }
+
+    Phase next() {
+      return values()[ordinal() + 1];
     }
   }
 
-  private final KeyValueStore state;
+  private final KeyValueStore store;
   private final ClusterState clusterState;
   private final MachineRegistry registry;
   private final MachineTypeCatalog catalog;
   private final long wallOffsetMicros;
   private Phase phase = Phase.MACHINES;
-  private String after;
+  private String lastKey;
   private boolean reading;
-  private long readAt;
+  private long nextReadAt;
   private boolean closed;
 
+  /**
+   * A loader that has read nothing yet.
+   *
+   * @param wallOffsetMicros time of day minus event time
+   */
   public ClusterStateLoader(
-      KeyValueStore state,
+      KeyValueStore store,
       ClusterState clusterState,
       MachineRegistry registry,
       MachineTypeCatalog catalog,
       long wallOffsetMicros) {
     this.wallOffsetMicros = wallOffsetMicros;
-    this.state = state;
+    this.store = store;
     this.clusterState = clusterState;
     this.registry = registry;
     this.catalog = catalog;
   }
 
+  /** True once everything is loaded. */
   public boolean done() {
     return phase == Phase.DONE;
   }
 
+  /** Ignores all later responses: the term is over. */
   public void close() {
     closed = true;
   }
 
+  /** Reads the next page if it is time. */
   public void tick(long nowMicros) {
-    if (closed || reading || phase == Phase.DONE || nowMicros < readAt || !catalog.known()) {
+    if (closed || reading || done() || nowMicros < nextReadAt || !catalog.known()) {
       return;
     }
     reading = true;
-    state.range(phase.prefix, after, PAGE_SIZE, this::onPage);
+    store.range(phase.keyPrefix, lastKey, PAGE_SIZE, this::onPage);
   }
 
   private void onPage(long nowMicros, RangeResult result) {
@@ -79,76 +94,82 @@
     }
     reading = false;
     if (!(result instanceof RangePage page)) {
-      readAt = nowMicros + RETRY_MICROS;
+      nextReadAt = nowMicros + RETRY_MICROS;
       return;
     }
     for (KeyValue entry : page.entries()) {
-      String key = entry.key();
-      try {
-        if (phase == Phase.MACHINES) {
-          page(key.substring(phase.prefix.length()), entry, nowMicros);
-        } else {
-          job(entry);
-        }
-      } catch (MalformedException e) {
-        LOG.error("{} not understood, left alone: {}", key, e.getMessage());
-      }
-      after = key;
+      load(entry, nowMicros);
+      lastKey = entry.key();
     }
     if (!page.more()) {
-      after = null;
-      phase = Phase.values()[phase.ordinal() + 1];
+      lastKey = null;
+      phase = phase.next();
     }
     tick(nowMicros);
   }
 
-  private void page(String key, KeyValue entry, long nowMicros) throws MalformedException {
-    int number;
+  private void load(KeyValue entry, long nowMicros) {
     try {
-      number = Integer.parseInt(key);
-    } catch (NumberFormatException e) {
-      throw new MalformedException("no number of a page");
+      if (phase == Phase.MACHINES) {
+        loadMachines(entry, nowMicros);
+      } else {
+        loadJob(entry);
+      }
+    } catch (MalformedException e) {
+      LOG.error("record malformed, left alone: key={} cause={}", entry.key(), e.getMessage());
     }
-    registry.loadedPage(number, entry.revision());
-    for (MachineRegistry.Entry saved : MachineRegistry.read(entry.value())) {
-      if (!clusterState.machines().containsKey(saved.name())) {
-        Machine machine = machine(saved, nowMicros);
-        clusterState.add(machine);
-        registry.loaded(number, machine);
+  }
+
+  private void loadMachines(KeyValue entry, long nowMicros) throws MalformedException {
+    int pageNumber = pageNumber(entry.key());
+    registry.restorePage(pageNumber, entry.revision());
+    for (MachinePageRecord.Entry stored : MachinePageRecord.decode(entry.value()).entries()) {
+      if (!clusterState.machines().containsKey(stored.name())) {
+        Machine machine = restore(stored, nowMicros);
+        clusterState.addMachine(machine);
+        registry.restoreMachine(pageNumber, machine);
       }
     }
   }
 
-  private Machine machine(MachineRegistry.Entry saved, long nowMicros) {
-    MachineType type = catalog.type(saved.type());
+  private static int pageNumber(String key) throws MalformedException {
+    try {
+      return Integer.parseInt(key.substring(Keys.MACHINE_PAGES.length()));
+    } catch (NumberFormatException e) {
+      throw new MalformedException("key: not the number of a page");
+    }
+  }
+
+  private Machine restore(MachinePageRecord.Entry stored, long nowMicros) {
+    MachineType type = catalog.type(stored.type());
     if (type == null) {
-      // Not rented any more: no room to offer, but its tasks are real.
-      type = new MachineType(saved.type(), 0, 0, 0, 0, 0, 0, 0, 0, List.of());
+      // Not offered any more: no room to offer, but its tasks are real.
+      type = new MachineType(stored.type(), 0, 0, 0, 0, 0, 0, 0, 0, List.of());
     }
     Machine machine =
         new Machine(
-            saved.name(),
+            stored.name(),
             "",
             type,
-            saved.zone(),
-            saved.spot(),
-            saved.marked() ? MachinePhase.UNKNOWN : MachinePhase.BOOTING,
+            stored.zone(),
+            stored.spot(),
+            stored.commandable() ? MachinePhase.UNKNOWN : MachinePhase.BOOTING,
             nowMicros);
-    machine.recorded(saved.marked());
-    machine.knownSince(Math.min(nowMicros, saved.sinceWallMicros() - wallOffsetMicros));
+    machine.recorded(stored.commandable());
+    machine.knownSince(Math.min(nowMicros, stored.knownSinceWallMicros() - wallOffsetMicros));
     return machine;
   }
 
-  private void job(KeyValue entry) throws MalformedException {
-    JobRecord saved = JobRecord.decode(entry.value());
+  private void loadJob(KeyValue entry) throws MalformedException {
+    JobRecord stored = JobRecord.decode(entry.value());
     Job job =
         new Job(
-            saved.spec(),
-            saved.acceptedWallMicros(),
+            stored.spec(),
+            stored.acceptedWallMicros(),
             false,
-            saved.cancelled() ? JobPhase.CANCELLED : JobPhase.ACTIVE);
+            stored.cancelled() ? JobPhase.CANCELLED : JobPhase.ACTIVE);
     job.stamp(entry.revision());
-    job.restore(saved.done());
+    job.restore(stored.done());
     clusterState.jobs().put(job.id(), job);
   }
 }
--- a/src/main/java/org/dewreach/state/JobRecordWriter.java
+++ b/src/main/java/org/dewreach/state/JobRecordWriter.java
@@ -1,69 +1,88 @@
 package org.dewreach.state;
 
-import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.LongConsumer;
 import org.dewreach.history.FinalState;
 import org.dewreach.history.FinalStateRecord;
 import org.dewreach.model.Job;
 import org.dewreach.model.JobPhase;
 import org.dewreach.store.CommitQueue;
 import org.dewreach.store.ConditionalWrite;
+import org.dewreach.store.ConditionalWrite.Urgency;
 import org.dewreach.store.Keys;
 import org.dewreach.store.Mutation;
 import org.dewreach.store.Precondition;
 import org.dewreach.wire.JobState;
 
 /**
- * What the leader writes: one write in flight for each job, so that each is conditional on the
- * stamp of the one before and a late copy of any can change nothing.
+ * Writes the records of jobs, with one write in flight for each job: so each is conditional on the
+ * revision of the one before, and a late copy of any can change nothing.
  */
 public final class JobRecordWriter {
   /** Progress is only saved work: it is gathered so that it leaves the rate to users' writes. */
   private static final long PROGRESS_INTERVAL_MICROS = 4_000_000;
 
-  private static final int MAX_WAITING_FOR_PROGRESS = 12;
+  /** With more writes pending than this, progress is not written. */
+  private static final int MAX_PENDING_FOR_PROGRESS = 12;
 
   /** Told when something became durable. */
   public interface Listener {
+    /** A new or imported job is durable. */
     void onAccepted(Job job, long nowMicros);
 
+    /** A job's cancellation is durable. */
     void onCancelled(Job job, long nowMicros);
 
+    /** A job's final state is durable. */
     void onEnded(Job job, long nowMicros);
 
-    /** Machines were marked, so that they may be given commands. */
-    void onMarked(long nowMicros);
+    /** Machines are durably registered for commands. */
+    void onMachinesRegistered(long nowMicros);
 
-    /** A write failed that only a stale record of ours explains: rebuild from the state service. */
-    void onBroken(String why, long nowMicros);
+    /** A write failed in a way that only an outdated revision here explains: the term must end. */
+    void onRecordConflict(String reason, long nowMicros);
   }
 
-  /** Tells whether all tasks of a job are gone, or will be soon enough after its user is told. */
-  public interface Gate {
-    boolean goneInTime(Job job, long nowMicros);
+  /** Decides when a cancellation may be made durable. */
+  public interface CancellationCheck {
+    /** True if all tasks of the job are gone, or will be soon enough after its user is told. */
+    boolean tasksEndInTime(Job job, long nowMicros);
   }
 
-  private final CommitQueue queue;
-  private final Gate gate;
-  private final Listener listener;
+  /** What is done once a write is durable at a revision. */
+  private interface OnWritten {
+    void run(long nowMicros, long revision);
+  }
 
-  /** For each job whose end is to be written, that write; until its outcome is known. */
-  private final Map<String, ConditionalWrite> ends = new HashMap<>();
+  /**
+   * A write without an outcome.
+   *
+   * @param endsJob true if it writes the job's final state, or its cancellation
+   */
+  private record PendingWrite(ConditionalWrite write, boolean endsJob) {}
 
+  private final CommitQueue queue;
+  private final CancellationCheck cancellationCheck;
+  private final Listener listener;
+  private final Map<Job, PendingWrite> pendingWrites = new HashMap<>();
   private boolean mayFinalizeCancelled;
 
-  public JobRecordWriter(CommitQueue queue, Gate gate, Listener listener) {
+  /** A writer that puts its writes into the given queue. */
+  public JobRecordWriter(
+      CommitQueue queue, CancellationCheck cancellationCheck, Listener listener) {
     this.queue = queue;
-    this.gate = gate;
+    this.cancellationCheck = cancellationCheck;
     this.listener = listener;
   }
 
   /**
-   * Until every machine was heard, a cancelled job of an earlier term may still run somewhere: its
-   * record has to stay, or those tasks would be counted for no team.
+   * Allows final states of jobs that were cancelled in an earlier term.
+   *
+   * <p>Until every machine has sent a heartbeat, such a job may still run somewhere: its record has
+   * to stay, or those tasks would be counted for no team.
    */
   public void allowFinalizingCancelled() {
     mayFinalizeCancelled = true;
@@ -75,114 +94,102 @@
   }
 
   /**
-   * True while the job's end, or its cancellation, may be durable without our knowing: another node
-   * may have read it then. Otherwise the last durable state is the current one.
+   * True while the job's end, or its cancellation, may be durable without our knowing: another
+   * controller may have read it then. Otherwise the last durable state is the current one.
    */
   public boolean endInDoubt(Job job) {
-    ConditionalWrite end = ends.get(job.id());
-    return end != null && queue.inDoubt(end);
+    PendingWrite pending = pendingWrites.get(job);
+    return pending != null && pending.endsJob() && queue.inDoubt(pending.write());
   }
 
   /**
-   * Takes over a job that was accepted without a leader; false if the queue is full.
+   * Writes a new job.
    *
-   * @param stamp of the record as read: if it changed since, the job is looked at again
+   * @param onExists called if the job has a record already
+   * @return false if the queue is full
    */
-  boolean adopt(Job job, long stamp, boolean cancelled, long nowMicros, Runnable onChanged) {
-    job.writing(true);
-    Mutation put =
-        new Mutation(
-            Keys.job(job.id()),
-            JobRecord.encode(job.spec(), job.acceptedWallMicros(), cancelled, job.done()));
-    return queue.add(
+  public boolean writeNewJob(Job job, long nowMicros, Runnable onExists) {
+    return writeFirstRecord(
+        job,
+        Precondition.absent(Keys.leaderlessJob(job.id())),
+        List.of(putRecord(job, job.done(), false)),
+        JobPhase.ACTIVE,
         nowMicros,
-        new ConditionalWrite(
-            List.of(
-                new Precondition(Keys.leaderlessJob(job.id()), stamp),
-                new Precondition(Keys.job(job.id()), 0),
-                new Precondition(Keys.finalState(job.id()), 0)),
-            List.of(put, new Mutation(Keys.leaderlessJob(job.id()), null)),
-            true,
-            (now, outcome, revision) -> {
-              job.writing(false);
-              switch (outcome) {
-                case WRITTEN -> {
-                  job.stamp(revision);
-                  job.become(cancelled ? JobPhase.CANCELLED : JobPhase.ACTIVE);
-                  listener.onAccepted(job, now);
-                  pump(job, now);
-                }
-                case CONFLICT -> onChanged.run();
-                case UNKNOWN -> {
-                  // the term is over; the next leader takes it over
-                }
-              }
-            }));
+        onExists);
   }
 
-  /** Writes a new job; false if the queue is full. */
-  public boolean accept(Job job, long nowMicros, Runnable onKnownAlready) {
-    job.writing(true);
-    List<Precondition> conditions =
-        List.of(
-            new Precondition(Keys.leaderlessJob(job.id()), 0),
-            new Precondition(Keys.job(job.id()), 0),
-            new Precondition(Keys.finalState(job.id()), 0));
-    Mutation put =
-        new Mutation(
-            Keys.job(job.id()),
-            JobRecord.encode(job.spec(), job.acceptedWallMicros(), false, job.done()));
-    return queue.add(
+  /**
+   * Moves a job that was accepted without a leader to the leader's jobs.
+   *
+   * @param revision of the record that was read
+   * @param onChanged called if the record was changed since
+   * @return false if the queue is full
+   */
+  boolean writeImportedJob(
+      Job job, long revision, boolean cancelled, long nowMicros, Runnable onChanged) {
+    String leaderlessKey = Keys.leaderlessJob(job.id());
+    return writeFirstRecord(
+        job,
+        Precondition.unchanged(leaderlessKey, revision),
+        List.of(putRecord(job, job.done(), cancelled), Mutation.delete(leaderlessKey)),
+        cancelled ? JobPhase.CANCELLED : JobPhase.ACTIVE,
         nowMicros,
+        onChanged);
+  }
+
+  private boolean writeFirstRecord(
+      Job job,
+      Precondition leaderlessKey,
+      List<Mutation> mutations,
+      JobPhase phaseOnceWritten,
+      long nowMicros,
+      Runnable onConflict) {
+    ConditionalWrite write =
         new ConditionalWrite(
-            conditions,
-            List.of(put),
-            true,
-            (now, outcome, revision) -> {
-              job.writing(false);
-              switch (outcome) {
-                case WRITTEN -> {
+            List.of(
+                leaderlessKey,
+                Precondition.absent(Keys.job(job.id())),
+                Precondition.absent(Keys.finalState(job.id()))),
+            mutations,
+            Urgency.URGENT,
+            onOutcome(
+                job,
+                (now, revision) -> {
                   job.stamp(revision);
-                  job.become(JobPhase.ACTIVE);
+                  job.become(phaseOnceWritten);
                   listener.onAccepted(job, now);
-                  pump(job, now);
-                }
-                case CONFLICT -> onKnownAlready.run();
-                case UNKNOWN -> {
-                  // the term is over; its users were told to come back
-                }
-              }
-            }));
+                  writeIfDue(job, now);
+                },
+                now -> onConflict.run()));
+    return offer(job, new PendingWrite(write, false), nowMicros);
   }
 
-  /** Writes what is due for the job, if anything. */
-  public void pump(Job job, long nowMicros) {
-    if (job.writing()) {
+  /** Writes what is due for the job, if anything: progress, cancellation or final state. */
+  public void writeIfDue(Job job, long nowMicros) {
+    if (pendingWrites.containsKey(job)) {
       return;
     }
     switch (job.phase()) {
       case CANCEL_REQUESTED -> {
         if (job.complete()) {
-          finish(job, nowMicros);
-        } else if (gate.goneInTime(job, nowMicros)) {
+          writeFinalState(job, nowMicros);
+        } else if (cancellationCheck.tasksEndInTime(job, nowMicros)) {
           job.become(JobPhase.CANCEL_COMMITTING);
           job.cancelledAt(nowMicros);
-          write(job, true, true, nowMicros);
+          writeCancellation(job, nowMicros);
         }
       }
-      case CANCEL_COMMITTING -> write(job, true, true, nowMicros);
+      case CANCEL_COMMITTING -> writeCancellation(job, nowMicros);
       case CANCELLED -> {
         if (job.bound().isEmpty() && (job.submittedThisTerm() || mayFinalizeCancelled)) {
-          finish(job, nowMicros);
+          writeFinalState(job, nowMicros);
         }
       }
       case ACTIVE -> {
         if (job.complete()) {
-          finish(job, nowMicros);
-        } else if (nowMicros - job.progressAt() >= PROGRESS_INTERVAL_MICROS
-            && !job.done().equals(job.durable())
-            && queue.waiting() < MAX_WAITING_FOR_PROGRESS) {
-          write(job, false, false, nowMicros);
+          writeFinalState(job, nowMicros);
+        } else if (progressDue(job, nowMicros)) {
+          writeProgress(job, nowMicros);
         }
       }
       case PERSISTING, FINALIZING, ENDED -> {
@@ -191,83 +198,106 @@
     }
   }
 
-  private void write(Job job, boolean cancelled, boolean urgent, long nowMicros) {
-    BitSet snapshot = (BitSet) job.done().clone();
-    Mutation put =
-        new Mutation(
-            Keys.job(job.id()),
-            JobRecord.encode(job.spec(), job.acceptedWallMicros(), cancelled, snapshot));
-    job.writing(true);
+  private boolean progressDue(Job job, long nowMicros) {
+    return nowMicros - job.progressAt() >= PROGRESS_INTERVAL_MICROS
+        && !job.done().equals(job.durable())
+        && queue.pendingWrites() < MAX_PENDING_FOR_PROGRESS;
+  }
+
+  private void writeProgress(Job job, long nowMicros) {
+    ConditionalWrite write = overwrite(job, false, Urgency.DEFERRABLE, now -> writeIfDue(job, now));
     job.progressAt(nowMicros);
+    offer(job, new PendingWrite(write, false), nowMicros);
+  }
+
+  private void writeCancellation(Job job, long nowMicros) {
     ConditionalWrite write =
-        new ConditionalWrite(
-            List.of(new Precondition(Keys.job(job.id()), job.stamp())),
-            List.of(put),
-            urgent,
-            (now, outcome, revision) -> {
-              decided(job);
-              switch (outcome) {
-                case WRITTEN -> {
-                  job.stamp(revision);
-                  job.durable(JobRecord.kept(snapshot));
-                  if (cancelled) {
-                    job.become(JobPhase.CANCELLED);
-                    listener.onCancelled(job, now);
-                  }
-                  pump(job, now);
-                }
-                case CONFLICT -> listener.onBroken(job.id() + " changed by somebody", now);
-                case UNKNOWN -> {
-                  // the term is over
-                }
-              }
+        overwrite(
+            job,
+            true,
+            Urgency.URGENT,
+            now -> {
+              job.become(JobPhase.CANCELLED);
+              listener.onCancelled(job, now);
+              writeIfDue(job, now);
             });
-    if (cancelled) {
-      ends.put(job.id(), write);
-    }
-    if (!queue.add(nowMicros, write)) {
-      decided(job);
-    }
+    job.progressAt(nowMicros);
+    offer(job, new PendingWrite(write, true), nowMicros);
   }
 
-  /** The write of the job's record has an outcome, or was not taken. */
-  private void decided(Job job) {
-    job.writing(false);
-    ends.remove(job.id());
+  /** A write of the job's record as it is now, over the one that is stored. */
+  private ConditionalWrite overwrite(
+      Job job, boolean cancelled, Urgency urgency, LongConsumer onWritten) {
+    BitSet done = (BitSet) job.done().clone();
+    return new ConditionalWrite(
+        List.of(Precondition.unchanged(Keys.job(job.id()), job.stamp())),
+        List.of(putRecord(job, done, cancelled)),
+        urgency,
+        onOutcome(
+            job,
+            (now, revision) -> {
+              job.stamp(revision);
+              job.durable(JobRecord.storedPart(done));
+              onWritten.accept(now);
+            },
+            now -> reportConflict(job, now)));
   }
 
-  private void finish(Job job, long nowMicros) {
+  private void writeFinalState(Job job, long nowMicros) {
     boolean cancelled = job.phase() == JobPhase.CANCELLED;
     JobState jobState = cancelled ? JobState.CANCELLED : JobState.DONE;
-    List<Mutation> changes = new ArrayList<>();
+    String jobKey = Keys.job(job.id());
+    String finalKey = Keys.finalState(job.id());
     FinalState finalState = new FinalState(jobState, job.doneCount());
-    changes.add(new Mutation(Keys.finalState(job.id()), FinalStateRecord.encode(finalState)));
-    changes.add(new Mutation(Keys.job(job.id()), null));
     ConditionalWrite write =
         new ConditionalWrite(
+            List.of(Precondition.unchanged(jobKey, job.stamp()), Precondition.absent(finalKey)),
             List.of(
-                new Precondition(Keys.job(job.id()), job.stamp()),
-                new Precondition(Keys.finalState(job.id()), 0)),
-            changes,
-            !cancelled,
-            (now, outcome, revision) -> {
-              decided(job);
-              switch (outcome) {
-                case WRITTEN -> {
+                Mutation.put(finalKey, FinalStateRecord.encode(finalState)),
+                Mutation.delete(jobKey)),
+            cancelled ? Urgency.DEFERRABLE : Urgency.URGENT,
+            onOutcome(
+                job,
+                (now, revision) -> {
                   job.become(JobPhase.ENDED);
                   listener.onEnded(job, now);
-                }
-                case CONFLICT -> listener.onBroken(job.id() + " changed by somebody", now);
-                case UNKNOWN -> {
-                  // the term is over
-                }
-              }
-            });
-    job.writing(true);
+                },
+                now -> reportConflict(job, now)));
     job.become(JobPhase.FINALIZING);
-    ends.put(job.id(), write);
-    if (!queue.add(nowMicros, write)) {
-      listener.onBroken("write queue full", nowMicros);
+    if (!offer(job, new PendingWrite(write, true), nowMicros)) {
+      listener.onRecordConflict("write queue full", nowMicros);
     }
   }
+
+  private static Mutation putRecord(Job job, BitSet done, boolean cancelled) {
+    JobRecord jobRecord = new JobRecord(job.spec(), job.acceptedWallMicros(), cancelled, done);
+    return Mutation.put(Keys.job(job.id()), jobRecord.encode());
+  }
+
+  private boolean offer(Job job, PendingWrite pending, long nowMicros) {
+    pendingWrites.put(job, pending);
+    boolean accepted = queue.offer(nowMicros, pending.write());
+    if (!accepted) {
+      pendingWrites.remove(job);
+    }
+    return accepted;
+  }
+
+  private ConditionalWrite.Callback onOutcome(
+      Job job, OnWritten onWritten, LongConsumer onConflict) {
+    return (now, outcome, revision) -> {
+      pendingWrites.remove(job);
+      switch (outcome) {
+        case WRITTEN -> onWritten.run(now, revision);
+        case CONFLICT -> onConflict.accept(now);
+        case UNKNOWN -> {
+          // the term is over: the next leader reads what was applied
+        }
+      }
+    };
+  }
+
+  private void reportConflict(Job job, long nowMicros) {
+    listener.onRecordConflict("record of " + job.id() + " was changed by another", nowMicros);
+  }
 }
--- a/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
+++ b/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
@@ -15,10 +15,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's eye on jobs that other nodes accepted without it, which it takes over.
+ * Imports the jobs that other controllers accepted without a leader: reads those that are there,
+ * and watches for more.
  *
- * <p>Nobody starts a task of such a job before a leader moved its record, in one transaction that
- * is conditional on the leader key; so under the term that moved it none can have been started.
+ * <p>Nobody starts a task of such a job before a leader has moved its record, in one transaction
+ * that is conditional on the leader key; so in the term that moved it none can have been started.
  */
 public final class LeaderlessJobImporter {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderlessJobImporter.class);
@@ -27,42 +28,43 @@
   private static final long RETRY_MICROS = 400_000;
 
   private enum Phase {
-    /** Nothing to read; a watch tells of more. */
+    /** Everything was read; a watch tells of more. */
     IDLE,
-    /** To read what is there. */
-    LISTING,
-    /** A page is on its way. */
+    /** The next page is to be read. */
+    READ_DUE,
+    /** A page is being read. */
     READING
   }
 
-  private final KeyValueStore state;
+  private final KeyValueStore store;
   private final ClusterState clusterState;
   private final JobRecordWriter recordWriter;
-  private final Consumer<String> onNotTakenOver;
-  private Phase phase = Phase.LISTING;
-  private String after;
-  private long againAt;
+  private final Consumer<String> onNotImported;
+  private Phase phase = Phase.READ_DUE;
+  private String lastKey;
+  private long nextReadAt;
   private boolean watching;
-  private boolean repeat;
-  private long listedSince;
+  private boolean rereadRequested;
+  private long firstPageRevision;
   private boolean closed;
 
   /**
-   * The eye of a new term.
+   * An importer of a new term.
    *
-   * @param onNotTakenOver told each job that is not taken over after all, or not yet
+   * @param onNotImported told the id of each job that is not imported after all, or not yet
    */
   public LeaderlessJobImporter(
-      KeyValueStore state,
+      KeyValueStore store,
       ClusterState clusterState,
       JobRecordWriter recordWriter,
-      Consumer<String> onNotTakenOver) {
-    this.onNotTakenOver = onNotTakenOver;
-    this.state = state;
+      Consumer<String> onNotImported) {
+    this.onNotImported = onNotImported;
+    this.store = store;
     this.clusterState = clusterState;
     this.recordWriter = recordWriter;
   }
 
+  /** Ignores all later responses: the term is over. */
   public void close() {
     closed = true;
   }
@@ -71,10 +73,11 @@
     phase = next;
   }
 
+  /** Reads the next page if it is time. */
   public void tick(long nowMicros) {
-    if (!closed && phase == Phase.LISTING && nowMicros >= againAt) {
+    if (!closed && phase == Phase.READ_DUE && nowMicros >= nextReadAt) {
       become(Phase.READING);
-      state.range(Keys.LEADERLESS_JOBS, after, PAGE_SIZE, this::onPage);
+      store.range(Keys.LEADERLESS_JOBS, lastKey, PAGE_SIZE, this::onPage);
     }
   }
 
@@ -82,38 +85,42 @@
     if (closed) {
       return;
     }
-    become(Phase.LISTING);
+    become(Phase.READ_DUE);
     if (!(result instanceof RangePage page)) {
-      againAt = nowMicros + RETRY_MICROS;
+      nextReadAt = nowMicros + RETRY_MICROS;
       return;
     }
-    againAt = nowMicros;
-    if (after == null) {
-      // Guards against a job that is kept under an earlier key than the pages have come to: the
+    nextReadAt = nowMicros;
+    if (lastKey == null) {
+      // Guards against a job that is stored under an earlier key than the pages have come to: the
       // watch begins where the first page did.
-      listedSince = page.storeRevision();
+      firstPageRevision = page.storeRevision();
     }
     for (KeyValue entry : page.entries()) {
-      after = entry.key();
+      lastKey = entry.key();
       importJob(entry, nowMicros);
     }
     if (page.more()) {
       tick(nowMicros);
     } else {
-      after = null;
-      if (!repeat) {
-        become(Phase.IDLE);
-      }
-      repeat = false;
-      if (!watching) {
-        watch(listedSince);
-      }
+      onLastPage();
+    }
+  }
+
+  private void onLastPage() {
+    lastKey = null;
+    if (!rereadRequested) {
+      become(Phase.IDLE);
+    }
+    rereadRequested = false;
+    if (!watching) {
+      watch(firstPageRevision);
     }
   }
 
   private void watch(long revision) {
     watching = true;
-    state.watch(Keys.LEADERLESS_JOBS, revision, WATCH_MS, this::onChanges);
+    store.watch(Keys.LEADERLESS_JOBS, revision, WATCH_MS, this::onChanges);
   }
 
   private void onChanges(long nowMicros, WatchResult result) {
@@ -122,51 +129,54 @@
     }
     watching = false;
     if (!(result instanceof WatchBatch batch)) {
-      lookAgain(nowMicros + RETRY_MICROS);
+      requestReread(nowMicros + RETRY_MICROS);
       return;
     }
     batch.puts().forEach(entry -> importJob(entry, nowMicros));
     watch(batch.storeRevision());
   }
 
-  /** Takes a job over, unless that is being done already. */
+  /** Imports a job, unless that is being done already. */
   public void importJob(KeyValue entry, long nowMicros) {
-    JobRecord saved;
+    JobRecord stored;
     try {
-      saved = LeaderlessJobRecord.decode(entry.value());
+      stored = LeaderlessJobRecord.decode(entry.value());
     } catch (MalformedException e) {
-      LOG.error("{} not understood, left alone: {}", entry.key(), e.getMessage());
+      LOG.error("record malformed, left alone: key={} cause={}", entry.key(), e.getMessage());
       return;
     }
-    String id = saved.spec().id();
+    String id = stored.spec().id();
     if (clusterState.jobs().containsKey(id)) {
-      // Being accepted or taken over here: if that meets the new record, it is looked at again.
+      // Being accepted or imported here: if that write meets this record, all are read again.
       return;
     }
-    Job job = new Job(saved.spec(), saved.acceptedWallMicros(), true, JobPhase.PERSISTING);
+    Job job = new Job(stored.spec(), stored.acceptedWallMicros(), true, JobPhase.PERSISTING);
     clusterState.jobs().put(id, job);
-    boolean taken =
-        recordWriter.adopt(
-            job, entry.revision(), saved.cancelled(), nowMicros, () -> again(job, nowMicros));
-    if (!taken) {
-      again(job, nowMicros + RETRY_MICROS);
+    boolean accepted =
+        recordWriter.writeImportedJob(
+            job,
+            entry.revision(),
+            stored.cancelled(),
+            nowMicros,
+            () -> abandonImport(job, nowMicros));
+    if (!accepted) {
+      abandonImport(job, nowMicros + RETRY_MICROS);
     }
   }
 
-  /** The record changed meanwhile, or there was no room for the write: read all of them again. */
-  private void again(Job job, long atMicros) {
+  /** The record was changed meanwhile, or the write queue is full: all are read again. */
+  private void abandonImport(Job job, long rereadAtMicros) {
     clusterState.jobs().remove(job.id(), job);
-    onNotTakenOver.accept(job.id());
-    lookAgain(atMicros);
+    onNotImported.accept(job.id());
+    requestReread(rereadAtMicros);
   }
 
-  /** Reads all of them again, from the time given on. */
-  private void lookAgain(long atMicros) {
-    againAt = Math.max(againAt, atMicros);
+  private void requestReread(long atMicros) {
+    nextReadAt = Math.max(nextReadAt, atMicros);
     if (phase == Phase.IDLE) {
-      become(Phase.LISTING);
+      become(Phase.READ_DUE);
     } else {
-      repeat = phase == Phase.READING || repeat;
+      rereadRequested = phase == Phase.READING || rereadRequested;
     }
   }
 }
--- a/src/main/java/org/dewreach/state/LeaderlessJobRecord.java
+++ b/src/main/java/org/dewreach/state/LeaderlessJobRecord.java
@@ -14,11 +14,16 @@
 public final class LeaderlessJobRecord {
   private LeaderlessJobRecord() {}
 
-  /** The value to store. */
+  /**
+   * The value to store.
+   *
+   * @param writeId unique among all writes
+   */
   public static ObjectNode encode(
       JobSpec spec, long acceptedWallMicros, boolean cancelled, BitSet done, String writeId) {
-    ObjectNode value = JobRecord.encode(spec, acceptedWallMicros, cancelled, done);
-    return value.put(CommitQueue.TRANSACTION_ID_FIELD, writeId);
+    return new JobRecord(spec, acceptedWallMicros, cancelled, done)
+        .encode()
+        .put(CommitQueue.TRANSACTION_ID_FIELD, writeId);
   }
 
   /**
--- a/src/main/java/org/dewreach/state/MachineRegistry.java
+++ b/src/main/java/org/dewreach/state/MachineRegistry.java
@@ -1,8 +1,5 @@
 package org.dewreach.state;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -16,29 +13,28 @@
 import org.dewreach.store.Keys;
 import org.dewreach.store.Mutation;
 import org.dewreach.store.Precondition;
-import org.dewreach.wire.Codec;
 
 /**
  * The durable list of machines that a later leader has to wait for, many to a record.
  *
- * <p>A machine is noted when it was rented, so that its boot is waited for, and marked before its
- * first command, so that nothing is started again that may run there. One record for each machine
- * took three writes for each, and a fleet of hundreds used up the state service's rate for most of
- * a minute. Each record is conditional on its own revision, so a late copy of an earlier form,
- * which lacks machines, is never applied.
+ * <p>A machine is registered when it was rented, so that its boot is waited for, and registered for
+ * commands before its first command, so that nothing is started again that may run there. One
+ * record for each machine took three writes for each, and a fleet of hundreds used up the store's
+ * write rate for most of a minute. Each page is conditional on its own revision, so a late copy of
+ * an earlier form, which lacks machines, is never applied.
  */
 public final class MachineRegistry {
   /**
-   * Marks gathered before a write: a machine waits this long for its first command. A default of
-   * this project.
+   * Registrations for commands are gathered this long before a write: a machine waits that long for
+   * its first command. A default of this project.
    */
-  private static final long MARKS_INTERVAL_MICROS = 100_000;
+  private static final long COMMANDABLE_DELAY_MICROS = 100_000;
 
   /**
-   * Notes and removals may wait; a note that is lost costs a wait, a removal too. A default of this
-   * project.
+   * Other changes may wait; a registration or removal that is lost costs a later leader some
+   * waiting. A default of this project.
    */
-  private static final long OTHERS_INTERVAL_MICROS = 2_000_000;
+  private static final long OTHER_CHANGES_DELAY_MICROS = 2_000_000;
 
   /** More of the value's limit than this is not used, whatever the coding adds. */
   private static final double MAX_FILL_SHARE = 0.7;
@@ -46,23 +42,28 @@
   /** What an entry takes beside its texts. */
   private static final int ENTRY_BYTES = 48;
 
-  /** Some machines, sharing a record. */
+  /** Machines that share a record. */
   private static final class Page {
     final int number;
     final Set<Machine> machines = new LinkedHashSet<>();
-    final Set<Machine> toMark = new LinkedHashSet<>();
-    final Set<Machine> marked = new LinkedHashSet<>();
+
+    /** Those that are to be registered for commands. */
+    final Set<Machine> awaitingCommands = new LinkedHashSet<>();
+
+    /** Those that are durably registered for commands. */
+    final Set<Machine> commandable = new LinkedHashSet<>();
+
     long revision;
     int bytes;
-    long dueAt = Long.MAX_VALUE;
+    long writeDueAt = Long.MAX_VALUE;
     boolean writing;
 
     Page(int number) {
       this.number = number;
     }
 
-    void due(long atMicros) {
-      dueAt = Math.min(dueAt, atMicros);
+    void writeBy(long atMicros) {
+      writeDueAt = Math.min(writeDueAt, atMicros);
     }
   }
 
@@ -73,6 +74,12 @@
   private final Map<Integer, Page> pages = new TreeMap<>();
   private final Map<Machine, Page> pageOf = new HashMap<>();
 
+  /**
+   * An empty registry.
+   *
+   * @param valueBytes the largest value that the key-value store takes
+   * @param wallOffsetMicros time of day minus event time
+   */
   public MachineRegistry(
       CommitQueue queue, int valueBytes, long wallOffsetMicros, JobRecordWriter.Listener listener) {
     this.queue = queue;
@@ -81,58 +88,60 @@
     this.listener = listener;
   }
 
-  /** Takes a page that an earlier leader left; its machines follow by {@link #loaded}. */
-  void loadedPage(int number, long revision) {
+  /** Restores a page of an earlier leader; its machines follow by {@link #restoreMachine}. */
+  void restorePage(int number, long revision) {
     page(number).revision = revision;
   }
 
-  void loaded(int number, Machine machine) {
-    Page page = page(number);
-    put(page, machine);
+  /** Restores a machine on its page. */
+  void restoreMachine(int pageNumber, Machine machine) {
+    Page page = page(pageNumber);
+    addToPage(page, machine);
     if (machine.recorded()) {
-      page.marked.add(machine);
+      page.commandable.add(machine);
     }
   }
 
-  /** A machine was rented, or found. */
-  public void note(Machine machine, long nowMicros) {
+  /** Registers a machine that was rented or found, unless it is registered. */
+  public void register(Machine machine, long nowMicros) {
     if (!pageOf.containsKey(machine)) {
       Page page = pageWithSpace(machine);
-      put(page, machine);
-      page.due(nowMicros + OTHERS_INTERVAL_MICROS);
+      addToPage(page, machine);
+      page.writeBy(nowMicros + OTHER_CHANGES_DELAY_MICROS);
     }
   }
 
-  /** A machine is to be given commands, for which it has to be marked first. */
-  public void mark(Machine machine, long nowMicros) {
+  /** Registers a machine for commands, which it may be given once that is durable. */
+  public void registerForCommands(Machine machine, long nowMicros) {
     if (machine.recorded()) {
       return;
     }
     Page page = pageOf.get(machine);
     if (page == null) {
       page = pageWithSpace(machine);
-      put(page, machine);
+      addToPage(page, machine);
     }
-    if (!page.marked.contains(machine) && page.toMark.add(machine)) {
-      page.due(nowMicros + MARKS_INTERVAL_MICROS);
+    if (!page.commandable.contains(machine) && page.awaitingCommands.add(machine)) {
+      page.writeBy(nowMicros + COMMANDABLE_DELAY_MICROS);
     }
   }
 
-  /** A machine is gone. */
-  public void forget(Machine machine, long nowMicros) {
+  /** Removes a machine that is gone. */
+  public void deregister(Machine machine, long nowMicros) {
     Page page = pageOf.remove(machine);
     if (page != null) {
       page.machines.remove(machine);
-      page.toMark.remove(machine);
-      page.marked.remove(machine);
-      page.bytes -= bytes(machine);
-      page.due(nowMicros + OTHERS_INTERVAL_MICROS);
+      page.awaitingCommands.remove(machine);
+      page.commandable.remove(machine);
+      page.bytes -= estimatedBytes(machine);
+      page.writeBy(nowMicros + OTHER_CHANGES_DELAY_MICROS);
     }
   }
 
+  /** Writes the pages that are due. */
   public void tick(long nowMicros) {
     for (Page page : pages.values()) {
-      if (nowMicros >= page.dueAt && !page.writing) {
+      if (nowMicros >= page.writeDueAt && !page.writing) {
         write(page, nowMicros);
       }
     }
@@ -143,23 +152,23 @@
   }
 
   private Page pageWithSpace(Machine machine) {
-    int number = 0;
+    int nextNumber = 0;
     for (Page page : pages.values()) {
-      if (page.bytes + bytes(machine) <= pageBytes) {
+      if (page.bytes + estimatedBytes(machine) <= pageBytes) {
         return page;
       }
-      number = Math.max(number, page.number + 1);
+      nextNumber = Math.max(nextNumber, page.number + 1);
     }
-    return page(number);
+    return page(nextNumber);
   }
 
-  private void put(Page page, Machine machine) {
+  private void addToPage(Page page, Machine machine) {
     page.machines.add(machine);
-    page.bytes += bytes(machine);
+    page.bytes += estimatedBytes(machine);
     pageOf.put(machine, page);
   }
 
-  private static int bytes(Machine machine) {
+  private static int estimatedBytes(Machine machine) {
     return ENTRY_BYTES
         + machine.name().length()
         + machine.type().name().length()
@@ -167,35 +176,43 @@
   }
 
   private void write(Page page, long nowMicros) {
-    Set<Machine> marks = new LinkedHashSet<>(page.marked);
-    marks.addAll(page.toMark);
-    ObjectNode value = Codec.map();
-    ObjectNode list = value.putObject("machines");
-    for (Machine machine : page.machines) {
-      ArrayNode entry = list.putArray(machine.name());
-      entry.add(machine.type().name()).add(machine.zone()).add(machine.spot());
-      entry.add(machine.knownSince() + wallOffsetMicros).add(marks.contains(machine));
-    }
-    boolean urgent = !page.toMark.isEmpty();
+    Set<Machine> commandable = new LinkedHashSet<>(page.commandable);
+    commandable.addAll(page.awaitingCommands);
+    String key = Keys.machinePage(page.number);
+    ConditionalWrite write =
+        new ConditionalWrite(
+            List.of(Precondition.unchanged(key, page.revision)),
+            List.of(Mutation.put(key, toRecord(page, commandable).encode())),
+            page.awaitingCommands.isEmpty()
+                ? ConditionalWrite.Urgency.DEFERRABLE
+                : ConditionalWrite.Urgency.URGENT,
+            (now, outcome, revision) -> onOutcome(page, commandable, outcome, revision, now));
     page.writing = true;
-    page.dueAt = Long.MAX_VALUE;
-    boolean taken =
-        queue.add(
-            nowMicros,
-            new ConditionalWrite(
-                List.of(new Precondition(Keys.machinePage(page.number), page.revision)),
-                List.of(new Mutation(Keys.machinePage(page.number), value)),
-                urgent,
-                (now, outcome, revision) -> written(page, marks, outcome, revision, now)));
-    if (!taken) {
+    page.writeDueAt = Long.MAX_VALUE;
+    if (!queue.offer(nowMicros, write)) {
       page.writing = false;
-      page.due(nowMicros + OTHERS_INTERVAL_MICROS);
+      page.writeBy(nowMicros + OTHER_CHANGES_DELAY_MICROS);
     }
   }
 
-  private void written(
+  private MachinePageRecord toRecord(Page page, Set<Machine> commandable) {
+    List<MachinePageRecord.Entry> entries = new ArrayList<>();
+    for (Machine machine : page.machines) {
+      entries.add(
+          new MachinePageRecord.Entry(
+              machine.name(),
+              machine.type().name(),
+              machine.zone(),
+              machine.spot(),
+              machine.knownSince() + wallOffsetMicros,
+              commandable.contains(machine)));
+    }
+    return new MachinePageRecord(entries);
+  }
+
+  private void onOutcome(
       Page page,
-      Set<Machine> marks,
+      Set<Machine> commandable,
       ConditionalWrite.Outcome outcome,
       long revision,
       long nowMicros) {
@@ -203,40 +220,23 @@
     switch (outcome) {
       case WRITTEN -> {
         page.revision = revision;
-        for (Machine machine : marks) {
-          page.toMark.remove(machine);
-          if (page.machines.contains(machine)) {
-            page.marked.add(machine);
-            machine.recorded(true);
-          }
-        }
-        listener.onMarked(nowMicros);
+        commandable.forEach(machine -> markCommandable(page, machine));
+        listener.onMachinesRegistered(nowMicros);
       }
-      case CONFLICT -> listener.onBroken("the register of machines changed by somebody", nowMicros);
+      case CONFLICT ->
+          listener.onRecordConflict(
+              "machine page " + page.number + " was changed by another", nowMicros);
       case UNKNOWN -> {
-        // the term is over
+        // the term is over: the next leader reads what was applied
       }
     }
   }
 
-  /** A machine as a page has it. */
-  record Entry(
-      String name, String type, String zone, boolean spot, long sinceWallMicros, boolean marked) {}
-
-  static List<Entry> read(JsonNode data) {
-    List<Entry> entries = new ArrayList<>();
-    for (Map.Entry<String, JsonNode> field : data.path("machines").properties()) {
-      JsonNode entry = field.getValue();
-      entries.add(
-          new Entry(
-              field.getKey(),
-              entry.path(0).asText(),
-              entry.path(1).asText(),
-              entry.path(2).asBoolean(),
-              entry.path(3).asLong(),
-              // What cannot be read may have been given commands.
-              entry.path(4).asBoolean(true)));
+  private static void markCommandable(Page page, Machine machine) {
+    page.awaitingCommands.remove(machine);
+    if (page.machines.contains(machine)) {
+      page.commandable.add(machine);
+      machine.recorded(true);
     }
-    return entries;
   }
 }
--- a/src/main/java/org/dewreach/state/MachineTypeCatalog.java
+++ b/src/main/java/org/dewreach/state/MachineTypeCatalog.java
@@ -3,37 +3,46 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import org.dewreach.cloud.CloudClient;
+import org.dewreach.store.CommitQueue;
+import org.dewreach.store.ConditionalWrite;
 import org.dewreach.store.KeyValue;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
+import org.dewreach.store.Mutation;
 import org.dewreach.store.ReadResult;
+import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.MachineType;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine types. The leader asks the cloud and leaves a copy in the state service, so that a
- * node that starts while the cloud is down can still judge submissions.
+ * The machine types that the cloud provider offers.
+ *
+ * <p>The leader asks the provider and keeps a copy in the key-value store, so that a controller
+ * that starts while the provider is down can still check submissions.
  */
 public final class MachineTypeCatalog {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
-  private static final long REFRESH_MICROS = 60_000_000;
-  private static final long RETRY_MICROS = 2_000_000;
+  private static final long REFRESH_INTERVAL_MICROS = 60_000_000;
+  private static final long PROVIDER_RETRY_MICROS = 2_000_000;
+  private static final long STORE_RETRY_MICROS = 500_000;
 
-  private final KeyValueStore state;
+  private final KeyValueStore store;
   private final CloudClient cloud;
   private List<MachineType> types = List.of();
-  private boolean asking;
-  private boolean triedStore;
-  private boolean fromCloud;
-  private long nextAsk;
+  private boolean requesting;
+  private boolean storeTried;
+  private boolean storedCopyOutdated;
+  private long nextRequestAt;
 
-  public MachineTypeCatalog(KeyValueStore state, CloudClient cloud) {
-    this.state = state;
+  /** A catalog without any type yet. */
+  public MachineTypeCatalog(KeyValueStore store, CloudClient cloud) {
+    this.store = store;
     this.cloud = cloud;
   }
 
+  /** All types; empty until they are known. */
   public List<MachineType> types() {
     return types;
   }
@@ -48,60 +57,79 @@
     return null;
   }
 
+  /** True once the types are known. */
   public boolean known() {
     return !types.isEmpty();
   }
 
-  /** True once after the cloud told of types that the copy in the state service lacks. */
-  public boolean takeFromCloud() {
-    boolean was = fromCloud;
-    fromCloud = false;
-    return was;
+  /** Writes the copy in the key-value store if the provider has answered since the last time. */
+  public void saveIfRefreshed(CommitQueue queue, long nowMicros) {
+    if (!storedCopyOutdated) {
+      return;
+    }
+    storedCopyOutdated = false;
+    queue.offer(
+        nowMicros,
+        new ConditionalWrite(
+            List.of(),
+            List.of(Mutation.put(Keys.CATALOG, CatalogRecord.encode(types))),
+            ConditionalWrite.Urgency.DEFERRABLE,
+            (now, outcome, revision) -> {}));
   }
 
+  /**
+   * Requests the types if it is time: first the stored copy, then the provider's.
+   *
+   * @param leading true if this controller leads, and so keeps the types up to date
+   */
   public void tick(long nowMicros, boolean leading) {
-    if (asking || nowMicros < nextAsk || known() && !leading) {
+    if (requesting || nowMicros < nextRequestAt || known() && !leading) {
       return;
     }
-    asking = true;
-    if (!known() && !triedStore) {
-      triedStore = true;
-      state.get(
-          Keys.CATALOG,
-          (now, result) -> {
-            asking = false;
-            if (result instanceof KeyValue found) {
-              take(found.value());
-              nextAsk = now + (leading ? 500_000 : REFRESH_MICROS);
-            } else if (result instanceof ReadResult.Absent) {
-              nextAsk = now;
-            } else {
-              triedStore = false;
-              nextAsk = now + 500_000;
-            }
-          });
-      return;
+    requesting = true;
+    if (!known() && !storeTried) {
+      storeTried = true;
+      store.get(Keys.CATALOG, (now, result) -> onStoredCopy(now, result, leading));
+    } else {
+      storeTried = false;
+      cloud.catalog(nowMicros, this::onProviderReply);
     }
-    triedStore = false;
-    cloud.catalog(
-        nowMicros,
-        (now, status, body) -> {
-          asking = false;
-          if (status == 200 && take(body)) {
-            fromCloud = true;
-            nextAsk = now + REFRESH_MICROS;
-          } else {
-            nextAsk = now + RETRY_MICROS;
-          }
-        });
   }
 
-  private boolean take(JsonNode body) {
+  private void onStoredCopy(long nowMicros, ReadResult result, boolean leading) {
+    requesting = false;
+    if (result instanceof KeyValue entry) {
+      replaceTypes(() -> CatalogRecord.decode(entry.value()));
+      nextRequestAt = nowMicros + (leading ? STORE_RETRY_MICROS : REFRESH_INTERVAL_MICROS);
+    } else if (result instanceof ReadResult.Absent) {
+      nextRequestAt = nowMicros;
+    } else {
+      storeTried = false;
+      nextRequestAt = nowMicros + STORE_RETRY_MICROS;
+    }
+  }
+
+  private void onProviderReply(long nowMicros, int status, JsonNode body) {
+    requesting = false;
+    if (status == HttpStatus.OK && replaceTypes(() -> MachineType.parseCatalog(body))) {
+      storedCopyOutdated = true;
+      nextRequestAt = nowMicros + REFRESH_INTERVAL_MICROS;
+    } else {
+      nextRequestAt = nowMicros + PROVIDER_RETRY_MICROS;
+    }
+  }
+
+  private interface Source {
+    List<MachineType> read() throws MalformedException;
+  }
+
+  /** Replaces the types; false if the new ones are malformed. */
+  private boolean replaceTypes(Source source) {
     try {
-      types = MachineType.parseCatalog(body);
+      types = source.read();
       return true;
     } catch (MalformedException e) {
-      LOG.error("catalog not understood: {}", e.getMessage());
+      LOG.error("catalog malformed: cause={}", e.getMessage());
       return false;
     }
   }
--- a/src/main/java/org/dewreach/store/ConditionalWrite.java
+++ b/src/main/java/org/dewreach/store/ConditionalWrite.java
@@ -5,31 +5,42 @@
 /**
  * Changes that take effect together or not at all.
  *
- * @param conditions what has to hold for them, beside the leader key
- * @param changes the puts and deletes
- * @param urgent true if it goes before writes that nobody waits for
- * @param done takes the outcome
+ * @param preconditions what has to hold for them, beside the leader key
+ * @param mutations the puts and deletes
+ * @param urgency whether somebody waits for it
+ * @param callback receives the outcome
  */
 public record ConditionalWrite(
-    List<Precondition> conditions, List<Mutation> changes, boolean urgent, Done done) {
+    List<Precondition> preconditions,
+    List<Mutation> mutations,
+    Urgency urgency,
+    Callback callback) {
+  /** Order among writes that wait for a transaction. */
+  public enum Urgency {
+    /** A user, or a command to a machine, waits for it. */
+    URGENT,
+    /** Nobody waits for it: it is sent after all urgent ones. */
+    DEFERRABLE
+  }
+
   /** How a write ended. */
   public enum Outcome {
-    /** Durable, at the revision given. */
+    /** It is durable, at the revision given. */
     WRITTEN,
-    /** A condition of its own failed; nothing was changed, and nothing of it will be. */
+    /** A precondition of its own failed; nothing was changed, and nothing of it will be. */
     CONFLICT,
-    /** The queue was closed or full; whether it is applied is unknown. */
+    /** The queue was closed; whether the write is applied is unknown. */
     UNKNOWN
   }
 
-  /** Takes the outcome. */
+  /** Receives the outcome of a write. */
   @FunctionalInterface
-  public interface Done {
+  public interface Callback {
     /**
      * Called once per write.
      *
      * @param revision the revision at which it is durable, if it was written
      */
-    void on(long nowMicros, Outcome outcome, long revision);
+    void onOutcome(long nowMicros, Outcome outcome, long revision);
   }
 }
--- /dev/null
+++ b/src/main/java/org/dewreach/store/GroupedTransaction.java
@@ -0,0 +1,91 @@
+package org.dewreach.store;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * Writes that share one transaction, which is sent unchanged until its outcome is known.
+ *
+ * <p>Each value that it puts carries the transaction's id, by which an earlier copy that was
+ * applied without a response is recognized.
+ */
+final class GroupedTransaction {
+  private final String id;
+  private final List<ConditionalWrite> writes;
+  private final long createdAtMicros;
+  private boolean responseMissed;
+
+  /**
+   * A transaction of these writes; their values get its id.
+   *
+   * @param id unique among all transactions
+   */
+  GroupedTransaction(String id, List<ConditionalWrite> writes, long nowMicros) {
+    this.id = id;
+    this.writes = writes;
+    this.createdAtMicros = nowMicros;
+    for (Mutation mutation : mutations()) {
+      if (!mutation.isDelete()) {
+        mutation.value().put(CommitQueue.TRANSACTION_ID_FIELD, id);
+      }
+    }
+  }
+
+  String id() {
+    return id;
+  }
+
+  List<ConditionalWrite> writes() {
+    return writes;
+  }
+
+  long ageMicros(long nowMicros) {
+    return nowMicros - createdAtMicros;
+  }
+
+  /** True if a copy of it was sent and got no response: that copy may be applied. */
+  boolean responseMissed() {
+    return responseMissed;
+  }
+
+  void markResponseMissed() {
+    responseMissed = true;
+  }
+
+  /** True if it contains this very write. */
+  boolean contains(ConditionalWrite write) {
+    return writes.stream().anyMatch(other -> other == write);
+  }
+
+  List<Precondition> preconditions(Precondition leaderKey) {
+    List<Precondition> preconditions = new ArrayList<>();
+    preconditions.add(leaderKey);
+    writes.forEach(write -> preconditions.addAll(write.preconditions()));
+    return preconditions;
+  }
+
+  List<Mutation> mutations() {
+    List<Mutation> mutations = new ArrayList<>();
+    writes.forEach(write -> mutations.addAll(write.mutations()));
+    return mutations;
+  }
+
+  /** The key at which an applied copy of the transaction can be recognized. */
+  Optional<String> firstKeyPut() {
+    return mutations().stream()
+        .filter(mutation -> !mutation.isDelete())
+        .map(Mutation::key)
+        .findFirst();
+  }
+
+  /** True if the value was written by this transaction. */
+  boolean wrote(KeyValue entry) {
+    return id.equals(entry.value().path(CommitQueue.TRANSACTION_ID_FIELD).asText());
+  }
+
+  /** Keys that it changes, for log lines. */
+  List<String> keys() {
+    return mutations().stream().map(Mutation::key).toList();
+  }
+}
--- /dev/null
+++ b/src/main/java/org/dewreach/store/WriteBacklog.java
@@ -0,0 +1,147 @@
+package org.dewreach.store;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.List;
+import org.dewreach.wire.Codec;
+
+/** Writes that wait for a transaction: urgent ones first, then in the order of their arrival. */
+final class WriteBacklog {
+  /** Writes that wait at most; more are refused, and their users asked to retry. */
+  private static final int MAX_WAITING = 4_000;
+
+  /** Size of a transaction, as estimated here. */
+  private static final int MAX_BYTES = 48 * 1024;
+
+  /** Estimate of what a write, or a mutation beside its value, takes in a transaction. */
+  private static final int OVERHEAD_BYTES = 100;
+
+  /** Preconditions of a transaction, for each of its mutations. */
+  private static final int PRECONDITIONS_PER_MUTATION = 4;
+
+  private final int maxMutations;
+  private final Deque<ConditionalWrite> urgent = new ArrayDeque<>();
+  private final Deque<ConditionalWrite> deferrable = new ArrayDeque<>();
+
+  /** How many of the next writes are to be sent in a transaction of their own. */
+  private int separateWrites;
+
+  /**
+   * An empty backlog.
+   *
+   * @param maxMutations the most mutations of a transaction
+   */
+  WriteBacklog(int maxMutations) {
+    this.maxMutations = maxMutations;
+  }
+
+  int size() {
+    return urgent.size() + deferrable.size();
+  }
+
+  /** Adds a write; false if there are too many already. */
+  boolean offer(ConditionalWrite write) {
+    return size() < MAX_WAITING && queueOf(write).add(write);
+  }
+
+  private Deque<ConditionalWrite> queueOf(ConditionalWrite write) {
+    return switch (write.urgency()) {
+      case URGENT -> urgent;
+      case DEFERRABLE -> deferrable;
+    };
+  }
+
+  /** Puts writes back before all others of their urgency, in their order. */
+  void requeueFirst(List<ConditionalWrite> writes) {
+    for (int i = writes.size() - 1; i >= 0; i--) {
+      queueOf(writes.get(i)).addFirst(writes.get(i));
+    }
+  }
+
+  /** As {@link #requeueFirst}; each of them then goes into a transaction of its own. */
+  void requeueSeparately(List<ConditionalWrite> writes) {
+    separateWrites = writes.size();
+    requeueFirst(writes);
+  }
+
+  /** Removes and returns all writes. */
+  List<ConditionalWrite> drain() {
+    List<ConditionalWrite> writes = new ArrayList<>(urgent);
+    writes.addAll(deferrable);
+    urgent.clear();
+    deferrable.clear();
+    return writes;
+  }
+
+  /**
+   * Removes and returns the writes of the next transaction, possibly none.
+   *
+   * @param affordableMutations how many mutations the write rate allows now
+   */
+  List<ConditionalWrite> pollBatch(int affordableMutations) {
+    Batch batch = new Batch(Math.min(maxMutations, affordableMutations));
+    for (Deque<ConditionalWrite> queue : List.of(urgent, deferrable)) {
+      while (!queue.isEmpty()) {
+        if (!batch.offer(queue.peek())) {
+          return batch.writes;
+        }
+        queue.poll();
+        if (separateWrites > 0) {
+          separateWrites--;
+          return batch.writes;
+        }
+      }
+    }
+    return batch.writes;
+  }
+
+  private static int estimatedBytes(ConditionalWrite write) {
+    int bytes = OVERHEAD_BYTES;
+    for (Mutation mutation : write.mutations()) {
+      bytes += OVERHEAD_BYTES;
+      if (!mutation.isDelete()) {
+        bytes += Codec.write(mutation.value()).length * 2;
+      }
+    }
+    return bytes;
+  }
+
+  /** The writes of one transaction while it is put together. */
+  private final class Batch {
+    private final int mutationLimit;
+    private final List<ConditionalWrite> writes = new ArrayList<>();
+    private int mutations;
+
+    /** The leader key's is one. */
+    private int preconditions = 1;
+
+    private int bytes;
+
+    Batch(int mutationLimit) {
+      this.mutationLimit = mutationLimit;
+    }
+
+    /** Adds a write if it fits; the first one may exceed all limits but that of mutations. */
+    boolean offer(ConditionalWrite write) {
+      int writeBytes = estimatedBytes(write);
+      boolean accepted =
+          write.mutations().size() <= mutationLimit
+              && (writes.isEmpty() || fits(write, writeBytes));
+      if (accepted) {
+        writes.add(write);
+        mutations += write.mutations().size();
+        preconditions += write.preconditions().size();
+        bytes += writeBytes;
+      }
+      return accepted;
+    }
+
+    private boolean fits(ConditionalWrite write, int writeBytes) {
+      return mutations + write.mutations().size() <= mutationLimit
+          && preconditions + write.preconditions().size()
+              <= PRECONDITIONS_PER_MUTATION * maxMutations
+          && bytes + writeBytes <= MAX_BYTES;
+    }
+  }
+}
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -69,7 +69,7 @@
   private Machine machine(String name, MachinePhase phase) {
     Machine machine = new Machine(name, "", TYPE, "a", false, phase, 0);
     machine.recorded(true);
-    clusterState.add(machine);
+    clusterState.addMachine(machine);
     clusterState.jobs().put(job.id(), job);
     return machine;
   }
--- a/src/test/java/org/dewreach/membership/FleetManagerTest.java
+++ b/src/test/java/org/dewreach/membership/FleetManagerTest.java
@@ -51,7 +51,7 @@
     Machine machine = new Machine(name, "", TYPE, "a", false, MachinePhase.BOOTING, 0);
     machine.recorded(true);
     machine.become(MachinePhase.UP, 0);
-    clusterState.add(machine);
+    clusterState.addMachine(machine);
     return machine;
   }
 
--- a/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
@@ -36,7 +36,7 @@
     machine.recorded(true);
     machine.become(MachinePhase.UP, 0);
     machine.cordoned(cordoned);
-    clusterState.add(machine);
+    clusterState.addMachine(machine);
     return machine;
   }
 
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -66,7 +66,7 @@
     Machine machine = new Machine(name, "", type, "a", spot, MachinePhase.BOOTING, 0);
     machine.recorded(true);
     machine.become(MachinePhase.UP, 0);
-    clusterState.add(machine);
+    clusterState.addMachine(machine);
     return machine;
   }
 
@@ -137,7 +137,7 @@
             0,
             -1);
     for (int i = 0; i < 100; i++) {
-      clusterState.services().arrived(service, S);
+      clusterState.serviceRate().arrived(service, S);
     }
     Job job = job("req-1", 4, true);
     placer.pass(30 * S, each -> true, 60 * S);
--- a/src/test/java/org/dewreach/sim/CancellationTest.java
+++ b/src/test/java/org/dewreach/sim/CancellationTest.java
@@ -113,7 +113,7 @@
   /**
    * A zone is cut off with a controller that stands in for the leader outside, where users cancel.
    *
-   * <p>Red without the delegations in {@code CancellationGate.goneInTime}.
+   * <p>Red without the delegations in {@code CancellationGate.tasksEndInTime}.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
--- a/src/test/java/org/dewreach/state/JobRecordTest.java
+++ b/src/test/java/org/dewreach/state/JobRecordTest.java
@@ -64,9 +64,9 @@
           done.set(i);
         }
       }
-      var record = JobRecord.encode(largest(), 1_764_633_715_123_456L, true, done);
-      assertTrue(record.toString().length() < VALUE_BYTES, "bytes: " + record.toString().length());
-      JobRecord read = JobRecord.decode(record);
+      var value = new JobRecord(largest(), 1_764_633_715_123_456L, true, done).encode();
+      assertTrue(value.toString().length() < VALUE_BYTES, "bytes: " + value.toString().length());
+      JobRecord read = JobRecord.decode(value);
       assertEquals(largest(), read.spec());
       BitSet wrong = (BitSet) read.done().clone();
       wrong.andNot(done);
@@ -80,10 +80,10 @@
     BitSet done = new BitSet();
     done.set(0, 40);
     done.set(50, 60_000, true);
-    BitSet read = JobRecord.decode(JobRecord.encode(largest(), 0, false, done)).done();
-    BitSet kept = JobRecord.kept(done);
+    BitSet read = JobRecord.decode(new JobRecord(largest(), 0, false, done).encode()).done();
+    BitSet kept = JobRecord.storedPart(done);
     kept.andNot(read);
     assertTrue(kept.isEmpty(), "taken for kept, and not in the record: " + kept);
-    assertTrue(JobRecord.kept(done).cardinality() > 10_000);
+    assertTrue(JobRecord.storedPart(done).cardinality() > 10_000);
   }
 }
--- a/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
+++ b/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
@@ -70,10 +70,10 @@
     public void onEnded(Job job, long nowMicros) {}
 
     @Override
-    public void onMarked(long nowMicros) {}
+    public void onMachinesRegistered(long nowMicros) {}
 
     @Override
-    public void onBroken(String why, long nowMicros) {}
+    public void onRecordConflict(String why, long nowMicros) {}
   }
 
   private static JobSpec spec(String id) {
@@ -116,14 +116,14 @@
   private static ObjectNode page(long revision, boolean more, String id) {
     ObjectNode page = Codec.map().put("ledger_rev", revision).put("more", more);
     ObjectNode entry = page.putArray("entries").addObject().put("path", Keys.leaderlessJob(id));
-    entry.put("stamp", 40).set("data", JobRecord.encode(spec(id), 0, false, new BitSet()));
+    entry.put("stamp", 40).set("data", new JobRecord(spec(id), 0, false, new BitSet()).encode());
     return page;
   }
 
   /**
-   * Guard: {@code LeaderlessJobImporter.listedSince} is taken from the first page only. A job that
-   * is kept between the two pages under a key before the second one is on neither, and a watch from
-   * the second on would not tell of it.
+   * Guard: {@code LeaderlessJobImporter.firstPageRevision} is taken from the first page only. A job
+   * that is kept between the two pages under a key before the second one is on neither, and a watch
+   * from the second on would not tell of it.
    */
   @Test
   void theWatchBeginsWhereTheFirstPageDid() {
--- a/src/test/java/org/dewreach/state/MachineRegistryTest.java
+++ b/src/test/java/org/dewreach/state/MachineRegistryTest.java
@@ -52,10 +52,10 @@
             public void onEnded(Job job, long nowMicros) {}
 
             @Override
-            public void onMarked(long nowMicros) {}
+            public void onMachinesRegistered(long nowMicros) {}
 
             @Override
-            public void onBroken(String why, long nowMicros) {
+            public void onRecordConflict(String why, long nowMicros) {
               broken.add(why);
             }
           });
@@ -81,7 +81,7 @@
     List<Machine> rented = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
       rented.add(machine(i));
-      registry.note(rented.get(i), 0);
+      registry.register(rented.get(i), 0);
     }
     registry.tick(3 * S);
     int changes = 0;
@@ -91,7 +91,9 @@
         for (JsonNode change : call.body().path("then")) {
           changes++;
           assertTrue(change.path("data").toString().length() < VALUE_BYTES);
-          MachineRegistry.read(change.path("data")).forEach(entry -> names.add(entry.name()));
+          MachinePageRecord.decode(change.path("data"))
+              .entries()
+              .forEach(entry -> names.add(entry.name()));
         }
         answer(call, 200, 10);
       }
@@ -105,12 +107,13 @@
   @Test
   void aMachineIsMarkedOnlyOnceThatIsDurable() {
     Machine machine = machine(1);
-    registry.note(machine, 0);
-    registry.mark(machine, 0);
+    registry.register(machine, 0);
+    registry.registerForCommands(machine, 0);
     registry.tick(S);
     Effect.Call commit = sent().get(0);
     assertFalse(machine.recorded());
-    assertTrue(MachineRegistry.read(commit.body().at("/then/0/data")).get(0).marked());
+    assertTrue(
+        MachinePageRecord.decode(commit.body().at("/then/0/data")).entries().get(0).commandable());
     answer(commit, 200, 31);
     assertTrue(machine.recorded());
   }
@@ -118,23 +121,23 @@
   /** Guards against a late copy of a page that lacks machines marked since. */
   @Test
   void eachFormOfAPageIsConditionalOnTheOneBefore() {
-    registry.mark(machine(1), 0);
+    registry.registerForCommands(machine(1), 0);
     registry.tick(S);
     Effect.Call first = sent().get(0);
-    registry.mark(machine(2), S);
+    registry.registerForCommands(machine(2), S);
     registry.tick(2 * S);
     assertTrue(sent().isEmpty(), "one form of a page is in flight at a time");
     answer(first, 200, 31);
     registry.tick(3 * S);
     Effect.Call second = sent().get(0);
     assertEquals(31, second.body().at("/when/1/stamp").asLong());
-    assertEquals(2, MachineRegistry.read(second.body().at("/then/0/data")).size());
+    assertEquals(2, MachinePageRecord.decode(second.body().at("/then/0/data")).entries().size());
     assertEquals(List.of(), broken);
   }
 
   @Test
   void aPageChangedBySomebodyEndsTheTerm() {
-    registry.mark(machine(1), 0);
+    registry.registerForCommands(machine(1), 0);
     registry.tick(S);
     Effect.Call commit = sent().get(0);
     var conflict = Codec.map().put("ledger_rev", 40);
--- a/src/test/java/org/dewreach/store/CommitQueueTest.java
+++ b/src/test/java/org/dewreach/store/CommitQueueTest.java
@@ -28,12 +28,12 @@
           () -> lost = true);
 
   private void add(String key) {
-    queue.add(
+    queue.offer(
         0,
         new ConditionalWrite(
             List.of(new Precondition(key, 0)),
             List.of(Mutation.put(key, Codec.map())),
-            true,
+            ConditionalWrite.Urgency.URGENT,
             (now, outcome, revision) -> outcomes.add(key + " " + outcome)));
   }
 
@@ -133,14 +133,14 @@
       new ConditionalWrite(
           List.of(new Precondition("ending", 0)),
           List.of(Mutation.put("ending", Codec.map())),
-          true,
+          ConditionalWrite.Urgency.URGENT,
           (now, outcome, revision) -> outcomes.add("ending " + outcome));
 
   @Test
   void aWriteThatWaitsIsNotInDoubt() {
     add("a");
     Effect.Call first = sent();
-    queue.add(0, ending);
+    queue.offer(0, ending);
     assertFalse(queue.inDoubt(ending), "it was not sent");
     reply(first, 200, Codec.map().put("ledger_rev", 10));
     Effect.Call second = sent();
@@ -151,7 +151,7 @@
 
   @Test
   void aWriteThatWasNotExecutedIsNotInDoubt() {
-    queue.add(0, ending);
+    queue.offer(0, ending);
     reply(sent(), 503, null);
     assertFalse(queue.inDoubt(ending), "503: not executed");
     queue.tick(2_000_000);
@@ -163,7 +163,7 @@
 
   @Test
   void aWriteWithoutAnAnswerStaysInDoubtUntilItsOutcomeIsKnown() {
-    queue.add(0, ending);
+    queue.offer(0, ending);
     reply(sent(), 0, null);
     assertTrue(queue.inDoubt(ending), "it may have been applied");
     queue.tick(2_000_000);
