--- a/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
+++ b/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
@@ -70,11 +70,11 @@
     }
 
     private boolean sharesZone() {
-      return spec.together() && spec.tasks() > 1;
+      return spec.sameZone() && spec.tasks() > 1;
     }
 
     private boolean spreadsOverZones() {
-      return spec.scatter() && spec.tasks() > 1;
+      return spec.spreadZones() && spec.tasks() > 1;
     }
 
     /** Needs with the same key fit on the same machines and are planned as one. */
--- a/src/main/java/org/dewreach/model/Admission.java
+++ b/src/main/java/org/dewreach/model/Admission.java
@@ -40,7 +40,7 @@
       return "fits no allowed machine type";
     }
     boolean several = spec.tasks() > 1;
-    if (spec.scatter() && several && (spec.together() || zones.size() < 2)) {
+    if (spec.spreadZones() && several && (spec.sameZone() || zones.size() < 2)) {
       return "cannot be spread over zones";
     }
     return null;
--- a/src/main/java/org/dewreach/placement/QueueOrder.java
+++ b/src/main/java/org/dewreach/placement/QueueOrder.java
@@ -150,7 +150,9 @@
 
   /** When the job is to be done, from its acceptance, by its owner or its class; or -1. */
   public long allowedMicros(JobSpec spec) {
-    return spec.dueMicros() >= 0 ? spec.dueMicros() : finishWithin.getOrDefault(spec.lane(), -1L);
+    return spec.dueMicros() >= 0
+        ? spec.dueMicros()
+        : finishWithin.getOrDefault(spec.jobClass(), -1L);
   }
 
   /** Jobs that fit into their team's guarantee together with its earlier unfinished jobs. */
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -52,7 +52,7 @@
     Set<String> hopeless = new HashSet<>();
     for (TaskPlacer.Waiting item : waiting) {
       JobSpec spec = item.job().spec();
-      boolean alone = spec.jobKind() != JobKind.GANG && !spec.together() && !spec.scatter();
+      boolean alone = spec.jobKind() != JobKind.GANG && !spec.sameZone() && !spec.spreadZones();
       if (!alone || least == null || !spec.priority().above(least)) {
         continue;
       }
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -161,7 +161,7 @@
   /** Jobs with the same likeness fit on the same machines. */
   private String likeness(Job job, long nowMicros) {
     JobSpec spec = job.spec();
-    boolean special = spec.together() || spec.scatter() || spec.jobKind() == JobKind.GANG;
+    boolean special = spec.sameZone() || spec.spreadZones() || spec.jobKind() == JobKind.GANG;
     if (special || !job.suspects(nowMicros).isEmpty() || keptFrom(job, nowMicros)) {
       return job.id();
     }
@@ -186,7 +186,7 @@
   private static boolean whole(Job job) {
     JobSpec spec = job.spec();
     return spec.jobKind() == JobKind.GANG
-        || spec.together() && spec.jobKind() == JobKind.SERVICE && job.bound().isEmpty();
+        || spec.sameZone() && spec.jobKind() == JobKind.SERVICE && job.bound().isEmpty();
   }
 
   private int place(Job job, int freeCapacity, long nowMicros) {
@@ -214,7 +214,7 @@
    * must share a zone stays where its bound tasks are, or takes the zones in the order of the list.
    */
   private List<String> zones(Job job) {
-    if (!job.spec().together() || job.spec().tasks() == 1) {
+    if (!job.spec().sameZone() || job.spec().tasks() == 1) {
       return Collections.singletonList(null);
     }
     if (!job.bound().isEmpty()) {
@@ -231,16 +231,16 @@
 
   private List<Task> fit(Job job, int count, String zone, long nowMicros) {
     JobSpec spec = job.spec();
-    int most = spec.scatter() ? (spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
+    int most = spec.spreadZones() ? (spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
     Predicate<Machine> allowed = allowed(job, nowMicros);
     if (zone != null) {
       allowed = allowed.and(machine -> machine.zone().equals(zone));
     }
-    if (spec.scatter()) {
+    if (spec.spreadZones()) {
       allowed = allowed.and(machine -> job.boundInZone(machine.zone()) < most);
     }
     List<Task> placed = new ArrayList<>();
-    long within = startWithin.getOrDefault(spec.lane(), 0L);
+    long within = startWithin.getOrDefault(spec.jobClass(), 0L);
     // The tasks of a gang find each other by their attempt: it is one for all of them.
     long gangAttempt = spec.jobKind() == JobKind.GANG ? clusterState.nextAttempt() : 0;
     boolean yields = yields(spec);
--- a/src/main/java/org/dewreach/wire/JobSpec.java
+++ b/src/main/java/org/dewreach/wire/JobSpec.java
@@ -11,7 +11,7 @@
  * A job as its user describes it (`POST /work`).
  *
  * @param id the id that the user chose
- * @param lane the class of service, for which the settings may state objectives
+ * @param jobClass the class of the job, for which the settings may state objectives
  * @param team whose quota it counts against
  * @param jobKind how its tasks run
  * @param priority its priority
@@ -23,8 +23,8 @@
  * @param imageGb the image's size
  * @param types allowed machine types, or null for any
  * @param zone the only allowed zone, or null
- * @param together true if all tasks have to be in one zone
- * @param scatter true if no zone may hold all tasks
+ * @param sameZone true if all tasks have to be in one zone
+ * @param spreadZones true if no zone may hold all tasks
  * @param spot true if its tasks may run on spot machines
  * @param expectedMicros the expected running time of a task
  * @param checkpointMicros how often a task saves its progress
@@ -33,7 +33,7 @@
  */
 public record JobSpec(
     String id,
-    String lane,
+    String jobClass,
     String team,
     JobKind jobKind,
     Priority priority,
@@ -45,8 +45,8 @@
     double imageGb,
     List<String> types,
     String zone,
-    boolean together,
-    boolean scatter,
+    boolean sameZone,
+    boolean spreadZones,
     boolean spot,
     long expectedMicros,
     long checkpointMicros,
@@ -134,7 +134,7 @@
   /** The body that {@link #parse} reads. */
   public ObjectNode toNode() {
     ObjectNode map = Codec.map();
-    map.put("uid", id).put("lane", lane).put("desk", team);
+    map.put("uid", id).put("lane", jobClass).put("desk", team);
     map.put("shape", jobKind.word()).put("urgency", priority.word()).put("pieces", tasks);
     map.put("cpus", cpus).put("cards", gpus).put("memory_gb", memoryGb);
     map.put("bundle", image).put("pull_gb", imageGb);
@@ -144,7 +144,10 @@
       ArrayNode list = map.putArray("builds");
       types.forEach(list::add);
     }
-    map.put("site", zone).put("together", together).put("scatter", scatter).put("loaners", spot);
+    map.put("site", zone)
+        .put("together", sameZone)
+        .put("scatter", spreadZones)
+        .put("loaners", spot);
     map.put("expected_s", expectedMicros / Fields.MICROS_PER_SECOND)
         .put("mark_every_s", checkpointMicros / Fields.MICROS_PER_SECOND);
     map.put("mark_cost_s", saveMicros / Fields.MICROS_PER_SECOND);
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -255,7 +255,7 @@
         new Job(
             new JobSpec(
                 id,
-                spec.lane(),
+                spec.jobClass(),
                 spec.team(),
                 spec.jobKind(),
                 spec.priority(),
--- a/src/test/java/org/dewreach/sim/Checker.java
+++ b/src/test/java/org/dewreach/sim/Checker.java
@@ -114,11 +114,11 @@
     for (SimWorker other : job.running.values()) {
       if (other.zone.equals(worker.zone)) {
         inZone++;
-      } else if (spec.together()) {
+      } else if (spec.sameZone()) {
         breaks("wrong_place", name + " in another zone than its job");
       }
     }
-    if (spec.scatter() && inZone > (spec.tasks() + 1) / 2) {
+    if (spec.spreadZones() && inZone > (spec.tasks() + 1) / 2) {
       breaks("wrong_place", name + ": too many in " + worker.zone);
     }
     if (job.cancelledToldAt >= 0) {
@@ -182,8 +182,8 @@
           boolean alone =
               job.spec != null
                   && job.spec.jobKind() != JobKind.GANG
-                  && !job.spec.together()
-                  && !job.spec.scatter();
+                  && !job.spec.sameZone()
+                  && !job.spec.spreadZones();
           boolean waits =
               alone
                   && job.accepted
