--- a/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
+++ b/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
@@ -122,7 +122,7 @@
 
   /** True if the worker has surely killed all its tasks, or never had any. */
   boolean leaseSurelyOver(Machine machine, long nowMicros) {
-    if (machine.restartSuspicion() != RestartCheck.NONE) {
+    if (machine.restartCheck() != RestartCheck.NONE) {
       // A worker that restarted has a lease of its own, and takes late copies of our starts.
       return false;
     }
@@ -213,8 +213,8 @@
 
   private void checkReports(Machine machine, Findings findings, long nowMicros) {
     boolean mayHaveRestarted =
-        machine.restartSuspicion() == RestartCheck.CHECKING && isSilent(machine, nowMicros);
-    if (machine.restartSuspicion() == RestartCheck.CONFIRMED || mayHaveRestarted) {
+        machine.restartCheck() == RestartCheck.CHECKING && isSilent(machine, nowMicros);
+    if (machine.restartCheck() == RestartCheck.CONFIRMED || mayHaveRestarted) {
       scaleIn.giveUp(machine, "its worker restarted", nowMicros);
     } else if (isSilent(machine, nowMicros)) {
       findings.silent.add(machine);
@@ -244,7 +244,7 @@
       }
       if (unheardMicros(machine, nowMicros) > quietAfterMicros()) {
         // What is placed there now would be bound until it is known what became of it.
-        machine.commandUnanswered();
+        machine.markUnreachable();
         findings.missed++;
       } else {
         findings.reached++;
@@ -255,7 +255,7 @@
   private void onSilent(Machine machine, boolean few, long nowMicros) {
     if (leaseSurelyOver(machine, nowMicros)) {
       clusterState.unbindAll(machine, "its lease is over", nowMicros);
-      machine.markAccountedFor();
+      machine.markReconciled();
       if (few) {
         scaleIn.giveUp(machine, "silent, lease over", nowMicros);
       } else {
--- a/src/main/java/org/dewreach/membership/RecoveryTracker.java
+++ b/src/main/java/org/dewreach/membership/RecoveryTracker.java
@@ -60,7 +60,7 @@
   /** True if tasks of earlier terms may run there that we do not know of. */
   private boolean mayRunUnseen(Machine machine, long nowMicros) {
     // One that is in no record was never given commands: it may be a late copy's ghost.
-    boolean open = machine.commandedByEarlierTerm() && !machine.accountedFor();
+    boolean open = machine.commandedByEarlierTerm() && !machine.reconciled();
     return switch (machine.phase()) {
       case UNKNOWN, UNCONFIRMED -> open;
       case TERMINATING -> open && !fleet.leaseSurelyOver(machine, nowMicros);
