--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -169,7 +169,7 @@
   /** Records that a task has completed, on whichever machine. */
   public void markDone(Job job, int index) {
     if (job.markDone(index)) {
-      job.succeeded();
+      job.recordSuccess();
       requestPlacement();
     }
   }
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -168,8 +168,8 @@
             stored.acceptedWallMicros(),
             false,
             stored.cancelled() ? JobPhase.CANCELLED : JobPhase.ACTIVE);
-    job.stamp(entry.revision());
-    job.restore(stored.done());
+    job.revision(entry.revision());
+    job.restoreProgress(stored.done());
     clusterState.jobs().put(job.id(), job);
   }
 }
