--- a/src/main/java/org/dewreach/history/FinalStateWatcher.java
+++ b/src/main/java/org/dewreach/history/FinalStateWatcher.java
@@ -12,11 +12,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the final records in the state service, on every controller and through all terms.
+ * Follows the final states in the key-value store, on every controller and through all terms.
  *
- * <p>After a start it lists what is there, as far as there is room, and then watches for more from
- * the revision at which the list began. Guards against jobs that only the leader knew which ended
- * them: when it was gone and the state service out of reach, nothing could be told about them.
+ * <p>After a start it lists what is stored, as far as there is room, and then watches for more from
+ * the revision at which the list began. Guards against jobs of which only the leader knew how they
+ * ended: when it was gone and the store unreachable, nothing could be told about them.
  */
 public final class FinalStateWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(FinalStateWatcher.class);
@@ -27,35 +27,34 @@
   private static final long WATCH_MS = 10_000;
 
   /**
-   * Pause between two requests: two of them a second, of each controller, at the most. A default of
+   * Pause between two requests: at most two of them a second from each controller. A default of
    * this project.
    */
   private static final long PAUSE_MICROS = 500_000;
 
   private static final long RETRY_MICROS = 1_000_000;
 
-  /** Named states of the watcher. */
   private enum Phase {
-    /** Pages are to be read. */
-    LISTING,
-    /** A page was asked for. */
+    /** The next page is to be read. */
+    READ_DUE,
+    /** A page is being read. */
     READING,
     /** The next watch is to be opened. */
-    PAUSED,
+    WATCH_DUE,
     /** A watch is open. */
     WATCHING
   }
 
-  private final KeyValueStore state;
+  private final KeyValueStore store;
   private final FinalStates finalStates;
-  private Phase phase = Phase.LISTING;
+  private Phase phase = Phase.READ_DUE;
   private long nextRequestAt;
-  private String after;
+  private String lastKey;
   private long revision = -1;
 
   /** A watcher that adds what it finds to the given states. */
-  public FinalStateWatcher(KeyValueStore state, FinalStates finalStates) {
-    this.state = state;
+  public FinalStateWatcher(KeyValueStore store, FinalStates finalStates) {
+    this.store = store;
     this.finalStates = finalStates;
   }
 
@@ -70,78 +69,78 @@
       return;
     }
     switch (phase) {
-      case LISTING -> {
+      case READ_DUE -> {
         become(Phase.READING, nowMicros);
-        state.range(Keys.FINAL_STATES, after, PAGE_SIZE, this::onPage);
+        store.range(Keys.FINAL_STATES, lastKey, PAGE_SIZE, this::onPage);
       }
-      case PAUSED -> {
+      case WATCH_DUE -> {
         become(Phase.WATCHING, nowMicros);
-        state.watch(Keys.FINAL_STATES, revision, WATCH_MS, this::onChanges);
+        store.watch(Keys.FINAL_STATES, revision, WATCH_MS, this::onChanges);
       }
       case READING, WATCHING -> {
-        // a request is under way
+        // a request is in flight
       }
     }
   }
 
-  /** The revision up to which the ends of jobs are known; -1 if none is. */
+  /** The store's revision up to which the final states are known; -1 if none is. */
   public long revision() {
     return revision;
   }
 
   private void onPage(long nowMicros, RangeResult result) {
     if (!(result instanceof RangePage page)) {
-      become(Phase.LISTING, nowMicros + RETRY_MICROS);
+      become(Phase.READ_DUE, nowMicros + RETRY_MICROS);
       return;
     }
-    if (after == null) {
+    if (lastKey == null) {
       revision = page.storeRevision();
     }
     for (KeyValue entry : page.entries()) {
-      after = entry.key();
-      FinalState found = decode(entry);
-      if (found != null) {
-        finalStates.listed(jobId(after), found);
+      lastKey = entry.key();
+      FinalState finalState = decodeOrNull(entry);
+      if (finalState != null) {
+        finalStates.addListed(jobId(entry), finalState);
       }
     }
     if (page.more() && !finalStates.full()) {
-      become(Phase.LISTING, nowMicros + PAUSE_MICROS);
+      become(Phase.READ_DUE, nowMicros + PAUSE_MICROS);
     } else {
-      LOG.info("{} final states known at revision {}", finalStates.size(), revision);
-      become(Phase.PAUSED, nowMicros);
+      LOG.info("final states listed: known={} revision={}", finalStates.size(), revision);
+      become(Phase.WATCH_DUE, nowMicros);
     }
   }
 
   private void onChanges(long nowMicros, WatchResult result) {
     if (result instanceof WatchResult.Compacted) {
-      LOG.info("changes after revision {} are not kept any more, listing anew", revision);
-      after = null;
-      become(Phase.LISTING, nowMicros);
+      LOG.info("watch of final states compacted, listing anew: revision={}", revision);
+      lastKey = null;
+      become(Phase.READ_DUE, nowMicros);
       return;
     }
     if (!(result instanceof WatchBatch batch)) {
-      become(Phase.PAUSED, nowMicros + RETRY_MICROS);
+      become(Phase.WATCH_DUE, nowMicros + RETRY_MICROS);
       return;
     }
     for (KeyValue entry : batch.puts()) {
-      FinalState found = decode(entry);
-      if (found != null) {
-        finalStates.ended(jobId(entry.key()), found);
+      FinalState finalState = decodeOrNull(entry);
+      if (finalState != null) {
+        finalStates.addEnded(jobId(entry), finalState);
       }
     }
     revision = batch.storeRevision();
-    become(Phase.PAUSED, nowMicros + PAUSE_MICROS);
+    become(Phase.WATCH_DUE, nowMicros + PAUSE_MICROS);
   }
 
-  private static String jobId(String key) {
-    return key.substring(Keys.FINAL_STATES.length());
+  private static String jobId(KeyValue entry) {
+    return entry.key().substring(Keys.FINAL_STATES.length());
   }
 
-  private static FinalState decode(KeyValue entry) {
+  private static FinalState decodeOrNull(KeyValue entry) {
     try {
       return FinalStateRecord.decode(entry.value());
     } catch (MalformedException e) {
-      LOG.error("{} not understood, left alone: {}", entry.key(), e.getMessage());
+      LOG.error("record malformed, left alone: key={} cause={}", entry.key(), e.getMessage());
       return null;
     }
   }
--- a/src/main/java/org/dewreach/history/FinalStates.java
+++ b/src/main/java/org/dewreach/history/FinalStates.java
@@ -7,13 +7,13 @@
 /**
  * The final states that this controller knows to be durable, in whichever term the jobs ended.
  *
- * <p>A final state never changes, so it may be told at any time by any controller, with or without
- * authority. Only durable states are added: what was read from the state service, or written to it
+ * <p>A final state never changes, so any controller may tell it at any time, with or without
+ * authority. Only durable states are added: those read from the key-value store, or written to it
  * with its confirmation.
  *
  * <p>The states of the jobs that ended last are kept in the order of their ends; those of older
- * jobs that users asked about are kept by how often they are asked for. Both are bounded; what is
- * not here is read from the state service.
+ * jobs that users asked about are cached by how often they are asked for. Both are bounded; what is
+ * not here is read from the key-value store.
  */
 public final class FinalStates {
   /**
@@ -35,25 +35,25 @@
     return known != null ? known : lookedUp.getIfPresent(jobId);
   }
 
-  /** A job has ended, and that is durable. */
-  public void ended(String jobId, FinalState state) {
-    recent.putAndMoveToLast(jobId, state);
+  /** Adds the state of a job that has just ended; the oldest gives way to it. */
+  public void addEnded(String jobId, FinalState finalState) {
+    recent.putAndMoveToLast(jobId, finalState);
     if (recent.size() > MAX_RECENT) {
       recent.removeFirst();
     }
   }
 
-  /** The state of a job that ended at some time was read from the state service. */
-  public void read(String jobId, FinalState state) {
+  /** Adds the state of a job that ended at some time and was looked up in the key-value store. */
+  public void addLookedUp(String jobId, FinalState finalState) {
     if (!recent.containsKey(jobId)) {
-      lookedUp.put(jobId, state);
+      lookedUp.put(jobId, finalState);
     }
   }
 
-  /** A job that ended at some time was listed: kept if there is room beside those ended lately. */
-  void listed(String jobId, FinalState state) {
+  /** Adds the state of a job that ended at some time, unless there is no room beside later ones. */
+  void addListed(String jobId, FinalState finalState) {
     if (!full()) {
-      recent.putAndMoveToFirst(jobId, state);
+      recent.putAndMoveToFirst(jobId, finalState);
     }
   }
 
--- a/src/main/java/org/dewreach/request/JobLookup.java
+++ b/src/main/java/org/dewreach/request/JobLookup.java
@@ -99,7 +99,7 @@
           }
           try {
             FinalState found = FinalStateRecord.decode(entry.value());
-            finalStates.read(id, found);
+            finalStates.addLookedUp(id, found);
             then.onResult(new Result(found.jobState(), found.done()));
           } catch (MalformedException e) {
             LOG.error("final record of {} not understood", id);
--- a/src/main/java/org/dewreach/request/JobRequestHandler.java
+++ b/src/main/java/org/dewreach/request/JobRequestHandler.java
@@ -319,7 +319,7 @@
   }
 
   public void onEnded(Job job) {
-    finalStates.ended(job.id(), new FinalState(job.finalState(), job.doneCount()));
+    finalStates.addEnded(job.id(), new FinalState(job.finalState(), job.doneCount()));
     answerAll(awaitingCancellation, job.id(), 200, job.finalState());
     awaitedEnds.onEnd(job.id());
   }
--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -163,7 +163,7 @@
 
   private Found foundFinal(String id, KeyValue entry) throws MalformedException {
     FinalState found = FinalStateRecord.decode(entry.value());
-    finalStates.read(id, found);
+    finalStates.addLookedUp(id, found);
     return new Found(entry.key(), id, null, 0, found.jobState(), found.done());
   }
 
--- a/src/test/java/org/dewreach/history/FinalStateWatcherTest.java
+++ b/src/test/java/org/dewreach/history/FinalStateWatcherTest.java
@@ -111,7 +111,7 @@
   @Test
   void theJobsThatEndedLastAreKept() {
     for (int i = 0; i < 3 * FinalStates.MAX_RECENT; i++) {
-      finalStates.ended("req-" + i, DONE);
+      finalStates.addEnded("req-" + i, DONE);
     }
     assertEquals(FinalStates.MAX_RECENT, finalStates.size());
     assertNull(finalStates.get("req-" + (2 * FinalStates.MAX_RECENT - 1)));
@@ -120,14 +120,14 @@
 
   @Test
   void listedStatesGiveWayToEnds() {
-    finalStates.ended("req-early", DONE);
-    finalStates.listed("req-listed", DONE);
+    finalStates.addEnded("req-early", DONE);
+    finalStates.addListed("req-listed", DONE);
     for (int i = 0; i < FinalStates.MAX_RECENT - 1; i++) {
-      finalStates.ended("req-" + i, DONE);
+      finalStates.addEnded("req-" + i, DONE);
     }
     assertNull(finalStates.get("req-listed"));
     assertEquals(DONE, finalStates.get("req-early"));
-    finalStates.listed("req-more", DONE);
+    finalStates.addListed("req-more", DONE);
     assertNull(finalStates.get("req-more"), "there is no room");
   }
 }
