--- a/src/main/java/org/dewreach/controller/Controller.java
+++ b/src/main/java/org/dewreach/controller/Controller.java
@@ -13,7 +13,11 @@
 import org.dewreach.history.FinalStates;
 import org.dewreach.leadership.DelegateRenewer;
 import org.dewreach.leadership.Election;
+import org.dewreach.peer.DelegationRequest;
+import org.dewreach.peer.DelegationResponse;
 import org.dewreach.peer.Forwarded;
+import org.dewreach.peer.GrantRequest;
+import org.dewreach.peer.GrantResponse;
 import org.dewreach.port.ConnectionPool;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
@@ -150,16 +154,16 @@
         nextOwnDelegation = now + OWN_DELEGATION_INTERVAL_MICROS;
         ownDelegationUntil = term.delegateToSelf(settings.zone(), now);
       }
-      delegateRenewer.leading(term.number(), Math.max(0, ownDelegationUntil - now), now);
+      delegateRenewer.onLeading(term.number(), Math.max(0, ownDelegationUntil - now), now);
       return;
     }
-    delegateRenewer.over(election.leaderAbsent() ? Long.MAX_VALUE : election.latestTerm());
+    delegateRenewer.onTermKnown(election.leaderAbsent() ? Long.MAX_VALUE : election.latestTerm());
     delegateRenewer.tick(election.leader(), now);
   }
 
   /** Until when what this node decides now may leave it. */
   private long actsUntil() {
-    return leading() ? election.actsUntil() : Effect.ANY_TIME;
+    return leading() ? election.authorityEndsAt() : Effect.ANY_TIME;
   }
 
   public boolean leading() {
@@ -187,9 +191,9 @@
             settings,
             tuning,
             election::hasAuthority,
-            () -> election.lost(now, "a write showed the key lost"),
-            () -> election.resign(now, "no worker is heard here"),
-            delegateRenewer::answeredAt,
+            () -> election.onKeyLost(now, "a write found the leader key lost"),
+            () -> election.resign(now, "no heartbeats reach this node"),
+            delegateRenewer::lastRenewalAt,
             nowMicros,
             wallOffsetMicros);
   }
@@ -245,7 +249,7 @@
    * state.
    */
   private boolean undecided() {
-    return election.deciding() || term != null && !term.loaded();
+    return election.undecided() || term != null && !term.loaded();
   }
 
   private void answerReport(long requestId, Heartbeat report) {
@@ -253,8 +257,9 @@
       term.report(requestId, report, now);
       return;
     }
-    if (delegateRenewer.answers(report, now)) {
-      outbox.respondUntil(requestId, 200, delegateRenewer.answer(), delegateRenewer.until());
+    if (delegateRenewer.tryRenew(report, now)) {
+      outbox.respondUntil(
+          requestId, 200, delegateRenewer.heartbeatResponse(), delegateRenewer.delegatedUntil());
       return;
     }
     String leader = election.leader();
@@ -381,7 +386,7 @@
         outbox.respond(requestId, 200, known.put("term", election.latestTerm()));
       }
       case STATS_PATH -> outbox.respond(requestId, 200, stats());
-      case Election.GRANT_PATH, DelegateRenewer.PATH, Forwarded.PATH -> {
+      case GrantRequest.PATH, DelegationRequest.PATH, Forwarded.PATH -> {
         if (body == null) {
           outbox.respond(requestId, 404, null);
         } else {
@@ -394,14 +399,16 @@
 
   private void onPeerPost(String path, long requestId, JsonNode body) {
     switch (path) {
-      case Election.GRANT_PATH -> {
-        boolean given = election.grant(body.path("term").asLong(), now);
-        outbox.respond(requestId, 200, Codec.map().put("given", given));
+      case GrantRequest.PATH -> {
+        boolean granted = election.grantTo(GrantRequest.parse(body).term(), now);
+        outbox.respond(requestId, 200, new GrantResponse(granted).toNode());
       }
-      case DelegateRenewer.PATH -> {
-        ObjectNode delegation =
-            leading() ? term.onDelegationRequest(body, now) : Codec.map().put("term", 0);
-        outbox.respond(requestId, 200, delegation);
+      case DelegationRequest.PATH -> {
+        DelegationResponse response =
+            leading()
+                ? term.onDelegationRequest(DelegationRequest.parse(body), now)
+                : DelegationResponse.REFUSED;
+        outbox.respond(requestId, 200, response.toNode());
       }
       default -> onForwarded(requestId, body);
     }
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -1,6 +1,5 @@
 package org.dewreach.controller;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,6 +17,8 @@
 import org.dewreach.model.Job;
 import org.dewreach.model.JobPhase;
 import org.dewreach.model.Machine;
+import org.dewreach.peer.DelegationRequest;
+import org.dewreach.peer.DelegationResponse;
 import org.dewreach.port.Outbox;
 import org.dewreach.request.JobRequestHandler;
 import org.dewreach.request.Responder;
@@ -301,16 +302,16 @@
   // delegates
 
   /** A node asks for how long it may answer its zone's workers when it loses this one. */
-  ObjectNode onDelegationRequest(JsonNode delegationRequest, long nowMicros) {
-    String zone = delegations.zone(delegationRequest.path("node").asText());
+  DelegationResponse onDelegationRequest(DelegationRequest request, long nowMicros) {
+    String zone = delegations.zoneOf(request.node());
     return delegations.onRequest(
-        delegationRequest, zone == null ? 0 : delegableMicros(zone, nowMicros), nowMicros);
+        request, zone == null ? 0 : delegableMicros(zone, nowMicros), nowMicros);
   }
 
   /** Until when this node itself may answer its zone's workers, should it lose its authority. */
   long delegateToSelf(String zone, long nowMicros) {
     long until = nowMicros + delegableMicros(zone, nowMicros);
-    delegations.delegatedToSelf(until);
+    delegations.delegateToSelf(until);
     return until;
   }
 
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -1,10 +1,11 @@
 package org.dewreach.leadership;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashSet;
 import java.util.Set;
 import org.dewreach.config.Settings;
+import org.dewreach.peer.DelegationRequest;
+import org.dewreach.peer.DelegationResponse;
 import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
 import org.dewreach.store.KeyValueStore;
@@ -17,13 +18,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A node's right to answer its own zone's workers for a while when it has lost everybody else.
+ * Renews the leases of its own zone's workers for a while when this node has lost contact with all
+ * others.
  *
  * <p>When a zone is cut off, its workers reach only the controllers inside. Their tasks run on, but
  * without an answer under the term's token they die with the lease, a third of all replicas at
- * once. So the leader delegates to every node the right to answer reports, without any order, for a
- * while beyond their last contact. {@link LeaseDelegations} is the leader's side and says why no
- * rule is broken.
+ * once. So the leader delegates to every node the right to answer heartbeats, without any command,
+ * for a while beyond their last contact. {@link LeaseDelegations} is the leader's side and says why
+ * no rule is broken.
  *
  * <p>It is used only as a last resort: by a node that hears neither the leader nor the state
  * service, and for workers that have tried other nodes.
@@ -31,9 +33,6 @@
 public final class DelegateRenewer {
   private static final Logger LOG = LoggerFactory.getLogger(DelegateRenewer.class);
 
-  /** Where a node asks the leader for it. */
-  public static final String PATH = "/peer/stand-in";
-
   /**
    * Out of contact for this long, longer than a lease lasts without its leader. A default of this
    * project.
@@ -43,12 +42,12 @@
   private static final long REQUEST_INTERVAL_MICROS = 1_000_000;
   private static final long TIMEOUT_MICROS = 1_000_000;
 
-  /** Whether reports are answered here in the leader's stead. */
+  /** Whether this node renews worker leases in place of the leader. */
   private enum Phase {
-    /** In contact, or without a right to it. */
+    /** In contact with the others, or without a delegation. */
     IDLE,
-    /** Out of contact: answering. */
-    ANSWERING
+    /** Out of contact: renewing leases under the delegation. */
+    ACTIVE
   }
 
   private final Outbox outbox;
@@ -56,23 +55,26 @@
   private final String self;
   private final String zone;
 
-  /** Machines that were sent on once since this node lost its lead, which they had followed. */
-  private final Set<String> sentOn = new HashSet<>();
+  /**
+   * Machines that followed this node as the leader and that it has redirected once since it lost
+   * the lead.
+   */
+  private final Set<String> redirected = new HashSet<>();
 
-  private boolean led;
+  private boolean wasLeader;
 
   private Phase phase = Phase.IDLE;
   private long term;
-  private long until;
-  private long contactAt;
-  private long stateAt = -OUT_OF_CONTACT_MICROS;
-  private long answeredAt = -1;
-  private long echo = -1;
-  private String echoOf = "";
-  private long askAt;
-  private long probeAt;
-
-  /** Without any right yet. */
+  private long delegatedUntil;
+  private long lastContactAt;
+  private long lastStoreResponseAt = -OUT_OF_CONTACT_MICROS;
+  private long lastRenewalAt = DelegationRequest.NONE;
+  private long lastResponseMark = DelegationRequest.NONE;
+  private String lastResponder = "";
+  private long nextRequestAt;
+  private long nextProbeAt;
+
+  /** Without a delegation yet. */
   public DelegateRenewer(Outbox outbox, KeyValueStore state, Settings settings) {
     this.outbox = outbox;
     this.state = state;
@@ -82,61 +84,66 @@
 
   private void become(Phase next, String why) {
     if (phase != next) {
-      LOG.info("lease renewal for term {}: {} -> {} ({})", term, phase, next, why);
+      LOG.info("delegate phase changed: term={} from={} to={} reason={}", term, phase, next, why);
       phase = next;
     }
   }
 
   /** Called when time has passed, with the leader as this node knows it. */
   public void tick(String leader, long nowMicros) {
-    if (leader != null && !leader.equals(self) && nowMicros >= askAt) {
-      askAt = nowMicros + REQUEST_INTERVAL_MICROS;
-      ask(leader, nowMicros);
+    if (leader != null && !leader.equals(self) && nowMicros >= nextRequestAt) {
+      nextRequestAt = nowMicros + REQUEST_INTERVAL_MICROS;
+      requestDelegation(leader, nowMicros);
     }
-    boolean lost = nowMicros - contactAt >= REQUEST_INTERVAL_MICROS;
-    if (lost && nowMicros < until && nowMicros >= probeAt) {
-      probeAt = nowMicros + REQUEST_INTERVAL_MICROS;
-      // A node that reaches the state service is not cut off, and learns there who leads.
+    boolean lost = nowMicros - lastContactAt >= REQUEST_INTERVAL_MICROS;
+    if (lost && nowMicros < delegatedUntil && nowMicros >= nextProbeAt) {
+      nextProbeAt = nowMicros + REQUEST_INTERVAL_MICROS;
+      // A node that reaches the key-value store is not cut off, and learns there who leads.
       state.get(
           Keys.LEADER,
           (now, result) -> {
             if (!(result instanceof RequestFailure)) {
-              stateAt = now;
+              lastStoreResponseAt = now;
             }
           });
     }
-    if (phase == Phase.ANSWERING && !mayAnswer(nowMicros)) {
-      become(Phase.IDLE, nowMicros < until ? "in contact again" : "its time is over");
+    if (phase == Phase.ACTIVE && !mayRenew(nowMicros)) {
+      become(Phase.IDLE, nowMicros < delegatedUntil ? "in contact again" : "the delegation ended");
     }
   }
 
-  private void ask(String leader, long nowMicros) {
-    ObjectNode body = Codec.map().put("node", self).put("up", nowMicros);
-    body.put("answered_ago", answeredAt < 0 ? -1 : nowMicros - answeredAt);
-    body.put("echo", leader.equals(echoOf) ? echo : -1);
+  private void requestDelegation(String leader, long nowMicros) {
+    // Event time counts from the start of the process.
+    DelegationRequest request =
+        new DelegationRequest(
+            self,
+            nowMicros,
+            lastRenewalAt < 0 ? DelegationRequest.NONE : nowMicros - lastRenewalAt,
+            leader.equals(lastResponder) ? lastResponseMark : DelegationRequest.NONE);
     outbox.call(
         new Target.Member(leader),
         "POST",
-        PATH,
-        body,
+        DelegationRequest.PATH,
+        request.toNode(),
         TIMEOUT_MICROS,
         (now, status, answer) -> {
-          if (status == HttpStatus.OK
-              && answer != null
-              && answer.path("term").asLong() >= Math.max(1, term)) {
-            take(leader, answer, nowMicros, now);
+          if (status == HttpStatus.OK && answer != null) {
+            onResponse(leader, DelegationResponse.parse(answer), nowMicros, now);
           }
         });
   }
 
-  private void take(String leader, JsonNode answer, long askedAt, long nowMicros) {
-    term = answer.path("term").asLong();
-    // Counted from the asking, which was before the leader counted, and less drift.
-    long delegatedMicros = answer.path("lent").asLong();
-    until = askedAt + delegatedMicros - ClockDrift.within(delegatedMicros);
-    echo = answer.path("at").asLong();
-    echoOf = leader;
-    inContact(false, nowMicros);
+  private void onResponse(String leader, DelegationResponse response, long sentAt, long nowMicros) {
+    if (response.term() < Math.max(1, term)) {
+      return;
+    }
+    term = response.term();
+    // Counted from the sending, which was before the leader counted, and less drift.
+    long delegatedMicros = response.delegatedMicros();
+    delegatedUntil = sentAt + delegatedMicros - ClockDrift.within(delegatedMicros);
+    lastResponseMark = response.mark();
+    lastResponder = leader;
+    recordContact(false, nowMicros);
   }
 
   /**
@@ -144,59 +151,60 @@
    *
    * @param delegatedMicros what it may go on for after its authority
    */
-  public void leading(long itsTerm, long delegatedMicros, long nowMicros) {
-    term = itsTerm;
-    until = nowMicros + delegatedMicros - ClockDrift.within(delegatedMicros);
-    inContact(true, nowMicros);
+  public void onLeading(long ownTerm, long delegatedMicros, long nowMicros) {
+    term = ownTerm;
+    delegatedUntil = nowMicros + delegatedMicros - ClockDrift.within(delegatedMicros);
+    recordContact(true, nowMicros);
   }
 
-  private void inContact(boolean asLeader, long nowMicros) {
-    contactAt = nowMicros;
-    led = asLeader;
-    sentOn.clear();
+  private void recordContact(boolean asLeader, long nowMicros) {
+    lastContactAt = nowMicros;
+    wasLeader = asLeader;
+    redirected.clear();
   }
 
-  /** There is a later term, or none: what was delegated is over. */
-  public void over(long latestTerm) {
+  /** A later term is known of: what an earlier one delegated ends. */
+  public void onTermKnown(long latestTerm) {
     if (latestTerm > term) {
-      until = 0;
+      delegatedUntil = 0;
     }
   }
 
-  /** When a report was last answered here, or -1. */
-  public long answeredAt() {
-    return answeredAt;
+  /** When this node last renewed a lease as a delegate, or -1. */
+  public long lastRenewalAt() {
+    return lastRenewalAt;
   }
 
-  /** Until when what is answered here may leave. */
-  public long until() {
-    return until;
+  /** The end of the delegation, after which no renewal may be sent. */
+  public long delegatedUntil() {
+    return delegatedUntil;
   }
 
-  private boolean mayAnswer(long nowMicros) {
-    return nowMicros < until
-        && nowMicros - contactAt >= OUT_OF_CONTACT_MICROS
-        && nowMicros - stateAt >= OUT_OF_CONTACT_MICROS;
+  private boolean mayRenew(long nowMicros) {
+    return nowMicros < delegatedUntil
+        && nowMicros - lastContactAt >= OUT_OF_CONTACT_MICROS
+        && nowMicros - lastStoreResponseAt >= OUT_OF_CONTACT_MICROS;
   }
 
-  /** True if the report is to be answered here, in the leader's stead. */
-  public boolean answers(Heartbeat report, long nowMicros) {
-    if (!report.zone().equals(zone) || report.token() > term) {
+  /** Renews the lease of the heartbeat's sender in place of the leader; false if it may not. */
+  public boolean tryRenew(Heartbeat heartbeat, long nowMicros) {
+    if (!heartbeat.zone().equals(zone) || heartbeat.token() > term) {
       return false;
     }
-    // A worker that followed this node until now has tried no other, and may well reach one. Noted
-    // also before this node may answer: sent on twice, it would be back after its lease.
-    boolean triedOthers = !led || !sentOn.add(report.machine());
-    if (!triedOthers || !mayAnswer(nowMicros)) {
+    // A worker that followed this node until now has tried no other, and may well reach one.
+    // Recorded also before this node may renew: redirected twice, it would be back after its lease
+    // expired.
+    boolean triedOthers = !wasLeader || !redirected.add(heartbeat.machine());
+    if (!triedOthers || !mayRenew(nowMicros)) {
       return false;
     }
-    become(Phase.ANSWERING, "out of contact");
-    answeredAt = nowMicros;
+    become(Phase.ACTIVE, "out of contact");
+    lastRenewalAt = nowMicros;
     return true;
   }
 
-  /** The answer: it renews the lease and orders nothing. */
-  public ObjectNode answer() {
+  /** The response to a heartbeat that was renewed: it carries no commands. */
+  public ObjectNode heartbeatResponse() {
     ObjectNode answer = Codec.map().put("warrant", term);
     answer.putArray("orders");
     return answer;
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -37,12 +37,9 @@
   private static final long MAX_CLAIM_DELAY_MICROS = 150_000;
 
   /** A node that gave up the lead lets others claim it first. A default of this project. */
-  private static final long RESIGNED_MICROS = 10_000_000;
+  private static final long RESIGN_COOLDOWN_MICROS = 10_000_000;
 
-  /** Where a node is asked for a grant. */
-  public static final String GRANT_PATH = "/peer/promise";
-
-  /** What the rest of the core wants to know. */
+  /** Notified when this node wins or loses the lead. */
   public interface Listener {
     /** This node leads under a new term. */
     void onElected(long nowMicros, long term);
@@ -65,9 +62,9 @@
   private long seenRevision;
   private long leaderRevision;
   private long claimNotBefore;
-  private boolean reading;
-  private boolean watching;
-  private long readAgainAt;
+  private boolean readInFlight;
+  private boolean watchInFlight;
+  private long nextReadAt;
   private long claimAt;
   private long lastContact = -1;
   private FollowerGrants followerGrants;
@@ -123,25 +120,27 @@
   }
 
   /** When authority ends, as far as it is known now. */
-  public long actsUntil() {
-    return authority.actsUntil();
+  public long authorityEndsAt() {
+    return authority.authorityEndsAt();
   }
 
-  /** Another node's leader asks this one to let no later term act for a while. */
-  public boolean grant(long forTerm, long nowMicros) {
+  /**
+   * Grants a term of another node that no later term acts here for a while, if that is possible.
+   */
+  public boolean grantTo(long forTerm, long nowMicros) {
     return followerGrants != null
         && phase != ElectionState.LEADING
         && followerGrants.grant(forTerm, nowMicros);
   }
 
-  /** When the state service last answered this node, or -1. */
+  /** When the key-value store last answered this node, or -1. */
   public long lastContact() {
     return lastContact;
   }
 
   private void become(ElectionState next, String why) {
     if (phase != next) {
-      LOG.info("election: {} -> {} ({})", phase, next, why);
+      LOG.info("election state changed: from={} to={} reason={}", phase, next, why);
       phase = next;
     }
   }
@@ -156,12 +155,12 @@
       case LEADING -> authority.tick(followerGrants, nowMicros);
       case WAITING -> {
         if (nowMicros >= claimAt) {
-          open(nowMicros);
+          openLease(nowMicros);
         }
       }
       case FOLLOWING -> {
-        if (!reading && !watching && nowMicros >= readAgainAt) {
-          read(nowMicros);
+        if (!readInFlight && !watchInFlight && nowMicros >= nextReadAt) {
+          readLeaderKey();
         }
       }
       default -> {
@@ -171,58 +170,60 @@
   }
 
   /** The leader key was found lost by a write: step down at once. */
-  public void lost(long nowMicros, String why) {
+  public void onKeyLost(long nowMicros, String why) {
     if (phase == ElectionState.LEADING) {
-      depose(nowMicros, why);
+      stepDown(nowMicros, why);
     }
   }
 
-  /** Gives the lead to another node, which may reach what this one does not. */
+  /** Gives up the lead so that another node takes it, which may reach what this one does not. */
   public void resign(long nowMicros, String why) {
     if (phase == ElectionState.LEADING) {
-      claimNotBefore = nowMicros + RESIGNED_MICROS;
-      depose(nowMicros, why);
+      claimNotBefore = nowMicros + RESIGN_COOLDOWN_MICROS;
+      stepDown(nowMicros, why);
     }
   }
 
-  /** True while it is about to turn out who leads, and it may be this node. */
-  public boolean deciding() {
+  /** True while it is not known who leads, and it may turn out to be this node. */
+  public boolean undecided() {
     return switch (phase) {
       case FOLLOWING -> lastContact < 0;
       case WAITING, OPENING, CLAIMING, VERIFYING -> true;
-      case LEADING -> !authority.begun();
+      case LEADING -> !authority.active();
     };
   }
 
   /**
-   * Hearsay about the leader; it helps to forward requests, never to act. A leader that acts no
-   * more and hears of a later term is over.
+   * Takes another node's word on who leads, which helps to forward requests, never to act. A leader
+   * without authority that learns of a later term steps down.
    */
-  public void hint(String name, long itsTerm, long nowMicros) {
-    if (name == null || name.equals(self) || itsTerm < leaderRevision) {
-      // Not of an earlier term: it would lead requests back to a leader that is over.
+  public void onLeaderHint(String name, long hintedTerm, long nowMicros) {
+    if (name == null || name.equals(self) || hintedTerm < leaderRevision) {
+      // A hint of an earlier term would send requests back to a leader that was deposed.
       return;
     }
-    if (phase == ElectionState.LEADING && itsTerm > authority.term() && !hasAuthority(nowMicros)) {
-      depose(nowMicros, "another node tells of term " + itsTerm);
+    if (phase == ElectionState.LEADING
+        && hintedTerm > authority.term()
+        && !hasAuthority(nowMicros)) {
+      stepDown(nowMicros, "another node knows of term " + hintedTerm);
     }
     if (phase != ElectionState.LEADING) {
       leader = name;
     }
   }
 
-  /** The latest term this node knows of; for telling others. */
+  /** The latest term this node knows of. */
   public long latestTerm() {
     return phase == ElectionState.LEADING ? authority.term() : leaderRevision;
   }
 
-  private void read(long nowMicros) {
-    reading = true;
-    state.get(Keys.LEADER, this::onRead);
+  private void readLeaderKey() {
+    readInFlight = true;
+    state.get(Keys.LEADER, this::onLeaderKeyRead);
   }
 
-  private void onRead(long nowMicros, ReadResult result) {
-    reading = false;
+  private void onLeaderKeyRead(long nowMicros, ReadResult result) {
+    readInFlight = false;
     if (!(result instanceof RequestFailure)) {
       lastContact = nowMicros;
     }
@@ -234,9 +235,9 @@
     } else if (result instanceof ReadResult.Absent absent) {
       onKeyAbsent(nowMicros, absent);
     } else if (phase == ElectionState.VERIFYING) {
-      retryRead(nowMicros, VERIFY_RETRY_MICROS);
+      readAgainAfter(nowMicros, VERIFY_RETRY_MICROS);
     } else {
-      retryRead(nowMicros, READ_RETRY_MICROS);
+      readAgainAfter(nowMicros, READ_RETRY_MICROS);
     }
   }
 
@@ -252,21 +253,21 @@
     leaderAbsent = false;
     seenRevision = entry.revision();
     leaderRevision = entry.revision();
-    followerGrants.over(entry.revision());
+    followerGrants.fenceTermsBelow(entry.revision());
     become(ElectionState.FOLLOWING, "led by " + name);
-    watch();
+    watchLeaderKey();
   }
 
   private void onOwnKey(long nowMicros, String holderBoot, long holderLeaseId, long revision) {
     if (!holderBoot.equals(boot)) {
       // Left by an earlier process of this node, which is gone for sure.
-      LOG.info("election: revoking the lease of an earlier process of this node");
-      drop(nowMicros, holderLeaseId);
+      LOG.info("revoking the lease of an earlier process of this node: lease={}", holderLeaseId);
+      revokeOldLease(holderLeaseId);
     } else if (phase == ElectionState.VERIFYING && claim.hasLease(holderLeaseId)) {
-      elected(nowMicros, revision);
+      becomeLeader(nowMicros, revision);
     } else {
       // A claim of ours that was applied late: give it up, nobody may rely on it.
-      drop(nowMicros, holderLeaseId);
+      revokeOldLease(holderLeaseId);
     }
   }
 
@@ -276,90 +277,90 @@
     leaderAbsent = true;
     seenRevision = absent.storeRevision();
     // Every term up to this revision has lost its key.
-    followerGrants.over(seenRevision + 1);
+    followerGrants.fenceTermsBelow(seenRevision + 1);
     if (nowMicros < claimNotBefore) {
       become(ElectionState.FOLLOWING, "another node is to lead");
-      readAgainAt = nowMicros + READ_RETRY_MICROS;
+      nextReadAt = nowMicros + READ_RETRY_MICROS;
       return;
     }
     claimAt = nowMicros + random.nextLong(MAX_CLAIM_DELAY_MICROS);
     become(ElectionState.WAITING, "no leader");
   }
 
-  private void retryRead(long nowMicros, long pause) {
+  private void readAgainAfter(long nowMicros, long pause) {
     if (phase == ElectionState.VERIFYING) {
       // Nothing was granted to anybody yet, so the claim can simply be given up.
       claim.abandon();
       become(ElectionState.FOLLOWING, "claim unclear");
     }
-    readAgainAt = nowMicros + pause;
+    nextReadAt = nowMicros + pause;
   }
 
-  private void drop(long nowMicros, long holderLeaseId) {
+  private void revokeOldLease(long holderLeaseId) {
     claim.forget(holderLeaseId);
     claim.abandon();
     become(ElectionState.FOLLOWING, "revoking an old lease");
-    reading = true;
+    readInFlight = true;
     state.revokeLease(
         holderLeaseId,
         (now, result) -> {
-          reading = false;
-          readAgainAt = now + (result instanceof RequestFailure ? READ_RETRY_MICROS : 0);
+          readInFlight = false;
+          nextReadAt = now + (result instanceof RequestFailure ? READ_RETRY_MICROS : 0);
         });
   }
 
-  private void watch() {
-    watching = true;
+  private void watchLeaderKey() {
+    watchInFlight = true;
     state.watch(
         Keys.LEADER,
         seenRevision,
         WATCH_MS,
         (now, result) -> {
-          watching = false;
+          watchInFlight = false;
           if (result instanceof WatchBatch) {
             lastContact = now;
           }
-          readAgainAt = now + (result instanceof RequestFailure ? READ_RETRY_MICROS : 0);
+          nextReadAt = now + (result instanceof RequestFailure ? READ_RETRY_MICROS : 0);
           if (phase == ElectionState.FOLLOWING
               && result instanceof WatchBatch batch
               && batch.events().isEmpty()) {
-            // Nothing changed; keep watching from here without reading the key again.
+            // Nothing changed; keep watching from here without readInFlight the key again.
             seenRevision = Math.max(seenRevision, batch.storeRevision());
-            watch();
+            watchLeaderKey();
           } else if (phase == ElectionState.FOLLOWING) {
             tick(now);
           }
         });
   }
 
-  private void open(long nowMicros) {
+  private void openLease(long nowMicros) {
     become(ElectionState.OPENING, "claiming");
     claim.openLease(
         nowMicros,
         (now, result) -> {
           if (result instanceof LeaseGrant) {
-            writeKey();
+            writeLeaderKey();
           } else {
             become(ElectionState.FOLLOWING, "no lease: " + result);
-            readAgainAt = now + READ_RETRY_MICROS;
+            nextReadAt = now + READ_RETRY_MICROS;
           }
         });
   }
 
-  private void writeKey() {
+  private void writeLeaderKey() {
     become(ElectionState.CLAIMING, "lease open");
     claim.writeKey(
         (now, result) -> {
           if (result instanceof TransactionResult.Committed committed) {
-            elected(now, committed.revision());
+            becomeLeader(now, committed.revision());
           } else {
-            become(ElectionState.VERIFYING, "claim answered " + result);
-            read(now);
+            become(ElectionState.VERIFYING, "claim not confirmed: " + result);
+            readLeaderKey();
           }
         });
   }
 
-  private void elected(long nowMicros, long term) {
+  private void becomeLeader(long nowMicros, long term) {
     authority.begin(term, claim.leaseId(), claim.leaseSentAt(), nowMicros);
     leaderAbsent = false;
     leader = self;
@@ -374,15 +375,15 @@
   }
 
   private void onLeaseEnded(long nowMicros) {
-    depose(nowMicros, "lease ended");
+    stepDown(nowMicros, "lease ended");
   }
 
-  private void depose(long nowMicros, String why) {
+  private void stepDown(long nowMicros, String why) {
     claim.abandon();
     authority.end();
     leader = null;
     become(ElectionState.FOLLOWING, why);
-    readAgainAt = nowMicros;
+    nextReadAt = nowMicros;
     listener.onDeposed(nowMicros, authority.term());
   }
 }
--- a/src/main/java/org/dewreach/leadership/FollowerGrants.java
+++ b/src/main/java/org/dewreach/leadership/FollowerGrants.java
@@ -3,7 +3,7 @@
 /**
  * What this node has granted to other terms, in memory only.
  *
- * <p>While the state service is down its leases do not end, but a leader that counts authority
+ * <p>While the key-value store is down its leases do not end, but a leader that counts authority
  * strictly would let every worker's lease run out. So a leader whose renewals fail may go on as
  * long as <em>every</em> node, itself included, has a grant running not to let a later term act. A
  * later leader acts only once its own node lets it. The later leader's node is one of those that
@@ -21,13 +21,14 @@
   /** The leader counts a grant from its asking, and as a little shorter, for clock drift. */
   static final long COUNTED_GRANT_MICROS = GRANT_MICROS - ClockDrift.within(GRANT_MICROS) - 20_000;
 
-  private static final long QUARANTINE_MICROS =
+  /** After a start, earlier grants of this node may still run. */
+  private static final long STARTUP_GRACE_MICROS =
       GRANT_MICROS + ClockDrift.within(GRANT_MICROS) + 20_000;
 
   private final long startedAt;
   private long grantedUntil = Long.MIN_VALUE;
   private long grantedTerm;
-  private long lowestLiving;
+  private long lowestLiveTerm;
 
   /**
    * Without any grant yet.
@@ -38,18 +39,20 @@
     this.startedAt = startedAt;
   }
 
-  private boolean quarantined(long nowMicros) {
-    return nowMicros < startedAt + QUARANTINE_MICROS;
+  private boolean inStartupGrace(long nowMicros) {
+    return nowMicros < startedAt + STARTUP_GRACE_MICROS;
   }
 
-  /** True while a grant runs: nothing may be told that its holder does not know. */
-  public boolean running(long nowMicros) {
+  /** True while a grant runs, so that no other term may act here. */
+  private boolean grantRuns(long nowMicros) {
     return nowMicros < grantedUntil;
   }
 
   /** Grants that no later term acts for a while, unless a later one is known of. */
   public boolean grant(long term, long nowMicros) {
-    if (quarantined(nowMicros) || term < lowestLiving || running(nowMicros) && grantedTerm > term) {
+    if (inStartupGrace(nowMicros)
+        || term < lowestLiveTerm
+        || grantRuns(nowMicros) && grantedTerm > term) {
       return false;
     }
     grantedTerm = term;
@@ -58,16 +61,16 @@
   }
 
   /** Lets a term of this node act, unless a grant to an earlier one may still run. */
-  public boolean letAct(long term, long nowMicros) {
-    if (quarantined(nowMicros) || running(nowMicros) && grantedTerm != term) {
+  public boolean admitTerm(long term, long nowMicros) {
+    if (inStartupGrace(nowMicros) || grantRuns(nowMicros) && grantedTerm != term) {
       return false;
     }
-    lowestLiving = Math.max(lowestLiving, term);
+    lowestLiveTerm = Math.max(lowestLiveTerm, term);
     return true;
   }
 
-  /** The state service shows that terms below the given one are over. */
-  public void over(long below) {
-    lowestLiving = Math.max(lowestLiving, below);
+  /** The key-value store shows that the terms below the given one have lost the leader key. */
+  public void fenceTermsBelow(long term) {
+    lowestLiveTerm = Math.max(lowestLiveTerm, term);
   }
 }
--- a/src/main/java/org/dewreach/leadership/LeaderAuthority.java
+++ b/src/main/java/org/dewreach/leadership/LeaderAuthority.java
@@ -1,18 +1,18 @@
 package org.dewreach.leadership;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongConsumer;
+import org.dewreach.peer.GrantRequest;
+import org.dewreach.peer.GrantResponse;
 import org.dewreach.port.ConnectionPool;
 import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.LeaseGrant;
 import org.dewreach.store.LeaseResult;
-import org.dewreach.wire.Codec;
 import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -21,10 +21,10 @@
  * Renews the lease of a term that this node leads, and counts until when the term may act.
  *
  * <p>Authority is counted from the sending of the last lease renewal that succeeded, less clock
- * drift: the state service ends a lease early for nobody, so the key cannot pass to another node
- * while authority lasts. When authority has run out but the lease turns out to have survived (an
- * outage of the state service gives leases their full time again), the same term goes on. While
- * renewals fail, every node's {@linkplain FollowerGrants grant} stands in for the lease.
+ * drift: the key-value store never ends a lease early, so the key cannot pass to another node while
+ * authority lasts. When authority has run out but the lease turns out to have survived (an outage
+ * of the key-value store gives leases their full time again), the same term goes on. While renewals
+ * fail, authority rests on {@linkplain FollowerGrants grants} of all nodes.
  */
 final class LeaderAuthority {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderAuthority.class);
@@ -52,11 +52,11 @@
   /** Whether this node's term may act. */
   private enum Phase {
     /** This node does not lead. */
-    OVER,
+    NOT_LEADING,
     /** Elected; a grant of this node to an earlier term may still run. */
-    PENDING,
+    AWAITING_OWN_GRANTS,
     /** The term acts while the lease or the grants last. */
-    BEGUN
+    ACTIVE
   }
 
   /** What authority rests on. */
@@ -77,22 +77,22 @@
   private final LongConsumer onLeaseEnded;
 
   private final Map<String, Long> grantedUntil = new HashMap<>();
-  private Phase phase = Phase.OVER;
+  private Phase phase = Phase.NOT_LEADING;
   private Basis basis = Basis.NONE;
   private long term;
   private long leaseId;
-  private long authorityUntil;
-  private boolean renewing;
-  private boolean failing;
-  private long renewAt;
-  private long askAt;
+  private long leaseAuthorityUntil;
+  private boolean renewalInFlight;
+  private boolean renewalsFail;
+  private long nextRenewalAt;
+  private long nextGrantRequestAt;
 
   /**
    * Without a term yet.
    *
    * @param others names of the other controllers
-   * @param onRenewed told the time at which the state service confirmed a renewal
-   * @param onLeaseEnded told the time at which the state service answered that the lease has ended
+   * @param onRenewed takes the time at which the key-value store confirmed a renewal
+   * @param onLeaseEnded takes the time at which the key-value store reported the lease expired
    */
   LeaderAuthority(
       KeyValueStore state,
@@ -117,18 +117,18 @@
   void begin(long newTerm, long newLeaseId, long leaseSentAt, long nowMicros) {
     term = newTerm;
     leaseId = newLeaseId;
-    failing = false;
+    renewalsFail = false;
     grantedUntil.clear();
-    authorityUntil = leaseSentAt + AUTHORITY_MICROS;
-    renewing = false;
-    renewAt = nowMicros;
-    become(Phase.PENDING);
+    leaseAuthorityUntil = leaseSentAt + AUTHORITY_MICROS;
+    renewalInFlight = false;
+    nextRenewalAt = nowMicros;
+    become(Phase.AWAITING_OWN_GRANTS);
   }
 
   /** This node leads no more. */
   void end() {
-    authorityUntil = 0;
-    become(Phase.OVER);
+    leaseAuthorityUntil = 0;
+    become(Phase.NOT_LEADING);
     basis = Basis.NONE;
   }
 
@@ -138,32 +138,32 @@
   }
 
   /** True once this node's own grants let the term act. */
-  boolean begun() {
-    return phase == Phase.BEGUN;
+  boolean active() {
+    return phase == Phase.ACTIVE;
   }
 
   /** Logs what authority rests on, whenever that changes. */
-  private void noteBasis(long nowMicros) {
+  private void logBasisChange(long nowMicros) {
     Basis now = Basis.NONE;
-    if (begun() && nowMicros < authorityUntil) {
+    if (active() && nowMicros < leaseAuthorityUntil) {
       now = Basis.LEASE;
     } else if (holds(nowMicros)) {
       now = Basis.GRANTS;
     }
     if (now != basis) {
-      LOG.info("term {}: authority {} -> {}", term, basis, now);
+      LOG.info("authority basis changed: term={} from={} to={}", term, basis, now);
       basis = now;
     }
   }
 
   /** True while no other term can act: by the lease, or by every node's grant. */
   boolean holds(long nowMicros) {
-    return begun() && nowMicros < actsUntil();
+    return active() && nowMicros < authorityEndsAt();
   }
 
   /** When authority ends, as far as it is known now. */
-  long actsUntil() {
-    return Math.max(authorityUntil, allGrantedUntil());
+  long authorityEndsAt() {
+    return Math.max(leaseAuthorityUntil, allGrantedUntil());
   }
 
   private long allGrantedUntil() {
@@ -175,23 +175,23 @@
 
   /** Called when time has passed, while this node leads. */
   void tick(FollowerGrants ownGrants, long nowMicros) {
-    if (phase == Phase.PENDING && ownGrants.letAct(term, nowMicros)) {
-      become(Phase.BEGUN);
+    if (phase == Phase.AWAITING_OWN_GRANTS && ownGrants.admitTerm(term, nowMicros)) {
+      become(Phase.ACTIVE);
     }
-    noteBasis(nowMicros);
+    logBasisChange(nowMicros);
     requestGrants(ownGrants, nowMicros);
-    if (!renewing && nowMicros >= renewAt) {
+    if (!renewalInFlight && nowMicros >= nextRenewalAt) {
       renew(nowMicros);
     }
   }
 
   private void requestGrants(FollowerGrants ownGrants, long nowMicros) {
-    if (nowMicros < askAt
+    if (nowMicros < nextGrantRequestAt
         || !holds(nowMicros)
-        || authorityUntil - nowMicros > LOW_AUTHORITY_MICROS) {
+        || leaseAuthorityUntil - nowMicros > LOW_AUTHORITY_MICROS) {
       return;
     }
-    askAt = nowMicros + REQUEST_INTERVAL_MICROS;
+    nextGrantRequestAt = nowMicros + REQUEST_INTERVAL_MICROS;
     if (ownGrants.grant(term, nowMicros)) {
       grantedUntil.put(self, nowMicros + FollowerGrants.COUNTED_GRANT_MICROS);
     }
@@ -200,32 +200,29 @@
     }
   }
 
-  private void requestGrant(String other, long askedAt) {
+  private void requestGrant(String other, long sentAt) {
     long forTerm = term;
     outbox.call(
         new Target.Member(other),
         ConnectionPool.LEADERSHIP,
         "POST",
-        Election.GRANT_PATH,
-        Codec.map().put("term", forTerm),
+        GrantRequest.PATH,
+        new GrantRequest(forTerm).toNode(),
         REQUEST_TIMEOUT_MICROS,
         (now, status, body) -> {
-          if (leads(forTerm) && given(status, body)) {
-            grantedUntil.merge(other, askedAt + FollowerGrants.COUNTED_GRANT_MICROS, Math::max);
+          boolean granted = status == HttpStatus.OK && GrantResponse.parse(body).granted();
+          if (granted && leads(forTerm)) {
+            grantedUntil.merge(other, sentAt + FollowerGrants.COUNTED_GRANT_MICROS, Math::max);
           }
         });
   }
 
-  private static boolean given(int status, JsonNode body) {
-    return status == HttpStatus.OK && body != null && body.path("given").asBoolean(false);
-  }
-
-  private boolean leads(long itsTerm) {
-    return phase != Phase.OVER && term == itsTerm;
+  private boolean leads(long otherTerm) {
+    return phase != Phase.NOT_LEADING && term == otherTerm;
   }
 
   private void renew(long nowMicros) {
-    renewing = true;
+    renewalInFlight = true;
     long forTerm = term;
     state.renewLease(
         leaseId,
@@ -238,23 +235,23 @@
   }
 
   private void onRenewalReply(long sentAt, long nowMicros, LeaseResult result) {
-    renewing = false;
+    renewalInFlight = false;
     if (result instanceof LeaseGrant) {
       onRenewed.accept(nowMicros);
-      if (failing) {
-        LOG.info("election: extensions succeed again");
+      if (renewalsFail) {
+        LOG.info("lease renewals succeed again: term={}", term);
       }
-      failing = false;
-      authorityUntil = Math.max(authorityUntil, sentAt + AUTHORITY_MICROS);
-      renewAt = sentAt + RENEW_INTERVAL_MICROS;
+      renewalsFail = false;
+      leaseAuthorityUntil = Math.max(leaseAuthorityUntil, sentAt + AUTHORITY_MICROS);
+      nextRenewalAt = sentAt + RENEW_INTERVAL_MICROS;
     } else if (result instanceof LeaseResult.Expired) {
       onLeaseEnded.accept(nowMicros);
     } else {
-      if (!failing) {
-        LOG.info("election: renewals fail ({}); asking for grants soon", result);
+      if (!renewalsFail) {
+        LOG.info("lease renewals fail: term={} result={}", term, result);
       }
-      failing = true;
-      renewAt = nowMicros + RENEW_RETRY_MICROS;
+      renewalsFail = true;
+      nextRenewalAt = nowMicros + RENEW_RETRY_MICROS;
     }
   }
 }
--- a/src/main/java/org/dewreach/leadership/LeaseDelegations.java
+++ b/src/main/java/org/dewreach/leadership/LeaseDelegations.java
@@ -1,32 +1,31 @@
 package org.dewreach.leadership;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.LongSupplier;
 import org.dewreach.config.Settings;
-import org.dewreach.wire.Codec;
+import org.dewreach.peer.DelegationRequest;
+import org.dewreach.peer.DelegationResponse;
 
 /**
- * The leader's side of {@link DelegateRenewer}: until when other nodes may have answered a zone's
- * workers.
+ * The leader's side of {@link DelegateRenewer}: until when other nodes may have renewed leases of a
+ * zone's workers.
  *
- * <p>What a delegate answers renews leases, so a lease counts as over only if it would be had every
- * node of the machine's zone answered for as long as it may. A node may from {@link
- * DelegateRenewer#OUT_OF_CONTACT_MICROS} after it was last answered by a leader until the end of
- * what that answer delegated. Each asking names the time of the last answer that arrived, so it
- * proves that the node was in contact then, and it tells when the node last renewed leases as a
+ * <p>A delegate renews leases, so a lease counts as expired only if it would be had every node of
+ * the machine's zone renewed it for as long as it may. A node may from {@link
+ * DelegateRenewer#OUT_OF_CONTACT_MICROS} after its last response from a leader until the end of
+ * what that response delegated. Each request repeats the mark of the last response that arrived,
+ * which proves that the node was in contact then, and says when it last renewed leases as a
  * delegate. Of a node that a new leader has not heard, it assumes the most that an earlier leader
  * can have delegated until the new one could act.
  */
 public final class LeaseDelegations {
-  /** What is known of a node. */
+  /** What is known of another controller. */
   private static final class Node {
     final String zone;
     boolean heard;
     long inContactAt;
-    long answeredAt = Long.MIN_VALUE;
+    long renewedAt = Long.MIN_VALUE;
     long delegatedUntil = Long.MIN_VALUE;
 
     Node(String zone) {
@@ -45,13 +44,13 @@
   private final String ownZone;
   private final LongSupplier ownRenewalAt;
   private long authorityFrom = -1;
-  private long ownUntil = Long.MIN_VALUE;
+  private long ownDelegationUntil = Long.MIN_VALUE;
 
   /**
    * The delegations of a term.
    *
    * @param ownRenewalAt when this node last renewed leases as a delegate itself: guards against a
-   *     term that goes on after an outage and counts leases without what it answered in between
+   *     term that goes on after an outage and counts leases without what it renewed in between
    */
   public LeaseDelegations(long term, Settings settings, LongSupplier ownRenewalAt) {
     this.ownRenewalAt = ownRenewalAt;
@@ -70,68 +69,81 @@
     }
   }
 
-  /** The zone of a node, or null. */
-  public String zone(String name) {
+  /** The zone of a controller, or null if none has the name. */
+  public String zoneOf(String name) {
     Node node = nodes.get(name);
     return node == null ? null : node.zone;
   }
 
   /**
-   * Answers a node that asks.
+   * Answers a node that requests a delegation.
    *
-   * @param delegatedMicros how long it may answer for from now on
+   * @param delegatedMicros for how long from now on it may renew leases
    */
-  public ObjectNode onRequest(JsonNode request, long delegatedMicros, long nowMicros) {
-    Node node = nodes.get(request.path("node").asText());
+  public DelegationResponse onRequest(
+      DelegationRequest request, long delegatedMicros, long nowMicros) {
+    Node node = nodes.get(request.node());
     if (node == null) {
-      return Codec.map().put("term", 0);
+      return DelegationResponse.REFUSED;
     }
-    long echo = request.path("echo").asLong(-1);
-    if (echo >= authorityFrom && echo <= nowMicros && authorityFrom >= 0) {
+    if (provesContact(request, nowMicros)) {
       node.heard = true;
-      node.inContactAt = Math.max(node.inContactAt, echo);
-      long ago = request.path("answered_ago").asLong(-1);
-      // One that has not since its start may have before: an earlier process of it.
-      long since = ago < 0 ? request.path("up").asLong(0) : ago;
-      node.answeredAt = Math.max(node.answeredAt, nowMicros - since + ClockDrift.within(since));
+      node.inContactAt = Math.max(node.inContactAt, request.lastResponseMark());
+      node.renewedAt = Math.max(node.renewedAt, latestRenewalAt(request, nowMicros));
     }
     node.delegatedUntil = Math.max(node.delegatedUntil, nowMicros + delegatedMicros);
-    return Codec.map().put("term", term).put("lent", delegatedMicros).put("at", nowMicros);
+    return new DelegationResponse(term, delegatedMicros, nowMicros);
   }
 
-  /** This node itself may answer its workers until then, should it lose its authority. */
-  public void delegatedToSelf(long untilMicros) {
-    ownUntil = Math.max(ownUntil, untilMicros);
+  /** True if the request repeats the mark of a response of this term. */
+  private boolean provesContact(DelegationRequest request, long nowMicros) {
+    long mark = request.lastResponseMark();
+    return authorityFrom >= 0 && mark >= authorityFrom && mark <= nowMicros;
   }
 
-  /** The latest time at which any node may yet answer workers of the zone without the leader. */
+  /** The latest time at which the node can have renewed a lease as a delegate. */
+  private static long latestRenewalAt(DelegationRequest request, long nowMicros) {
+    long since = request.sinceRenewalMicros();
+    if (since < 0) {
+      // It has not since its start; an earlier process of it may have.
+      since = request.uptimeMicros();
+    }
+    return nowMicros - since + ClockDrift.within(since);
+  }
+
+  /** This node itself may renew its workers' leases until then, should it lose its authority. */
+  public void delegateToSelf(long untilMicros) {
+    ownDelegationUntil = Math.max(ownDelegationUntil, untilMicros);
+  }
+
+  /** The latest time at which any node may yet renew leases of the zone without the leader. */
   public long delegatedUntil(String zone) {
-    long latest = zone.equals(ownZone) ? ownUntil : Long.MIN_VALUE;
+    long latest = zone.equals(ownZone) ? ownDelegationUntil : Long.MIN_VALUE;
     for (Node node : nodes.values()) {
       if (node.zone.equals(zone)) {
-        latest = Math.max(latest, node.heard ? node.delegatedUntil : delegatedToUnheard(node));
+        latest = Math.max(latest, node.heard ? node.delegatedUntil : delegationAssumedFor(node));
       }
     }
     return latest;
   }
 
-  private long delegatedToUnheard(Node node) {
+  private long delegationAssumedFor(Node node) {
     return Math.max(authorityFrom + maxDelegatedMicros, node.delegatedUntil);
   }
 
-  /** The latest time at which a delegate may have answered workers of the zone. */
-  public long answeredUntil(String zone, long nowMicros) {
+  /** The latest time at which a delegate may have renewed leases of the zone. */
+  public long renewedUntil(String zone, long nowMicros) {
     long latest = zone.equals(ownZone) ? ownRenewalAt.getAsLong() : Long.MIN_VALUE;
     for (Node node : nodes.values()) {
       if (!node.zone.equals(zone)) {
         continue;
       }
       if (!node.heard) {
-        latest = Math.max(latest, delegatedToUnheard(node));
+        latest = Math.max(latest, delegationAssumedFor(node));
       } else if (nowMicros <= node.inContactAt + OUT_OF_CONTACT_MICROS) {
-        latest = Math.max(latest, node.answeredAt);
+        latest = Math.max(latest, node.renewedAt);
       } else {
-        latest = Math.max(latest, Math.max(node.answeredAt, node.delegatedUntil));
+        latest = Math.max(latest, Math.max(node.renewedAt, node.delegatedUntil));
       }
     }
     return latest;
--- a/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
+++ b/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
@@ -127,7 +127,7 @@
       return false;
     }
     long from = Math.max(startedAt, machine.lastLeaseRenewal());
-    from = Math.max(from, delegations.answeredUntil(machine.zone(), nowMicros));
+    from = Math.max(from, delegations.renewedUntil(machine.zone(), nowMicros));
     long lease = settings.workers().leaseMicros();
     return nowMicros > from + lease + lease / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MICROS;
   }
--- a/src/main/java/org/dewreach/request/LeaderDiscovery.java
+++ b/src/main/java/org/dewreach/request/LeaderDiscovery.java
@@ -72,8 +72,8 @@
   private void onReply(long at, int status, JsonNode body) {
     if (status == 200 && body != null && body.path("leader").isTextual()) {
       long term = body.path("term").asLong(0);
-      election.hint(body.path("leader").textValue(), term, at);
-      delegateRenewer.over(term);
+      election.onLeaderHint(body.path("leader").textValue(), term, at);
+      delegateRenewer.onTermKnown(term);
     }
   }
 }
--- a/src/test/java/org/dewreach/ArchitectureTest.java
+++ b/src/test/java/org/dewreach/ArchitectureTest.java
@@ -88,7 +88,7 @@
               "wire"),
           entry("heartbeat", "membership", "model", "port", "state", "wire"),
           entry("history", "store", "wire"),
-          entry("leadership", "config", "port", "store", "wire"),
+          entry("leadership", "config", "peer", "port", "store", "wire"),
           entry(
               "membership",
               "autoscaling",
--- a/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
+++ b/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
@@ -7,6 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import org.dewreach.config.Settings;
+import org.dewreach.peer.DelegationRequest;
+import org.dewreach.peer.DelegationResponse;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
 import org.dewreach.port.Outbox;
@@ -16,7 +18,7 @@
 import org.dewreach.wire.MalformedException;
 import org.junit.jupiter.api.Test;
 
-/** When a node answers workers in place of the leader. */
+/** When a node renews worker leases in place of the leader. */
 class DelegateRenewerTest {
   private static final long S = 1_000_000;
   private final Outbox outbox = new Outbox();
@@ -43,7 +45,7 @@
         null);
   }
 
-  private static Heartbeat report(String machine, String zone) throws MalformedException {
+  private static Heartbeat heartbeat(String machine, String zone) throws MalformedException {
     var body = Codec.map().put("host", machine).put("address", "x").put("build", "box");
     body.put("site", zone).put("loaners", false).put("tenure", 1).put("tally", 1).put("warrant", 7);
     body.putArray("pieces");
@@ -51,53 +53,55 @@
   }
 
   /** Asks the leader at the time given, and has its answer, if any, at once. */
-  private void ask(long atMicros, boolean answered) {
+  private void requestDelegation(long atMicros, boolean answered) {
     delegateRenewer.tick("n0", atMicros);
     for (Effect effect : outbox.drain()) {
-      if (effect instanceof Effect.Call call && call.path().equals(DelegateRenewer.PATH)) {
-        var answer = Codec.map().put("term", 7).put("lent", 30 * S).put("at", atMicros);
+      if (effect instanceof Effect.Call call && call.path().equals(DelegationRequest.PATH)) {
+        var answer = new DelegationResponse(7, 30 * S, atMicros).toNode();
         outbox.reply(atMicros, new Event.Reply(call.callId(), answered ? 200 : 0, answer));
       }
     }
   }
 
   @Test
-  void answersOnlyItsOwnZoneAndOnlyForAsLongAsWasDelegated() throws MalformedException {
-    ask(100 * S, true);
-    assertFalse(delegateRenewer.answers(report("m1", "b"), 102 * S), "in contact a moment ago");
-    assertFalse(delegateRenewer.answers(report("m1", "a"), 104 * S), "another zone");
-    assertTrue(delegateRenewer.answers(report("m1", "b"), 104 * S));
-    assertEquals(7, delegateRenewer.answer().path("warrant").asLong());
-    assertTrue(delegateRenewer.answers(report("m1", "b"), 129 * S));
+  void renewsLeasesOfItsOwnZoneOnlyAndOnlyWhileDelegated() throws MalformedException {
+    requestDelegation(100 * S, true);
+    assertFalse(delegateRenewer.tryRenew(heartbeat("m1", "b"), 102 * S), "in contact a moment ago");
+    assertFalse(delegateRenewer.tryRenew(heartbeat("m1", "a"), 104 * S), "another zone");
+    assertTrue(delegateRenewer.tryRenew(heartbeat("m1", "b"), 104 * S));
+    assertEquals(7, delegateRenewer.heartbeatResponse().path("warrant").asLong());
+    assertTrue(delegateRenewer.tryRenew(heartbeat("m1", "b"), 129 * S));
     assertFalse(
-        delegateRenewer.answers(report("m1", "b"), 130 * S), "counted from the asking, less drift");
+        delegateRenewer.tryRenew(heartbeat("m1", "b"), 130 * S),
+        "counted from the asking, less drift");
   }
 
   @Test
-  void aLaterTermEndsIt() throws MalformedException {
-    ask(100 * S, true);
-    delegateRenewer.over(8);
-    assertFalse(delegateRenewer.answers(report("m1", "b"), 104 * S));
+  void aLaterTermEndsTheDelegation() throws MalformedException {
+    requestDelegation(100 * S, true);
+    delegateRenewer.onTermKnown(8);
+    assertFalse(delegateRenewer.tryRenew(heartbeat("m1", "b"), 104 * S));
   }
 
   @Test
-  void whoReachesTheStateServiceIsNotCutOff() throws MalformedException {
-    ask(100 * S, true);
+  void aNodeThatReachesTheKeyValueStoreRenewsNoLease() throws MalformedException {
+    requestDelegation(100 * S, true);
     delegateRenewer.tick("n0", 102 * S);
     for (Effect effect : outbox.drain()) {
       if (effect instanceof Effect.Call call && call.path().startsWith("/keys/")) {
         outbox.reply(102 * S, new Event.Reply(call.callId(), 404, null));
       }
     }
-    assertFalse(delegateRenewer.answers(report("m1", "b"), 104 * S));
+    assertFalse(delegateRenewer.tryRenew(heartbeat("m1", "b"), 104 * S));
   }
 
   /** Guards against workers that are sent round twice, and so come back after their lease. */
   @Test
-  void aWorkerThatFollowedItIsSentOnOnce() throws MalformedException {
-    delegateRenewer.leading(7, 30 * S, 100 * S);
-    assertFalse(delegateRenewer.answers(report("m1", "b"), 101 * S), "sent on, and noted");
-    assertTrue(delegateRenewer.answers(report("m1", "b"), 112 * S), "back from the others");
-    assertFalse(delegateRenewer.answers(report("m2", "b"), 112 * S), "has tried no other yet");
+  void aWorkerThatFollowedTheFormerLeaderIsRedirectedOnce() throws MalformedException {
+    delegateRenewer.onLeading(7, 30 * S, 100 * S);
+    assertFalse(
+        delegateRenewer.tryRenew(heartbeat("m1", "b"), 101 * S), "redirected, and recorded");
+    assertTrue(delegateRenewer.tryRenew(heartbeat("m1", "b"), 112 * S), "back from the others");
+    assertFalse(delegateRenewer.tryRenew(heartbeat("m2", "b"), 112 * S), "has tried no other yet");
   }
 }
--- a/src/test/java/org/dewreach/leadership/ElectionTest.java
+++ b/src/test/java/org/dewreach/leadership/ElectionTest.java
@@ -32,18 +32,18 @@
             public void onDeposed(long nowMicros, long term) {}
           });
 
-  /** Guards against requests that go back to a leader that is over, on another node's old word. */
+  /** Guards against requests that go back to a deposed leader on another node's outdated hint. */
   @Test
-  void hearsayOfAnEarlierTermIsNotTaken() {
+  void aHintOfAnEarlierTermIsIgnored() {
     election.tick(S);
     Effect.Call read = (Effect.Call) outbox.drain().get(0);
     var key = Codec.map().put("stamp", 40).put("hold", 3);
     key.putObject("data").put("name", "n1").put("boot", "other");
     outbox.reply(2 * S, new Event.Reply(read.callId(), 200, key));
     assertEquals("n1", election.leader());
-    election.hint("n2", 39, 3 * S);
+    election.onLeaderHint("n2", 39, 3 * S);
     assertEquals("n1", election.leader());
-    election.hint("n2", 41, 4 * S);
+    election.onLeaderHint("n2", 41, 4 * S);
     assertEquals("n2", election.leader());
   }
 }
--- a/src/test/java/org/dewreach/leadership/FollowerGrantsTest.java
+++ b/src/test/java/org/dewreach/leadership/FollowerGrantsTest.java
@@ -14,8 +14,8 @@
   void aRunningGrantKeepsLaterTermsFromActing() {
     FollowerGrants followerGrants = new FollowerGrants(0);
     assertTrue(followerGrants.grant(5, 10 * S));
-    assertFalse(followerGrants.letAct(9, 10 * S + 1));
-    assertTrue(followerGrants.letAct(9, 10 * S + FollowerGrants.GRANT_MICROS));
+    assertFalse(followerGrants.admitTerm(9, 10 * S + 1));
+    assertTrue(followerGrants.admitTerm(9, 10 * S + FollowerGrants.GRANT_MICROS));
     assertFalse(followerGrants.grant(5, 20 * S), "a later term acts");
   }
 
@@ -23,14 +23,14 @@
   void aRestartedNodeWaitsUntilItsForgottenGrantsAreOver() {
     FollowerGrants followerGrants = new FollowerGrants(10 * S);
     assertFalse(followerGrants.grant(5, 10 * S + FollowerGrants.GRANT_MICROS));
-    assertFalse(followerGrants.letAct(9, 10 * S + FollowerGrants.GRANT_MICROS));
-    assertTrue(followerGrants.letAct(9, 12 * S));
+    assertFalse(followerGrants.admitTerm(9, 10 * S + FollowerGrants.GRANT_MICROS));
+    assertTrue(followerGrants.admitTerm(9, 12 * S));
   }
 
   @Test
   void aTermWhoseKeyIsGoneGetsNoGrant() {
     FollowerGrants followerGrants = new FollowerGrants(0);
-    followerGrants.over(8);
+    followerGrants.fenceTermsBelow(8);
     assertFalse(followerGrants.grant(7, 10 * S));
     assertTrue(followerGrants.grant(8, 10 * S));
   }
@@ -55,7 +55,7 @@
             nodes[node] = new FollowerGrants(now);
             laterActs &= node != 1;
           }
-          case 1 -> laterActs |= nodes[1].letAct(20, now);
+          case 1 -> laterActs |= nodes[1].admitTerm(20, now);
           default -> {
             // The earlier leader asks only while it acts, or at first.
             if ((now < 2 * S || earlierActs) && nodes[node].grant(10, now)) {
--- a/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
+++ b/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
@@ -3,11 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.Map;
 import org.dewreach.config.Settings;
-import org.dewreach.wire.Codec;
+import org.dewreach.peer.DelegationRequest;
 import org.junit.jupiter.api.Test;
 
 /** Until when a leader reckons with what delegates may have answered. */
@@ -37,41 +36,37 @@
         null);
   }
 
-  private static ObjectNode request(long echo, long answeredAgo, long up) {
-    return Codec.map()
-        .put("node", "n2")
-        .put("echo", echo)
-        .put("answered_ago", answeredAgo)
-        .put("up", up);
+  private static DelegationRequest request(long mark, long sinceRenewal, long uptime) {
+    return new DelegationRequest("n2", uptime, sinceRenewal, mark);
   }
 
   @Test
-  void aNodeThatWasNotHeardMayAnswerForAsLongAsAnEarlierLeaderCanHaveDelegated() {
+  void aNodeNotHeardOfMayRenewForAsLongAsAnEarlierLeaderCanHaveDelegated() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
-    assertEquals(100 * S + WORKERS.maxDelegationMicros(), delegations.answeredUntil("b", 105 * S));
-    assertEquals(Long.MIN_VALUE, delegations.answeredUntil("a", 105 * S), "no other node is there");
+    assertEquals(100 * S + WORKERS.maxDelegationMicros(), delegations.renewedUntil("b", 105 * S));
+    assertEquals(Long.MIN_VALUE, delegations.renewedUntil("a", 105 * S), "no other node is there");
   }
 
   @Test
-  void aNodeInContactAnswersNobody() {
+  void aNodeInContactRenewsNoLease() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
-    long at = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).path("at").asLong();
-    delegations.onRequest(request(at, -1, 91 * S), 18 * S, 102 * S);
-    assertTrue(delegations.answeredUntil("b", 103 * S) < 100 * S, "it never stood in");
-    assertEquals(120 * S, delegations.answeredUntil("b", 110 * S), "out of contact since");
+    long mark = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).mark();
+    delegations.onRequest(request(mark, -1, 91 * S), 18 * S, 102 * S);
+    assertTrue(delegations.renewedUntil("b", 103 * S) < 100 * S, "it never renewed a lease");
+    assertEquals(120 * S, delegations.renewedUntil("b", 110 * S), "out of contact since");
   }
 
-  /** Guards against an asking that a cut held back: it says nothing of the time since. */
+  /** Guards against a request that a partition held back: it says nothing of the time since. */
   @Test
-  void anAskingThatWasHeldUpProvesNothing() {
+  void aDelayedRequestProvesNoContact() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
-    long at = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).path("at").asLong();
-    delegations.onRequest(request(at, -1, 91 * S), 18 * S, 102 * S);
-    delegations.onRequest(request(at, -1, 91 * S), 18 * S, 130 * S);
-    assertEquals(148 * S, delegations.answeredUntil("b", 131 * S));
+    long mark = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).mark();
+    delegations.onRequest(request(mark, -1, 91 * S), 18 * S, 102 * S);
+    delegations.onRequest(request(mark, -1, 91 * S), 18 * S, 130 * S);
+    assertEquals(148 * S, delegations.renewedUntil("b", 131 * S));
   }
 
   /**
@@ -79,12 +74,12 @@
    * delegate.
    */
   @Test
-  void aRestartedNodeMayHaveAnsweredBefore() {
+  void aRestartedNodeMayHaveRenewedBefore() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
-    long at = delegations.onRequest(request(-1, -1, S), 0, 110 * S).path("at").asLong();
-    delegations.onRequest(request(at, -1, 2 * S), 0, 111 * S);
-    long until = delegations.answeredUntil("b", 112 * S);
+    long mark = delegations.onRequest(request(-1, -1, S), 0, 110 * S).mark();
+    delegations.onRequest(request(mark, -1, 2 * S), 0, 111 * S);
+    long until = delegations.renewedUntil("b", 112 * S);
     assertTrue(until >= 109 * S && until < 110 * S, "until its start: " + until);
   }
 }
