--- a/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
@@ -24,7 +24,7 @@
   private final ClusterState clusterState;
   private final MachineRegistry registry;
   private final CloudClient cloud;
-  private final Set<String> goneNames = new LinkedHashSet<>();
+  private final Set<String> releasedNames = new LinkedHashSet<>();
   private boolean inFlight;
   private long nextTryAt;
   private boolean closed;
@@ -41,14 +41,14 @@
   }
 
   /** Marks a machine to be returned with the next call. */
-  public void giveUp(Machine machine, String why, long nowMicros) {
+  public void markForRelease(Machine machine, String why, long nowMicros) {
     LOG.info("machine {} is to be returned: {}", machine.name(), why);
     machine.become(MachinePhase.TERMINATING, nowMicros);
     clusterState.requestPlacement();
   }
 
   /** Returns the machines that are marked, unless a call is in flight. */
-  public void returnMarked(long nowMicros) {
+  public void releaseMarked(long nowMicros) {
     if (inFlight || nowMicros < nextTryAt || !cloud.mayCall(nowMicros)) {
       return;
     }
@@ -57,7 +57,7 @@
       return;
     }
     inFlight = true;
-    cloud.giveBack(
+    cloud.release(
         nowMicros, names, (answeredAt, status, body) -> onAnswer(names, status, answeredAt));
   }
 
@@ -91,14 +91,14 @@
   private void forget(Machine machine, String why, long nowMicros) {
     clusterState.gone(machine, why, nowMicros);
     registry.forget(machine, nowMicros);
-    goneNames.add(machine.name());
-    if (goneNames.size() > MAX_REMEMBERED_NAMES) {
-      goneNames.remove(goneNames.iterator().next());
+    releasedNames.add(machine.name());
+    if (releasedNames.size() > MAX_REMEMBERED_NAMES) {
+      releasedNames.remove(releasedNames.iterator().next());
     }
   }
 
   /** A machine that was returned may still be listed, or heard of, for a while. */
-  public boolean isGone(String name) {
-    return goneNames.contains(name);
+  public boolean isReleased(String name) {
+    return releasedNames.contains(name);
   }
 }
--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -59,7 +59,7 @@
   }
 
   /** Typical time until a machine rented now is of use. */
-  public long bootMicros() {
+  public long typicalBootMicros() {
     long longest = 0;
     for (MachineType type : catalog.types()) {
       longest = Math.max(longest, type.bootMicros());
@@ -71,21 +71,21 @@
    * Lets a few machines at a time run empty when the others have had room enough for their tasks
    * for a while. The dearest goes first, among equals the last of the list, which fills last.
    */
-  public void retire(long nowMicros, List<TaskPlacer.Waiting> waiting) {
+  public void cordonSpareMachines(long nowMicros, List<TaskPlacer.Waiting> waiting) {
     if (!waiting.isEmpty()) {
       spareCapacitySince = nowMicros;
       uncordonAll();
       return;
     }
     if (nowMicros - spareCapacitySince <= SPARE_CAPACITY_PERIOD_MICROS) {
-      if (spareMachine(nowMicros) == null) {
+      if (mostExpensiveSpareMachine(nowMicros) == null) {
         spareCapacitySince = nowMicros;
       }
       return;
     }
     int most = Math.max(MAX_RETIRED, clusterState.machines().size() / RETIRED_DIVISOR);
     for (int i = 0; i < most; i++) {
-      Machine spare = spareMachine(nowMicros);
+      Machine spare = mostExpensiveSpareMachine(nowMicros);
       if (spare == null) {
         break;
       }
@@ -107,10 +107,10 @@
   }
 
   /** The dearest machine, among equals the last of the list, whose work has room elsewhere. */
-  private Machine spareMachine(long nowMicros) {
+  private Machine mostExpensiveSpareMachine(long nowMicros) {
     double ordinary = clusterState.freeCpus(false);
     double spot = clusterState.freeCpus(true);
-    double headroom = clusterState.services().headroomCpus(bootMicros(), nowMicros);
+    double headroom = clusterState.services().headroomCpus(typicalBootMicros(), nowMicros);
     Machine best = null;
     for (Machine machine : clusterState.list().machines()) {
       if (!machine.schedulable() || nowMicros - machine.knownSince() < tuning.leastPaidMicros()) {
@@ -147,14 +147,14 @@
   }
 
   /** Returns the machines that have been idle for longer than they are kept. */
-  public void returnIdle(long nowMicros) {
+  public void releaseIdleMachines(long nowMicros) {
     for (Machine machine : clusterState.machines().values()) {
       long kept = machine.cordoned() ? 0 : tuning.idleKeptMicros();
       if (machine.phase() == MachinePhase.UP
           && machine.tasks().isEmpty()
           && nowMicros - machine.idleSince() > kept
           && nowMicros - machine.knownSince() > tuning.leastPaidMicros()) {
-        scaleIn.giveUp(machine, "idle", nowMicros);
+        scaleIn.markForRelease(machine, "idle", nowMicros);
       }
     }
   }
--- a/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
@@ -77,7 +77,7 @@
   }
 
   /** Repeats requests that are due, then rents for what waits. Called once a round. */
-  public void rent(long nowMicros, List<TaskPlacer.Waiting> waiting) {
+  public void scaleOut(long nowMicros, List<TaskPlacer.Waiting> waiting) {
     retry(nowMicros);
     if (catalog.types().isEmpty() || rentalRequests.size() >= MAX_RENTAL_REQUESTS) {
       return;
@@ -186,7 +186,7 @@
   }
 
   private void addRented(String name, Kind kind, long nowMicros) {
-    if (!clusterState.machines().containsKey(name) && !scaleIn.isGone(name)) {
+    if (!clusterState.machines().containsKey(name) && !scaleIn.isReleased(name)) {
       Machine machine =
           new Machine(
               name, "", kind.type(), kind.zone(), kind.spot(), MachinePhase.BOOTING, nowMicros);
--- a/src/main/java/org/dewreach/cloud/CloudClient.java
+++ b/src/main/java/org/dewreach/cloud/CloudClient.java
@@ -63,7 +63,7 @@
   }
 
   /** Returns machines. */
-  public void giveBack(long nowMicros, List<String> machines, Outbox.ReplyHandler handler) {
+  public void release(long nowMicros, List<String> machines, Outbox.ReplyHandler handler) {
     budget.take(nowMicros, 1);
     ObjectNode body = Codec.map();
     ArrayNode hosts = body.putArray("hosts");
--- a/src/main/java/org/dewreach/controller/CancellationGate.java
+++ b/src/main/java/org/dewreach/controller/CancellationGate.java
@@ -51,7 +51,7 @@
   }
 
   private boolean mayRunIn(Job job, String zone) {
-    return job.boundInZone(zone) > 0 || !recovery.allSeen(job);
+    return job.boundInZone(zone) > 0 || !recovery.allTasksKnown(job);
   }
 
   /**
@@ -63,7 +63,7 @@
    */
   @Override
   public boolean goneInTime(Job job, long nowMicros) {
-    if (!recovery.allSeen(job) || job.mayStartLater()) {
+    if (!recovery.allTasksKnown(job) || job.mayStartLater()) {
       return false;
     }
     long latest = nowMicros + Math.max(0, settings.workers().cancellationBoundMicros());
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -249,7 +249,7 @@
     placement.tick(phase == Phase.ACTIVE, nowMicros);
     boolean everyTaskKnown = phase == Phase.ACTIVE || clusterState.machines().isEmpty();
     fleet.tick(nowMicros, placement.waiting(), everyTaskKnown);
-    if (fleet.cutOff()) {
+    if (fleet.partitionedFromWorkers()) {
       // Guards against a leader that holds its key and hears no worker until all leases are over.
       LOG.info("term {}: no worker is heard here, another node is to lead", number);
       onCutOff.run();
--- a/src/main/java/org/dewreach/controller/PlacementLoop.java
+++ b/src/main/java/org/dewreach/controller/PlacementLoop.java
@@ -70,7 +70,7 @@
       return;
     }
     lastPass = nowMicros;
-    waiting = placer.pass(nowMicros, recovery::allSeen, fleet.bootMicros());
+    waiting = placer.pass(nowMicros, recovery::allTasksKnown, fleet.typicalBootMicros());
     if (mayPreempt) {
       preemption.evictIdleConnection(waiting, nowMicros);
     }
--- a/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
@@ -104,10 +104,10 @@
    * was bound there stays bound until the machine is returned, which is done at once.
    */
   void askForCount(Machine machine) {
-    if (machine.restartSuspicion() != RestartCheck.NONE) {
+    if (machine.restartCheck() != RestartCheck.NONE) {
       return;
     }
-    machine.restartSuspicion(RestartCheck.CHECKING);
+    machine.restartCheck(RestartCheck.CHECKING);
     long incarnation = machine.incarnation();
     long sequence = machine.sequence();
     outbox.call(
@@ -126,7 +126,7 @@
                 report.incarnation() < incarnation
                     || report.incarnation() == incarnation && report.sequence() < sequence;
             if (report.machine().equals(machine.name())) {
-              machine.restartSuspicion(lower ? RestartCheck.CONFIRMED : RestartCheck.NONE);
+              machine.restartCheck(lower ? RestartCheck.CONFIRMED : RestartCheck.NONE);
             }
           } catch (MalformedException e) {
             LOG.info("status of {} not understood: {}", machine.name(), e.getMessage());
@@ -141,7 +141,7 @@
       if (task.phase() == TaskPhase.ASSIGNED && mayStartDirectly(machine, task)) {
         commands.add(new WorkerCommand.Start(task.name(), task.attempt()));
         started.add(task);
-        machine.directCommands().started(task.name(), task.attempt());
+        machine.directCommands().recordStart(task.name(), task.attempt());
       } else if (task.phase() == TaskPhase.STOPPING
           && !task.stopSentDirectly()
           && task.spec().checkpointMicros() == 0) {
@@ -154,7 +154,7 @@
     }
     for (Task task : started) {
       task.become(TaskPhase.STARTING, nowMicros);
-      task.direct(DirectStart.SENT);
+      task.directStart(DirectStart.SENT);
     }
     ObjectNode body = Codec.map().put("warrant", term).put("tenure", machine.incarnation());
     ArrayNode list = body.putArray("orders");
@@ -173,7 +173,7 @@
 
   private static boolean mayStartDirectly(Machine machine, Task task) {
     int most = task.spec().jobKind() == JobKind.SERVICE ? MAX_SERVICES : MAX_OTHERS;
-    return machine.directCommands().starts() < most;
+    return machine.directCommands().startCount() < most;
   }
 
   private void onAnswer(
@@ -185,12 +185,12 @@
     inFlight--;
     boolean answered = status == 200 || status == 409;
     for (Task task : started) {
-      task.direct(answered ? DirectStart.ANSWERED : DirectStart.LOST);
+      task.directStart(answered ? DirectStart.ANSWERED : DirectStart.LOST);
     }
     if (!answered) {
       LOG.info("machine {}: direct command without answer ({})", machine.name(), status);
       machine.directCommands().notBefore(nowMicros + TIMEOUT_MICROS);
-      machine.commandUnanswered();
+      machine.markUnreachable();
       clusterState.requestPlacement();
       return;
     }
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -80,14 +80,14 @@
     }
     registry.mark(machine, nowMicros);
     var response = reports.take(machine, report, true, nowMicros);
-    machine.answered(nowMicros);
+    machine.recordLeaseRenewal(nowMicros);
     outbox.respond(requestId, 200, response);
     pumpExited(report, nowMicros);
   }
 
   /** Answers a report that was held up on the way, or passed by the answer to a direct command. */
   private void answerStale(long requestId, Machine machine, Heartbeat report, long nowMicros) {
-    if (report.token() == 0 && machine.accountedFor()) {
+    if (report.token() == 0 && machine.reconciled()) {
       direct.askForCount(machine);
     }
     // Held up on the way, or passed by the answer to a direct command: nothing in it is news.
@@ -98,7 +98,7 @@
       return;
     }
     // The worker may still wait for the answer, and its lease counts from the sending.
-    machine.answered(nowMicros);
+    machine.recordLeaseRenewal(nowMicros);
     outbox.respond(requestId, 200, noOrders());
   }
 
@@ -117,7 +117,7 @@
         // Guards against taking the lease of this incarnation for over with that of the one before:
         // it
         // began without any answer of ours, at the latest now.
-        machine.answered(nowMicros);
+        machine.recordLeaseRenewal(nowMicros);
       }
       reports.take(machine, report, false, nowMicros);
       pumpExited(report, nowMicros);
@@ -141,7 +141,7 @@
   /** A machine that nobody expected: a late rental, or one that the list does not show yet. */
   private Machine met(Heartbeat report, long nowMicros) {
     MachineType type = catalog.type(report.type());
-    if (type == null || fleet.isGone(report.machine())) {
+    if (type == null || fleet.isReleased(report.machine())) {
       return null;
     }
     LOG.info("machine {} met through its report", report.machine());
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
@@ -77,9 +77,9 @@
     }
     boolean first = machine.incarnation() < 0;
     long previousAt = machine.lastHeartbeat();
-    machine.heard(report.incarnation(), report.sequence());
+    machine.recordSequence(report.incarnation(), report.sequence());
     if (answerable) {
-      machine.reported(nowMicros);
+      machine.recordHeartbeat(nowMicros);
     }
     machine.address(report.address());
     // Commands of earlier terms may still arrive until the worker has seen our token, unless none
@@ -90,7 +90,7 @@
         report.token() == term
             || report.token() == 0 && !machine.commandedByEarlierTerm() && !machine.requiresToken();
     if (sure) {
-      machine.markAccountedFor();
+      machine.markReconciled();
     }
     if (answerable && !first) {
       judgeHearing(machine, report, incarnationOver, previousAt);
@@ -149,7 +149,7 @@
       }
     }
     boolean was = machine.missesReplies();
-    machine.recordReply(!tokenMissing && !startMissing && !incarnationOver);
+    machine.recordReplyDelivery(!tokenMissing && !startMissing && !incarnationOver);
     if (machine.missesReplies() != was) {
       LOG.info(
           "machine {} {}", machine.name(), was ? "takes answers again" : "does not take answers");
@@ -211,11 +211,11 @@
     if (exited) {
       // The result stays reported until it is durable, so that no leader can miss it.
       boolean keep =
-          machine.directCommands().wasStarted(reported.attempt())
+          machine.directCommands().hasStartedAttempt(reported.attempt())
               || reported.cause() == Cause.DONE
                   && job != null
                   && (job.isOpen() || job.phase() == JobPhase.FINALIZING)
-                  && !job.durable().get(name.index());
+                  && !job.durableDone().get(name.index());
       if (!keep) {
         removals.add(new WorkerCommand.Remove(name, reported.attempt()));
       }
@@ -248,7 +248,7 @@
         };
     clusterState.bind(job, reported.name().index(), reported.attempt(), machine, phase, nowMicros);
     if (phase != TaskPhase.PULLING) {
-      machine.fetched(job.spec());
+      machine.recordImageFetched(job.spec());
     }
   }
 
@@ -263,7 +263,7 @@
         boolean replica = task.spec().jobKind() == JobKind.SERVICE;
         if (replica && nowMicros - task.startedAt() > RUNS_WELL_MICROS) {
           // A service never completes: that it runs for a while says as much.
-          task.job().succeeded();
+          task.job().recordSuccess();
         }
       }
       case SAVING -> task.become(TaskPhase.STOPPING, nowMicros);
@@ -277,25 +277,27 @@
     switch (cause) {
       case DONE -> {
         clusterState.markDone(job, task.index());
-        machine.faults().worked();
+        machine.failures().recordSuccess();
       }
       case ERROR -> {
-        job.failedOn(machine.name(), nowMicros);
+        job.recordFailure(machine.name(), nowMicros);
         LOG.info("task {} failed on {}", task.name(), machine.name());
-        if (job.suspect()) {
+        if (job.failsRepeatedly()) {
           clear(job, nowMicros);
         } else {
-          machine.faults().erred(job.id());
+          machine.failures().recordFailure(job.id());
           if (faulty(machine, job) && !machine.quarantined()) {
             LOG.info(
-                "machine {} set aside: {} tasks failed", machine.name(), machine.faults().errors());
-            machine.faults().quarantined(nowMicros);
+                "machine {} set aside: {} tasks failed",
+                machine.name(),
+                machine.failures().failureCount());
+            machine.failures().quarantine(nowMicros);
           }
         }
       }
       case FULL -> machine.refusedAt(nowMicros);
-      case IN_USE -> job.avoid(machine.name(), nowMicros + IN_USE_PAUSE_MICROS);
-      case NO_SUCH -> job.rest(nowMicros + 2_000_000);
+      case IN_USE -> job.avoidMachine(machine.name(), nowMicros + IN_USE_PAUSE_MICROS);
+      case NO_SUCH -> job.delayUntil(nowMicros + 2_000_000);
       case STOPPED, NONE -> {
         // it goes back to the queue
       }
@@ -304,8 +306,8 @@
 
   /** One job's failures tell as much where its other tasks have completed elsewhere. */
   private static boolean faulty(Machine machine, Job job) {
-    return machine.faults().jobs().size() >= MAX_ERRED_JOBS
-        || machine.faults().errors() >= MAX_ERRORS && job.doneCount() > 0;
+    return machine.failures().jobs().size() >= MAX_ERRED_JOBS
+        || machine.failures().failureCount() >= MAX_ERRORS && job.doneCount() > 0;
   }
 
   /**
@@ -315,12 +317,12 @@
    * with a mistake met there.
    */
   private void clear(Job job, long nowMicros) {
-    for (String name : job.suspects(nowMicros)) {
+    for (String name : job.avoidedMachines(nowMicros)) {
       Machine machine = clusterState.machines().get(name);
-      boolean blamed = machine != null && machine.faults().jobs().remove(job.id());
+      boolean blamed = machine != null && machine.failures().jobs().remove(job.id());
       if (blamed && machine.quarantined() && !faulty(machine, job)) {
         LOG.info("machine {} is given tasks again: job {} fails everywhere", name, job.id());
-        machine.faults().endQuarantine();
+        machine.failures().endQuarantine();
         resume(machine, nowMicros);
         clusterState.requestPlacement();
       }
--- a/src/main/java/org/dewreach/membership/CloudReconciler.java
+++ b/src/main/java/org/dewreach/membership/CloudReconciler.java
@@ -57,7 +57,7 @@
   }
 
   /** Begins to read the list when it is due and no call is in flight. */
-  void list(long nowMicros) {
+  void reconcile(long nowMicros) {
     if (inFlight || nowMicros < nextListAt || !cloud.mayCall(nowMicros)) {
       return;
     }
@@ -90,7 +90,7 @@
   }
 
   private void onListed(ListedMachine listed, long nowMicros) {
-    if (scaleIn.isGone(listed.name())) {
+    if (scaleIn.isReleased(listed.name())) {
       return;
     }
     Machine machine = clusterState.machines().get(listed.name());
@@ -103,7 +103,7 @@
     }
     if (listed.failed() && machine.phase() != MachinePhase.TERMINATING) {
       clusterState.unbindAll(machine, "it failed", nowMicros);
-      scaleIn.giveUp(machine, "failed", nowMicros);
+      scaleIn.markForRelease(machine, "failed", nowMicros);
     }
   }
 
--- a/src/main/java/org/dewreach/membership/FleetManager.java
+++ b/src/main/java/org/dewreach/membership/FleetManager.java
@@ -69,8 +69,8 @@
   }
 
   /** True if the worker has surely killed all its tasks, or never had any. */
-  boolean leaseSurelyOver(Machine machine, long nowMicros) {
-    return healthMonitor.leaseSurelyOver(machine, nowMicros);
+  boolean leaseExpired(Machine machine, long nowMicros) {
+    return healthMonitor.leaseExpired(machine, nowMicros);
   }
 
   /** Runs a round if one is due. */
@@ -83,14 +83,14 @@
     drainer.drain(nowMicros);
     if (mayRent) {
       // Before all machines are accounted for, what looks idle may be needed in a moment.
-      scaleInPolicy.retire(nowMicros, waiting);
+      scaleInPolicy.cordonSpareMachines(nowMicros, waiting);
       serviceMigrator.move(nowMicros);
       consolidation.move(nowMicros);
-      scaleInPolicy.returnIdle(nowMicros);
-      scaleOut.rent(nowMicros, waiting);
+      scaleInPolicy.releaseIdleMachines(nowMicros);
+      scaleOut.scaleOut(nowMicros, waiting);
     }
-    scaleIn.returnMarked(nowMicros);
-    cloudReconciler.list(nowMicros);
+    scaleIn.releaseMarked(nowMicros);
+    cloudReconciler.reconcile(nowMicros);
   }
 
   /** True if nothing new was heard of the machine for longer than reports take. */
@@ -99,17 +99,17 @@
   }
 
   /** True if it is this node that has lost the workers, which another node may well have. */
-  public boolean cutOff() {
-    return healthMonitor.cutOff();
+  public boolean partitionedFromWorkers() {
+    return healthMonitor.partitionedFromWorkers();
   }
 
   /** A machine that was returned may still be listed, or heard of, for a while. */
-  public boolean isGone(String name) {
-    return scaleIn.isGone(name);
+  public boolean isReleased(String name) {
+    return scaleIn.isReleased(name);
   }
 
   /** Typical time until a machine rented now is of use. */
-  public long bootMicros() {
-    return scaleInPolicy.bootMicros();
+  public long typicalBootMicros() {
+    return scaleInPolicy.typicalBootMicros();
   }
 }
--- a/src/main/java/org/dewreach/membership/MachineDrainer.java
+++ b/src/main/java/org/dewreach/membership/MachineDrainer.java
@@ -68,7 +68,7 @@
       stopRecalledTasks(machine, nowMicros);
     }
     if (machine.tasks().isEmpty()) {
-      scaleIn.giveUp(machine, "drained", nowMicros);
+      scaleIn.markForRelease(machine, "drained", nowMicros);
     }
   }
 
@@ -97,10 +97,10 @@
       return false;
     }
     boolean onTrial =
-        machine.faults().jobs().stream()
+        machine.failures().jobs().stream()
             .map(clusterState.jobs()::get)
             .anyMatch(job -> job != null && job.failedOnce());
-    return nowMicros - machine.faults().quarantinedAt()
+    return nowMicros - machine.failures().quarantinedAt()
         > (onTrial ? MAX_SUSPECT_MACHINE_TRIAL_MICROS : SUSPECT_MACHINE_GRACE_MICROS);
   }
 
--- a/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
+++ b/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
@@ -121,8 +121,8 @@
   }
 
   /** True if the worker has surely killed all its tasks, or never had any. */
-  boolean leaseSurelyOver(Machine machine, long nowMicros) {
-    if (machine.restartSuspicion() != RestartCheck.NONE) {
+  boolean leaseExpired(Machine machine, long nowMicros) {
+    if (machine.restartCheck() != RestartCheck.NONE) {
       // A worker that restarted has a lease of its own, and takes late copies of our starts.
       return false;
     }
@@ -155,7 +155,7 @@
    * True if it is this node that has lost the workers: hardly one of several is heard, or takes
    * answers. Another node may well have them.
    */
-  boolean cutOff() {
+  boolean partitionedFromWorkers() {
     return cutOffRounds >= MIN_ROUNDS_FOR_PARTITION;
   }
 
@@ -191,18 +191,18 @@
     if (findings.few()) {
       // Nothing placed there starts, and its incarnation will end: the return is proof enough.
       findings.missesReplies.forEach(
-          machine -> scaleIn.giveUp(machine, "does not take answers", nowMicros));
+          machine -> scaleIn.markForRelease(machine, "does not take answers", nowMicros));
     }
   }
 
   private void checkPhase(Machine machine, Findings findings, long nowMicros) {
     switch (machine.phase()) {
       case UNKNOWN, UNCONFIRMED, UP, DRAINING -> checkReports(machine, findings, nowMicros);
-      case BOOTING -> giveUpIfNeverUp(machine, nowMicros);
+      case BOOTING -> releaseIfNeverUp(machine, nowMicros);
       case LOST -> {
         findings.lost++;
         if (unheardMicros(machine, nowMicros) > LOST_MACHINE_KEPT_MICROS) {
-          scaleIn.giveUp(machine, "lost and not back", nowMicros);
+          scaleIn.markForRelease(machine, "lost and not back", nowMicros);
         }
       }
       case TERMINATING, GONE -> {
@@ -213,9 +213,9 @@
 
   private void checkReports(Machine machine, Findings findings, long nowMicros) {
     boolean mayHaveRestarted =
-        machine.restartSuspicion() == RestartCheck.CHECKING && isSilent(machine, nowMicros);
-    if (machine.restartSuspicion() == RestartCheck.CONFIRMED || mayHaveRestarted) {
-      scaleIn.giveUp(machine, "its worker restarted", nowMicros);
+        machine.restartCheck() == RestartCheck.CHECKING && isSilent(machine, nowMicros);
+    if (machine.restartCheck() == RestartCheck.CONFIRMED || mayHaveRestarted) {
+      scaleIn.markForRelease(machine, "its worker restarted", nowMicros);
     } else if (isSilent(machine, nowMicros)) {
       findings.silent.add(machine);
     } else if (machine.missesReplies()) {
@@ -225,10 +225,10 @@
     }
   }
 
-  private void giveUpIfNeverUp(Machine machine, long nowMicros) {
+  private void releaseIfNeverUp(Machine machine, long nowMicros) {
     long patience = BOOT_PATIENCE_FACTOR * machine.type().bootMicros() + BOOT_PATIENCE_MICROS;
     if (nowMicros - machine.knownSince() > patience) {
-      scaleIn.giveUp(machine, "never came up", nowMicros);
+      scaleIn.markForRelease(machine, "never came up", nowMicros);
     }
   }
 
@@ -244,7 +244,7 @@
       }
       if (unheardMicros(machine, nowMicros) > quietAfterMicros()) {
         // What is placed there now would be bound until it is known what became of it.
-        machine.commandUnanswered();
+        machine.markUnreachable();
         findings.missed++;
       } else {
         findings.reached++;
@@ -253,11 +253,11 @@
   }
 
   private void onSilent(Machine machine, boolean few, long nowMicros) {
-    if (leaseSurelyOver(machine, nowMicros)) {
+    if (leaseExpired(machine, nowMicros)) {
       clusterState.unbindAll(machine, "its lease is over", nowMicros);
-      machine.markAccountedFor();
+      machine.markReconciled();
       if (few) {
-        scaleIn.giveUp(machine, "silent, lease over", nowMicros);
+        scaleIn.markForRelease(machine, "silent, lease over", nowMicros);
       } else {
         // Guards against renting a whole zone anew that is back within a minute, images and all.
         LOG.info("machine {} is lost", machine.name());
@@ -265,7 +265,7 @@
         clusterState.requestPlacement();
       }
     } else if (few) {
-      scaleIn.giveUp(machine, "silent", nowMicros);
+      scaleIn.markForRelease(machine, "silent", nowMicros);
     }
   }
 
@@ -284,7 +284,8 @@
       }
     }
     if (unheard.size() <= heard / STRAGGLERS_DIVISOR) {
-      unheard.forEach(machine -> scaleIn.giveUp(machine, "not heard under this term", nowMicros));
+      unheard.forEach(
+          machine -> scaleIn.markForRelease(machine, "not heard under this term", nowMicros));
     }
   }
 }
--- a/src/main/java/org/dewreach/membership/RecoveryTracker.java
+++ b/src/main/java/org/dewreach/membership/RecoveryTracker.java
@@ -48,7 +48,7 @@
       return false;
     }
     nextUpdate = nowMicros + UPDATE_INTERVAL_MICROS;
-    unaccounted.removeIf(machine -> !mayRunUnseen(machine, nowMicros));
+    unaccounted.removeIf(machine -> !mayRunUnknownTasks(machine, nowMicros));
     unaccountedKinds.clear();
     for (Machine machine : unaccounted) {
       unaccountedKinds.putIfAbsent(
@@ -58,12 +58,12 @@
   }
 
   /** True if tasks of earlier terms may run there that we do not know of. */
-  private boolean mayRunUnseen(Machine machine, long nowMicros) {
+  private boolean mayRunUnknownTasks(Machine machine, long nowMicros) {
     // One that is in no record was never given commands: it may be a late copy's ghost.
-    boolean open = machine.commandedByEarlierTerm() && !machine.accountedFor();
+    boolean open = machine.commandedByEarlierTerm() && !machine.reconciled();
     return switch (machine.phase()) {
       case UNKNOWN, UNCONFIRMED -> open;
-      case TERMINATING -> open && !fleet.leaseSurelyOver(machine, nowMicros);
+      case TERMINATING -> open && !fleet.leaseExpired(machine, nowMicros);
       case BOOTING, UP, LOST, DRAINING, GONE -> false;
     };
   }
@@ -73,7 +73,7 @@
    * accounted for, that holds for jobs of this term, and for those that were allowed on none of
    * these machines: services need not wait for what became of spot machines.
    */
-  public boolean allSeen(Job job) {
+  public boolean allTasksKnown(Job job) {
     return job.submittedThisTerm()
         || unaccountedKinds.values().stream()
             .noneMatch(machine -> SortFirstFit.permitted(job.spec(), machine));
--- a/src/main/java/org/dewreach/model/DirectCommands.java
+++ b/src/main/java/org/dewreach/model/DirectCommands.java
@@ -24,7 +24,7 @@
   }
 
   /** An attempt that the worker must not forget in this incarnation. */
-  public void started(TaskName task, long attempt) {
+  public void recordStart(TaskName task, long attempt) {
     attempts.add(attempt);
     tasks.add(task);
   }
@@ -35,17 +35,17 @@
    * <p>Guards against a late copy of that start: a later attempt here could take the place of the
    * one that the worker still knows, and the copy would then run beside it elsewhere.
    */
-  public boolean hadStart(TaskName task) {
+  public boolean hasStartedTask(TaskName task) {
     return tasks.contains(task);
   }
 
   /** True if the attempt was started directly in this incarnation. */
-  public boolean wasStarted(long attempt) {
+  public boolean hasStartedAttempt(long attempt) {
     return attempts.contains(attempt);
   }
 
   /** Direct starts in this incarnation. */
-  public int starts() {
+  public int startCount() {
     return attempts.size();
   }
 
--- a/src/main/java/org/dewreach/model/FailureHistory.java
+++ b/src/main/java/org/dewreach/model/FailureHistory.java
@@ -6,7 +6,7 @@
 /** The tasks that failed on a machine since one last completed, and whether it is quarantined. */
 public final class FailureHistory {
   private final Set<String> jobs = new HashSet<>();
-  private int errors;
+  private int failureCount;
   private long quarantinedAt = -1;
 
   FailureHistory() {}
@@ -17,19 +17,19 @@
   }
 
   /** Tasks that failed here since one last completed. */
-  public int errors() {
-    return errors;
+  public int failureCount() {
+    return failureCount;
   }
 
   /** A task of the job failed here. */
-  public void erred(String jobId) {
+  public void recordFailure(String jobId) {
     jobs.add(jobId);
-    errors++;
+    failureCount++;
   }
 
   /** A task completed here: what failed before says nothing about the machine. */
-  public void worked() {
-    errors = 0;
+  public void recordSuccess() {
+    failureCount = 0;
     jobs.clear();
   }
 
@@ -44,13 +44,13 @@
   }
 
   /** It is taken for faulty. */
-  public void quarantined(long nowMicros) {
+  public void quarantine(long nowMicros) {
     quarantinedAt = nowMicros;
   }
 
   /** What failed here failed elsewhere too. */
   public void endQuarantine() {
     quarantinedAt = -1;
-    errors = 0;
+    failureCount = 0;
   }
 }
--- a/src/main/java/org/dewreach/model/ImageCache.java
+++ b/src/main/java/org/dewreach/model/ImageCache.java
@@ -47,7 +47,7 @@
   }
 
   /** The image of a job is there. */
-  void fetched(JobSpec spec) {
+  void recordFetched(JobSpec spec) {
     images.put(spec.image(), new Image(spec.imageGb(), true));
   }
 
--- a/src/main/java/org/dewreach/model/Job.java
+++ b/src/main/java/org/dewreach/model/Job.java
@@ -39,13 +39,13 @@
   private final boolean submittedThisTerm;
   private final BitSet done = new BitSet();
   private final Int2ObjectMap<Task> bound = new Int2ObjectLinkedOpenHashMap<>();
-  private final Map<String, Long> suspects = new LinkedHashMap<>();
+  private final Map<String, Long> avoidedUntil = new LinkedHashMap<>();
   private JobPhase phase;
   private JobState finalState;
-  private long stamp;
-  private BitSet durable = new BitSet();
-  private boolean writing;
-  private long progressAt;
+  private long revision;
+  private BitSet durableDone = new BitSet();
+  private boolean writeInFlight;
+  private long progressWrittenAt;
   private long cancelRequestedAt;
   private long cancelledAt = Long.MIN_VALUE / 2;
   private int cursor;
@@ -128,34 +128,34 @@
     return submittedThisTerm;
   }
 
-  /** The stamp of its record, on which the next write is conditional. */
-  public long stamp() {
-    return stamp;
+  /** The revision of its record, on which the next write is conditional. */
+  public long revision() {
+    return revision;
   }
 
-  /** Sets the stamp of its record. */
-  public void stamp(long newStamp) {
-    stamp = newStamp;
+  /** Sets the revision of its record. */
+  public void revision(long newRevision) {
+    revision = newRevision;
   }
 
   /** True while a write of its record has no outcome. */
-  public boolean writing() {
-    return writing;
+  public boolean writeInFlight() {
+    return writeInFlight;
   }
 
   /** Sets whether a write of its record has no outcome. */
-  public void writing(boolean now) {
-    writing = now;
+  public void writeInFlight(boolean now) {
+    writeInFlight = now;
   }
 
   /** When progress was last written. */
-  public long progressAt() {
-    return progressAt;
+  public long progressWrittenAt() {
+    return progressWrittenAt;
   }
 
   /** Sets when progress was last written. */
-  public void progressAt(long micros) {
-    progressAt = micros;
+  public void progressWrittenAt(long micros) {
+    progressWrittenAt = micros;
   }
 
   /** When its user asked to cancel it; 0 if nobody did under this leader. */
@@ -205,20 +205,20 @@
   }
 
   /** What the job's record says is done, when it is loaded. */
-  public void restore(BitSet saved) {
+  public void restoreProgress(BitSet saved) {
     done.or(saved);
     doneCount = done.cardinality();
-    durable = (BitSet) saved.clone();
+    durableDone = (BitSet) saved.clone();
   }
 
   /** The tasks done that a new leader would know of. */
-  public BitSet durable() {
-    return durable;
+  public BitSet durableDone() {
+    return durableDone;
   }
 
   /** Sets the tasks done that are durable. */
-  public void durable(BitSet written) {
-    durable = written;
+  public void durableDone(BitSet written) {
+    durableDone = written;
   }
 
   /** True if every task is done; a service never is. */
@@ -309,21 +309,21 @@
    *
    * <p>Not for ever: guards against a job that waits beside the only machine with room.
    */
-  public Set<String> suspects(long nowMicros) {
-    suspects.values().removeIf(until -> until <= nowMicros);
-    return suspects.keySet();
+  public Set<String> avoidedMachines(long nowMicros) {
+    avoidedUntil.values().removeIf(until -> until <= nowMicros);
+    return avoidedUntil.keySet();
   }
 
   /**
    * A task failed: the job avoids the machine, and rests the longer the more machines it failed on.
    * Several tasks that fail on one machine say no more than one.
    */
-  public void failedOn(String machine, long nowMicros) {
-    if (!suspects(nowMicros).contains(machine)) {
+  public void recordFailure(String machine, long nowMicros) {
+    if (!avoidedMachines(nowMicros).contains(machine)) {
       failures++;
     }
-    avoid(machine, nowMicros + SUSPECTED_MICROS);
-    if (suspect()) {
+    avoidMachine(machine, nowMicros + SUSPECTED_MICROS);
+    if (failsRepeatedly()) {
       notBefore =
           nowMicros
               + Math.min(
@@ -335,33 +335,33 @@
    * True if it failed wherever it went since it last got anywhere: that speaks against the job, not
    * the machines. It is tried with one task at a time then.
    */
-  public boolean suspect() {
+  public boolean failsRepeatedly() {
     return failures >= DOUBTFUL_FROM_FAILURES;
   }
 
   /** True if it failed once and has neither completed a task nor failed elsewhere since. */
   public boolean failedOnce() {
-    return failures > 0 && !suspect();
+    return failures > 0 && !failsRepeatedly();
   }
 
   /**
    * Its tasks are not placed on the machine until then, or until many others were avoided since.
    */
-  public void avoid(String machine, long untilMicros) {
-    suspects.remove(machine);
-    suspects.put(machine, untilMicros);
-    if (suspects.size() > MAX_SUSPECTS) {
-      suspects.remove(suspects.keySet().iterator().next());
+  public void avoidMachine(String machine, long untilMicros) {
+    avoidedUntil.remove(machine);
+    avoidedUntil.put(machine, untilMicros);
+    if (avoidedUntil.size() > MAX_SUSPECTS) {
+      avoidedUntil.remove(avoidedUntil.keySet().iterator().next());
     }
   }
 
   /** Nothing of it is started before the given time. */
-  public void rest(long untilMicros) {
+  public void delayUntil(long untilMicros) {
     notBefore = Math.max(notBefore, untilMicros);
   }
 
   /** It got somewhere: earlier failures no longer count against it. */
-  public void succeeded() {
+  public void recordSuccess() {
     failures = 0;
     notBefore = 0;
   }
--- a/src/main/java/org/dewreach/model/Machine.java
+++ b/src/main/java/org/dewreach/model/Machine.java
@@ -21,7 +21,7 @@
   private final String zone;
   private final boolean spot;
   private final Map<TaskName, Task> tasks = new LinkedHashMap<>();
-  private final FailureHistory faults = new FailureHistory();
+  private final FailureHistory failures = new FailureHistory();
   private final DirectCommands directCommands = new DirectCommands();
   private final ImageCache images;
   private final ResourceUsage used = new ResourceUsage();
@@ -39,11 +39,11 @@
   private boolean cordoned;
   private boolean everUp;
   private long refusedAt = Long.MIN_VALUE / 2;
-  private boolean unreached;
-  private boolean accountedFor;
+  private boolean unreachable;
+  private boolean reconciled;
   private boolean requireToken;
   private int missedReplies;
-  private RestartCheck restartSuspicion = RestartCheck.NONE;
+  private RestartCheck restartCheck = RestartCheck.NONE;
 
   /**
    * A machine that nothing is bound to.
@@ -141,27 +141,27 @@
   }
 
   /** True once it is known what is left of the tasks that earlier leaders started there. */
-  public boolean accountedFor() {
-    return accountedFor;
+  public boolean reconciled() {
+    return reconciled;
   }
 
   /** It is known what is left of the tasks of earlier leaders. */
-  public void markAccountedFor() {
-    accountedFor = true;
+  public void markReconciled() {
+    reconciled = true;
   }
 
   /** Whether its worker may have restarted. */
-  public RestartCheck restartSuspicion() {
-    return restartSuspicion;
+  public RestartCheck restartCheck() {
+    return restartCheck;
   }
 
   /** Sets whether its worker may have restarted. */
-  public void restartSuspicion(RestartCheck now) {
-    restartSuspicion = now;
+  public void restartCheck(RestartCheck now) {
+    restartCheck = now;
   }
 
   /** Counts reports in a row that show that our last answer did not arrive; 0 if it did. */
-  public void recordReply(boolean arrived) {
+  public void recordReplyDelivery(boolean arrived) {
     missedReplies = arrived ? 0 : missedReplies + 1;
   }
 
@@ -202,7 +202,7 @@
   }
 
   /** What it has told, in a report or in the answer to a direct command. */
-  public void heard(long heartbeatIncarnation, long heartbeatSequence) {
+  public void recordSequence(long heartbeatIncarnation, long heartbeatSequence) {
     if (heartbeatIncarnation != incarnation) {
       directCommands.onNewIncarnation();
     }
@@ -216,9 +216,9 @@
    * <p>Answers to direct commands do not count. Guards against a machine that reaches no controller
    * while commands reach it: it would be given tasks again and again that end with each lease.
    */
-  public void reported(long nowMicros) {
+  public void recordHeartbeat(long nowMicros) {
     lastHeartbeat = nowMicros;
-    unreached = false;
+    unreachable = false;
   }
 
   /**
@@ -227,8 +227,8 @@
    * <p>Guards against tasks that are given to a cut-off zone, where they are bound until its leases
    * are over, in the seconds before its silence shows.
    */
-  public void commandUnanswered() {
-    unreached = true;
+  public void markUnreachable() {
+    unreachable = true;
   }
 
   /** When a report was last answered with 200 under our term: the worker's lease runs from it. */
@@ -237,7 +237,7 @@
   }
 
   /** A report was answered under our term. */
-  public void answered(long nowMicros) {
+  public void recordLeaseRenewal(long nowMicros) {
     lastLeaseRenewal = nowMicros;
   }
 
@@ -277,13 +277,13 @@
   }
 
   /** The tasks that failed here, and whether it is taken for faulty. */
-  public FailureHistory faults() {
-    return faults;
+  public FailureHistory failures() {
+    return failures;
   }
 
   /** True if it is taken for faulty: it is given nothing new. */
   public boolean quarantined() {
-    return faults.quarantined();
+    return failures.quarantined();
   }
 
   /** When its worker last refused a start that the cluster state said would fit. */
@@ -315,8 +315,8 @@
   }
 
   /** A task runs, so its image is here. */
-  public void fetched(JobSpec spec) {
-    images.fetched(spec);
+  public void recordImageFetched(JobSpec spec) {
+    images.recordFetched(spec);
   }
 
   /** The tasks bound to it. */
@@ -352,8 +352,8 @@
   }
 
   /** True if a task of lesser urgency is bound here. */
-  public boolean hasLowerPriority(Priority than) {
-    return used.hasLowerPriority(than);
+  public boolean hasTaskBelow(Priority than) {
+    return used.hasTaskBelow(than);
   }
 
   private boolean needsImage(String image) {
@@ -386,8 +386,8 @@
         && recorded
         && !quarantined()
         && reclaimAt < 0
-        && !unreached
+        && !unreachable
         && !missesReplies()
-        && restartSuspicion != RestartCheck.CONFIRMED;
+        && restartCheck != RestartCheck.CONFIRMED;
   }
 }
--- a/src/main/java/org/dewreach/model/ResourceUsage.java
+++ b/src/main/java/org/dewreach/model/ResourceUsage.java
@@ -46,7 +46,7 @@
   }
 
   /** True if a task that the given urgency goes before is bound. */
-  boolean hasLowerPriority(Priority than) {
+  boolean hasTaskBelow(Priority than) {
     for (Priority priority : Priority.values()) {
       if (tasksByPriority[priority.ordinal()] > 0 && than.above(priority)) {
         return true;
--- a/src/main/java/org/dewreach/model/Task.java
+++ b/src/main/java/org/dewreach/model/Task.java
@@ -13,7 +13,7 @@
   private long phaseSince;
   private long boundAt;
   private long startedAt;
-  private DirectStart direct = DirectStart.NONE;
+  private DirectStart directStart = DirectStart.NONE;
   private boolean stopSentDirectly;
   private boolean begun;
 
@@ -41,7 +41,7 @@
     if (next == TaskPhase.RUNNING) {
       startedAt = nowMicros;
       begun = true;
-      machine.fetched(job.spec());
+      machine.recordImageFetched(job.spec());
     }
     phase = next;
     phaseSince = nowMicros;
@@ -99,12 +99,12 @@
 
   /** True if a direct start is on its way, or was lost: its absence in a report proves nothing. */
   public boolean mayStartLate() {
-    return direct == DirectStart.SENT || direct == DirectStart.LOST;
+    return directStart == DirectStart.SENT || directStart == DirectStart.LOST;
   }
 
   /** Sets what is known of a start that was sent directly. */
-  public void direct(DirectStart now) {
-    direct = now;
+  public void directStart(DirectStart now) {
+    directStart = now;
   }
 
   /** True if a stop was sent directly to its worker. */
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -100,14 +100,14 @@
           && SortFirstFit.permitted(spec, machine)
           && (machine.spot() || !spotOnly)
           && !TaskPlacer.refusedLately(machine, nowMicros)
-          && !job.suspects(nowMicros).contains(machine.name())
-          && !machine.directCommands().hadStart(next)) {
+          && !job.avoidedMachines(nowMicros).contains(machine.name())
+          && !machine.directCommands().hasStartedTask(next)) {
         FreeCapacity freeCapacity = freeCapacities.computeIfAbsent(machine, Preemption::withFreed);
         if (freeCapacity.covers(spec)) {
           freeCapacity.take(spec);
           return true;
         }
-        if (machine.hasLowerPriority(spec.priority())) {
+        if (machine.hasTaskBelow(spec.priority())) {
           candidates.add(machine);
         }
       }
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -123,7 +123,8 @@
         boolean gang = job.spec().jobKind() == JobKind.GANG;
         int most = gang ? freeCapacity : Math.min(freeCapacity, MAX_PLACED - placed);
         // Guards against replicas that need each other's zone and lost it late: never one alone.
-        boolean one = job.suspect() || QueueOrder.toBegin(job, nowMicros + wallOffsetMicros);
+        boolean one =
+            job.failsRepeatedly() || QueueOrder.toBegin(job, nowMicros + wallOffsetMicros);
         if (one && !whole(job)) {
           most = 1;
         }
@@ -131,7 +132,7 @@
         placed += started;
       }
       // Nothing is rented, and nobody stopped, for a job that fails everywhere.
-      if (started < freeCapacity && !job.suspect()) {
+      if (started < freeCapacity && !job.failsRepeatedly()) {
         if (started == 0 && !barred) {
           full.add(likeness(job, nowMicros));
         }
@@ -153,7 +154,7 @@
    * that met two faulty machines: its other tasks do not wait until one of them has completed.
    */
   private static boolean onTrial(Job job, long nowMicros) {
-    return job.suspect()
+    return job.failsRepeatedly()
         && job.bound().values().stream()
             .anyMatch(task -> nowMicros - task.boundAt() < TRIAL_MICROS);
   }
@@ -162,7 +163,7 @@
   private String likeness(Job job, long nowMicros) {
     JobSpec spec = job.spec();
     boolean special = spec.together() || spec.scatter() || spec.jobKind() == JobKind.GANG;
-    if (special || !job.suspects(nowMicros).isEmpty() || keptFrom(job, nowMicros)) {
+    if (special || !job.avoidedMachines(nowMicros).isEmpty() || keptFrom(job, nowMicros)) {
       return job.id();
     }
     return SortFirstFit.likeness(spec) + yields(spec);
@@ -249,12 +250,14 @@
     int index = job.nextPending();
     while (placed.size() < count && index >= 0) {
       TaskName name = new TaskName(job.id(), index);
-      boolean[] hadStart = {false};
+      boolean[] hasStartedTask = {false};
       Machine machine =
-          clusterState.list().firstFit(spec, allowed.and(m -> !barred(m, name, hadStart)), within);
+          clusterState
+              .list()
+              .firstFit(spec, allowed.and(m -> !barred(m, name, hasStartedTask)), within);
       if (machine == null) {
-        barred |= hadStart[0];
-        if (!hadStart[0] || ++passedOver > MAX_PASSED_OVER) {
+        barred |= hasStartedTask[0];
+        if (!hasStartedTask[0] || ++passedOver > MAX_PASSED_OVER) {
           break;
         }
         // Guards against one task that may not go there again keeping its job, and all like it,
@@ -276,9 +279,9 @@
     return placed;
   }
 
-  private static boolean barred(Machine machine, TaskName name, boolean[] hadStart) {
-    boolean had = machine.directCommands().hadStart(name);
-    hadStart[0] |= had;
+  private static boolean barred(Machine machine, TaskName name, boolean[] hasStartedTask) {
+    boolean had = machine.directCommands().hasStartedTask(name);
+    hasStartedTask[0] |= had;
     return had;
   }
 
@@ -292,7 +295,7 @@
   }
 
   private Predicate<Machine> allowed(Job job, long nowMicros) {
-    Set<String> suspects = job.suspects(nowMicros);
+    Set<String> suspects = job.avoidedMachines(nowMicros);
     return machine ->
         SortFirstFit.permitted(job.spec(), machine)
             && !refusedLately(machine, nowMicros)
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -145,8 +145,8 @@
             saved.acceptedWallMicros(),
             false,
             saved.cancelled() ? JobPhase.CANCELLED : JobPhase.ACTIVE);
-    job.stamp(entry.path("stamp").asLong());
-    job.restore(saved.done());
+    job.revision(entry.path("stamp").asLong());
+    job.restoreProgress(saved.done());
     clusterState.jobs().put(job.id(), job);
   }
 }
--- a/src/main/java/org/dewreach/state/JobRecordWriter.java
+++ b/src/main/java/org/dewreach/state/JobRecordWriter.java
@@ -88,7 +88,7 @@
    * @param stamp of the record as read: if it changed since, the job is looked at again
    */
   boolean adopt(Job job, long stamp, boolean cancelled, long nowMicros, Runnable onChanged) {
-    job.writing(true);
+    job.writeInFlight(true);
     Mutation put =
         new Mutation(
             Keys.job(job.id()),
@@ -103,10 +103,10 @@
             List.of(put, new Mutation(Keys.newJob(job.id()), null)),
             true,
             (now, outcome, revision) -> {
-              job.writing(false);
+              job.writeInFlight(false);
               switch (outcome) {
                 case WRITTEN -> {
-                  job.stamp(revision);
+                  job.revision(revision);
                   job.become(cancelled ? JobPhase.CANCELLED : JobPhase.ACTIVE);
                   listener.onAccepted(job, now);
                   pump(job, now);
@@ -121,7 +121,7 @@
 
   /** Writes a new job; false if the queue is full. */
   public boolean accept(Job job, long nowMicros, Runnable onKnownAlready) {
-    job.writing(true);
+    job.writeInFlight(true);
     List<Precondition> conditions =
         List.of(
             new Precondition(Keys.newJob(job.id()), 0),
@@ -138,10 +138,10 @@
             List.of(put),
             true,
             (now, outcome, revision) -> {
-              job.writing(false);
+              job.writeInFlight(false);
               switch (outcome) {
                 case WRITTEN -> {
-                  job.stamp(revision);
+                  job.revision(revision);
                   job.become(JobPhase.ACTIVE);
                   listener.onAccepted(job, now);
                   pump(job, now);
@@ -156,7 +156,7 @@
 
   /** Writes what is due for the job, if anything. */
   public void pump(Job job, long nowMicros) {
-    if (job.writing()) {
+    if (job.writeInFlight()) {
       return;
     }
     switch (job.phase()) {
@@ -178,8 +178,8 @@
       case ACTIVE -> {
         if (job.complete()) {
           finish(job, nowMicros);
-        } else if (nowMicros - job.progressAt() >= PROGRESS_INTERVAL_MICROS
-            && !job.done().equals(job.durable())
+        } else if (nowMicros - job.progressWrittenAt() >= PROGRESS_INTERVAL_MICROS
+            && !job.done().equals(job.durableDone())
             && queue.waiting() < MAX_WAITING_FOR_PROGRESS) {
           write(job, false, false, nowMicros);
         }
@@ -196,19 +196,19 @@
         new Mutation(
             Keys.job(job.id()),
             JobRecord.encode(job.spec(), job.acceptedWallMicros(), cancelled, snapshot));
-    job.writing(true);
-    job.progressAt(nowMicros);
+    job.writeInFlight(true);
+    job.progressWrittenAt(nowMicros);
     ConditionalWrite write =
         new ConditionalWrite(
-            List.of(new Precondition(Keys.job(job.id()), job.stamp())),
+            List.of(new Precondition(Keys.job(job.id()), job.revision())),
             List.of(put),
             urgent,
             (now, outcome, revision) -> {
               decided(job);
               switch (outcome) {
                 case WRITTEN -> {
-                  job.stamp(revision);
-                  job.durable(JobRecord.kept(snapshot));
+                  job.revision(revision);
+                  job.durableDone(JobRecord.kept(snapshot));
                   if (cancelled) {
                     job.become(JobPhase.CANCELLED);
                     listener.onCancelled(job, now);
@@ -231,7 +231,7 @@
 
   /** The write of the job's record has an outcome, or was not taken. */
   private void decided(Job job) {
-    job.writing(false);
+    job.writeInFlight(false);
     ends.remove(job.id());
   }
 
@@ -245,7 +245,7 @@
     ConditionalWrite write =
         new ConditionalWrite(
             List.of(
-                new Precondition(Keys.job(job.id()), job.stamp()),
+                new Precondition(Keys.job(job.id()), job.revision()),
                 new Precondition(Keys.over(job.id()), 0)),
             changes,
             !cancelled,
@@ -262,7 +262,7 @@
                 }
               }
             });
-    job.writing(true);
+    job.writeInFlight(true);
     job.become(JobPhase.FINALIZING);
     ends.put(job.id(), write);
     if (!queue.add(nowMicros, write)) {
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -91,7 +91,7 @@
     desk.take(machine, report(machine, 1, 5, 60, shown(0, TaskState.RUNNING, Cause.NONE)), true, S);
     assertEquals(0, job.bound().size());
     assertEquals(MachinePhase.UNCONFIRMED, machine.phase());
-    assertFalse(machine.accountedFor());
+    assertFalse(machine.reconciled());
     desk.take(
         machine, report(machine, 1, 9, TERM, shown(0, TaskState.RUNNING, Cause.NONE)), true, 2 * S);
     assertEquals(1, job.bound().size(), "now it is surely there");
@@ -241,7 +241,7 @@
     Machine machine = machine("m1", MachinePhase.BOOTING);
     desk.take(machine, report(machine, 1, 1, 0), true, S);
     desk.take(machine, report(machine, 1, 2, TERM), true, 2 * S);
-    machine.commandUnanswered();
+    machine.markUnreachable();
     desk.take(machine, report(machine, 1, 3, TERM), false, 9 * S);
     assertEquals(2 * S, machine.lastHeartbeat());
     assertFalse(machine.schedulable());
@@ -355,7 +355,7 @@
     Machine well = machine("m2", MachinePhase.BOOTING);
     fail(job, sick, S);
     desk.take(well, report(well, 1, 1, TERM, shown(3, TaskState.EXITED, Cause.DONE)), true, 2 * S);
-    assertFalse(job.suspect());
+    assertFalse(job.failsRepeatedly());
     fail(job, sick, 3 * S);
     fail(job, sick, 4 * S);
     assertTrue(sick.quarantined());
--- a/src/test/java/org/dewreach/membership/FleetManagerTest.java
+++ b/src/test/java/org/dewreach/membership/FleetManagerTest.java
@@ -87,14 +87,14 @@
   private void play(long fromMicros, long untilMicros) {
     for (long at = fromMicros; at <= untilMicros; at += S) {
       long now = at;
-      clusterState.machines().values().forEach(machine -> machine.reported(now));
+      clusterState.machines().values().forEach(machine -> machine.recordHeartbeat(now));
       desk.tick(now, List.of(), false);
     }
   }
 
   private void failed(Machine machine, Job job, long atMicros) {
-    job.failedOn(machine.name(), atMicros);
-    machine.faults().erred(job.id());
+    job.recordFailure(machine.name(), atMicros);
+    machine.failures().recordFailure(job.id());
   }
 
   /**
@@ -106,7 +106,7 @@
     Machine machine = machine("m1");
     failed(machine, job("req-1"), S);
     failed(machine, job("req-2"), S);
-    machine.faults().quarantined(S);
+    machine.failures().quarantine(S);
     play(2 * S, 58 * S);
     assertEquals(MachinePhase.UP, machine.phase());
     play(59 * S, 65 * S);
@@ -118,7 +118,7 @@
     Machine machine = machine("m1");
     List<Job> jobs = List.of(job("req-1"), job("req-2"));
     jobs.forEach(job -> failed(machine, job, S));
-    machine.faults().quarantined(S);
+    machine.failures().quarantine(S);
     jobs.forEach(job -> clusterState.markDone(job, 0));
     play(2 * S, 12 * S);
     assertEquals(MachinePhase.TERMINATING, machine.phase());
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -104,7 +104,7 @@
     Machine machine = box("m1", true);
     Job first = job("req-1", 3, true);
     job("req-2", 1, true);
-    machine.directCommands().started(new TaskName("req-1", 0), 7);
+    machine.directCommands().recordStart(new TaskName("req-1", 0), 7);
     placer.pass(S, job -> true, 5 * S);
     assertEquals(Set.of(1, 2), Set.copyOf(first.bound().keySet()));
     assertTrue(clusterState.jobs().get("req-2").hasBound());
@@ -186,7 +186,7 @@
   void aSuspectIsForgivenAfterAWhile() {
     box("m1", true);
     Job job = job("req-1", 1, true);
-    job.failedOn("m1", S);
+    job.recordFailure("m1", S);
     placer.pass(30 * S, each -> true, 5 * S);
     assertEquals(0, job.bound().size());
     placer.pass(62 * S, each -> true, 5 * S);
@@ -198,11 +198,11 @@
   void aJobThatFailsEverywhereIsTriedWithOneTask() {
     box("m1", true);
     Job job = job("req-1", 50, true);
-    job.failedOn("m8", S);
+    job.recordFailure("m8", S);
     placer.pass(2 * S, each -> true, 5 * S);
     assertEquals(10, job.bound().size(), "one machine says little");
     List.copyOf(job.bound().values()).forEach(task -> clusterState.unbind(task, "test", 3 * S));
-    job.failedOn("m9", 3 * S);
+    job.recordFailure("m9", 3 * S);
     assertEquals(List.of(), placer.pass(4 * S, each -> true, 5 * S));
     assertEquals(0, job.bound().size(), "it rests");
     assertEquals(List.of(), placer.pass(6 * S, each -> true, 5 * S));
@@ -220,8 +220,8 @@
   void aTaskThatRunsOnDoesNotKeepADoubtfulJobFromTheNext() {
     box("m1", true);
     Job job = job("req-1", 50, true);
-    job.failedOn("m8", S);
-    job.failedOn("m9", S);
+    job.recordFailure("m8", S);
+    job.recordFailure("m9", S);
     placer.pass(5 * S, each -> true, 5 * S);
     assertEquals(1, job.bound().size());
     placer.pass(34 * S, each -> true, 5 * S);
--- a/src/test/java/org/dewreach/sim/LeaderFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/LeaderFaultCombination.java
@@ -5,7 +5,7 @@
 
 /** Combinations around leaders that change, end or are left alone. */
 enum LeaderFaultCombination implements FaultCombination {
-  /** Guard: {@code RecoveryTracker.allSeen}. */
+  /** Guard: {@code RecoveryTracker.allTasksKnown}. */
   HAND_OVER_AND_BACK {
     @Override
     public void bring(FaultScenario day) {
@@ -33,7 +33,7 @@
     }
   },
 
-  /** Guards: {@code RecoveryTracker.allSeen}, {@code MachineHealthMonitor.leaseSurelyOver}. */
+  /** Guards: {@code RecoveryTracker.allTasksKnown}, {@code MachineHealthMonitor.leaseExpired}. */
   LEADER_ALONE_WITH_WORKERS {
     @Override
     public void bring(FaultScenario day) {
@@ -58,7 +58,7 @@
   },
 
   /**
-   * Guards: {@code RecoveryTracker.allSeen}; seed 1: the leader condition in {@code
+   * Guards: {@code RecoveryTracker.allTasksKnown}; seed 1: the leader condition in {@code
    * CommitQueue.send}.
    */
   TEN_LEADERS {
@@ -101,7 +101,7 @@
     }
   },
 
-  /** Guards: {@code RecoveryTracker.allSeen}, {@code MachineHealthMonitor.leaseSurelyOver}. */
+  /** Guards: {@code RecoveryTracker.allTasksKnown}, {@code MachineHealthMonitor.leaseExpired}. */
   LEADER_ENDS_UNHEARD {
     @Override
     public void bring(FaultScenario day) {
@@ -131,7 +131,7 @@
     }
   },
 
-  /** Guards: {@code RecoveryTracker.allSeen}, {@code MachineHealthMonitor.leaseSurelyOver}. */
+  /** Guards: {@code RecoveryTracker.allTasksKnown}, {@code MachineHealthMonitor.leaseExpired}. */
   AT_THE_LIMIT {
     @Override
     public void bring(FaultScenario day) {
@@ -161,7 +161,7 @@
     }
   },
 
-  /** Guard: {@code RecoveryTracker.allSeen}. */
+  /** Guard: {@code RecoveryTracker.allTasksKnown}. */
   ENDS_FAR_APART {
     @Override
     public void bring(FaultScenario day) {
--- a/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
+++ b/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
@@ -207,7 +207,7 @@
     }
   }
 
-  /** Red without giving up what never came up in {@code MachineHealthMonitor.giveUpIfNeverUp}. */
+  /** Red without giving up what never came up in {@code MachineHealthMonitor.releaseIfNeverUp}. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   @DisplayName("Machines that never come up are returned, and replaced at a bounded rate")
--- a/src/test/java/org/dewreach/sim/StaleMessageTest.java
+++ b/src/test/java/org/dewreach/sim/StaleMessageTest.java
@@ -17,8 +17,8 @@
   /** How a case is brought about, and what shows that it took place. */
   private enum Case implements FaultCombination {
     /**
-     * Guards: {@code RecoveryTracker.allSeen}, {@code MachineHealthMonitor.leaseSurelyOver}; with
-     * seed 10 {@code Task.mayStartLate}.
+     * Guards: {@code RecoveryTracker.allTasksKnown}, {@code MachineHealthMonitor.leaseExpired};
+     * with seed 10 {@code Task.mayStartLate}.
      */
     LATE_COMMANDS {
       @Override
@@ -45,7 +45,7 @@
 
     /**
      * Guards: the sureness in {@code HeartbeatReconciler.take}, {@code Machine.isNewer}, {@code
-     * RecoveryTracker.allSeen}.
+     * RecoveryTracker.allTasksKnown}.
      */
     REPORTS_KEPT_FOR_THE_NEXT_LEADER {
       @Override
@@ -67,7 +67,7 @@
       }
     },
 
-    /** Guards: {@code RecoveryTracker.allSeen}, {@code MachineHealthMonitor.leaseSurelyOver}. */
+    /** Guards: {@code RecoveryTracker.allTasksKnown}, {@code MachineHealthMonitor.leaseExpired}. */
     MACHINES_UP_AT_ONCE {
       @Override
       public void bring(FaultScenario day) {
@@ -100,7 +100,10 @@
       }
     },
 
-    /** Guards: what may run unseen in {@code Dispatcher.pass}, {@code RecoveryTracker.allSeen}. */
+    /**
+     * Guards: what may run unseen in {@code Dispatcher.pass}, {@code
+     * RecoveryTracker.allTasksKnown}.
+     */
     ALL_TEAMS_AT_THE_LIMIT {
       private boolean full;
 
@@ -130,7 +133,7 @@
       }
     },
 
-    /** Guards: {@code MachineHealthMonitor.leaseSurelyOver}, {@code RecoveryTracker.allSeen}. */
+    /** Guards: {@code MachineHealthMonitor.leaseExpired}, {@code RecoveryTracker.allTasksKnown}. */
     ANSWERED_UNDER_PROMISES {
       @Override
       public void bring(FaultScenario day) {
--- a/src/test/java/org/dewreach/sim/StateServiceFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/StateServiceFaultCombination.java
@@ -37,7 +37,7 @@
     }
   },
 
-  /** Guard: {@code MachineHealthMonitor.leaseSurelyOver}, with seed 3. */
+  /** Guard: {@code MachineHealthMonitor.leaseExpired}, with seed 3. */
   CANCELLED_AT_THE_REFUSAL {
     @Override
     public void bring(FaultScenario day) {
@@ -96,7 +96,7 @@
   },
 
   /**
-   * Guards: {@code RecoveryTracker.allSeen}; with seed 2 the mark in {@code
+   * Guards: {@code RecoveryTracker.allTasksKnown}; with seed 2 the mark in {@code
    * CommitQueue.onConflict}.
    */
   LATE_TRANSACTIONS {
--- a/src/test/java/org/dewreach/sim/WorkerFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/WorkerFaultCombination.java
@@ -4,7 +4,7 @@
 
 /** Combinations around workers that are cut off, mute or lost, and around their late messages. */
 enum WorkerFaultCombination implements FaultCombination {
-  /** Guards: {@code MachineHealthMonitor.leaseSurelyOver}, {@code RecoveryTracker.allSeen}. */
+  /** Guards: {@code MachineHealthMonitor.leaseExpired}, {@code RecoveryTracker.allTasksKnown}. */
   CUT_ZONE {
     @Override
     public void bring(FaultScenario day) {
@@ -59,7 +59,7 @@
     }
   },
 
-  /** Guard: {@code MachineHealthMonitor.leaseSurelyOver}. */
+  /** Guard: {@code MachineHealthMonitor.leaseExpired}. */
   MUTE_MACHINES {
     @Override
     public void bring(FaultScenario day) {
@@ -78,7 +78,7 @@
     }
   },
 
-  /** Guards: {@code Machine.isNewer}, {@code RecoveryTracker.allSeen}. */
+  /** Guards: {@code Machine.isNewer}, {@code RecoveryTracker.allTasksKnown}. */
   OLD_REPORTS {
     @Override
     public void bring(FaultScenario day) {
@@ -105,7 +105,7 @@
     }
   },
 
-  /** Guards: {@code Machine.isNewer}, {@code MachineHealthMonitor.leaseSurelyOver}. */
+  /** Guards: {@code Machine.isNewer}, {@code MachineHealthMonitor.leaseExpired}. */
   MORE_WORK_THAN_ROOM {
     @Override
     public void bring(FaultScenario day) {
@@ -126,9 +126,7 @@
     }
   },
 
-  /**
-   * Guards: {@code MachineHealthMonitor.leaseSurelyOver}; with seed 1 {@code Task.mayStartLate}.
-   */
+  /** Guards: {@code MachineHealthMonitor.leaseExpired}; with seed 1 {@code Task.mayStartLate}. */
   HELD_COMMANDS {
     @Override
     public void bring(FaultScenario day) {
@@ -147,7 +145,7 @@
     }
   },
 
-  /** Guard: {@code RecoveryTracker.allSeen}. */
+  /** Guard: {@code RecoveryTracker.allTasksKnown}. */
   HELD_REPORT {
     @Override
     public void bring(FaultScenario day) {
