--- a/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -141,7 +141,7 @@
   /** A machine that nobody expected: a late rental, or one that the list does not show yet. */
   private Machine met(Heartbeat report, long nowMicros) {
     MachineType type = catalog.type(report.type());
-    if (type == null || fleet.isGone(report.machine())) {
+    if (type == null || fleet.isReleased(report.machine())) {
       return null;
     }
     LOG.info("machine {} met through its report", report.machine());
