--- a/src/main/java/org/dewreach/controller/Controller.java
+++ b/src/main/java/org/dewreach/controller/Controller.java
@@ -65,7 +65,7 @@
   private LeadershipTerm term;
   private long now;
   private final UserRequestLimits userLoad = new UserRequestLimits(() -> now);
-  private final PendingHeartbeats waitingReports;
+  private final PendingHeartbeats pendingHeartbeats;
   private long nextSummary;
   private boolean ready;
   private long nextOwnDelegation;
@@ -99,7 +99,7 @@
             boot,
             random,
             this);
-    this.waitingReports = new PendingHeartbeats(settings.limits().maxConnections());
+    this.pendingHeartbeats = new PendingHeartbeats(settings.limits().maxConnections());
     this.delegateRenewer = new DelegateRenewer(outbox, state, settings);
     this.direct =
         new LeaderlessRequestHandler(state, finalStates, catalog, settings, boot, wallOffsetMicros);
@@ -130,8 +130,8 @@
     if (term != null) {
       term.tick(now);
     }
-    if (!waitingReports.isEmpty()) {
-      waitingReports.takeDue(undecided(), now, this::answerReport);
+    if (!pendingHeartbeats.isEmpty()) {
+      pendingHeartbeats.answerDue(undecided(), now, this::answerReport);
     }
     discovery.tick(term != null, forwarder.doubtsLeader(now), now);
     renewDelegations();
@@ -233,8 +233,8 @@
       outbox.respond(request.requestId(), 400, null);
       return;
     }
-    if (undecided() && !waitingReports.full()) {
-      waitingReports.add(request.requestId(), report, now);
+    if (undecided() && !pendingHeartbeats.full()) {
+      pendingHeartbeats.add(request.requestId(), report, now);
     } else {
       answerReport(request.requestId(), report);
     }
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -76,7 +76,7 @@
   private final ClusterStateLoader loader;
   private final RecoveryTracker recovery;
   private final CancellationGate cancellationGate;
-  private final HeartbeatHandler reportReceiver;
+  private final HeartbeatHandler heartbeatHandler;
   private final TermSummary summary;
   private final LeaderlessJobImporter jobImporter;
   private final JobRequestHandler users;
@@ -136,9 +136,9 @@
             number,
             outbox,
             clusterState,
-            this::directReport,
+            this::onDirectReply,
             settings.limits().connectionsToWorkers());
-    this.reportReceiver = newReportReceiver();
+    this.heartbeatHandler = newHeartbeatHandler();
     this.summary = new TermSummary(number, clusterState, queue);
     this.placement =
         new PlacementLoop(
@@ -171,7 +171,7 @@
         wallOffsetMicros);
   }
 
-  private HeartbeatHandler newReportReceiver() {
+  private HeartbeatHandler newHeartbeatHandler() {
     return new HeartbeatHandler(
         number,
         outbox,
@@ -180,7 +180,6 @@
         fleet,
         registry,
         recordWriter,
-        direct,
         () -> phase == Phase.CLOSED);
   }
 
@@ -328,13 +327,13 @@
       outbox.respond(requestId, 503, null);
       return;
     }
-    reportReceiver.take(requestId, report, nowMicros);
+    heartbeatHandler.onHeartbeat(requestId, report, nowMicros);
   }
 
   /** The answer to a direct command; it carries no orders back and extends no lease. */
-  private void directReport(Machine machine, Heartbeat report, long nowMicros) {
+  private void onDirectReply(Machine machine, Heartbeat report, long nowMicros) {
     if (phase != Phase.CLOSED && authority.test(nowMicros)) {
-      reportReceiver.takeDirect(machine, report, nowMicros);
+      heartbeatHandler.onDirectReply(machine, report, nowMicros);
     }
   }
 
--- a/src/main/java/org/dewreach/controller/PlacementLoop.java
+++ b/src/main/java/org/dewreach/controller/PlacementLoop.java
@@ -74,7 +74,7 @@
     if (mayPreempt) {
       preemption.evictIdleConnection(waiting, nowMicros);
     }
-    direct.send(nowMicros);
+    direct.sendPending(nowMicros);
   }
 
   /** A pass looks at all jobs and machines: the more there are, the more changes share one. */
--- a/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
@@ -1,150 +1,115 @@
 package org.dewreach.heartbeat;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
 import org.dewreach.model.DirectStart;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.model.RestartCheck;
 import org.dewreach.model.Task;
 import org.dewreach.model.TaskPhase;
 import org.dewreach.port.Outbox;
-import org.dewreach.port.Target;
 import org.dewreach.state.ClusterState;
-import org.dewreach.wire.Codec;
+import org.dewreach.wire.DirectCommandRequest;
 import org.dewreach.wire.Heartbeat;
 import org.dewreach.wire.JobKind;
-import org.dewreach.wire.MalformedException;
 import org.dewreach.wire.WorkerCommand;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends starts and stops to workers at once, instead of waiting for their next report.
+ * Sends starts and stops to workers at once, instead of waiting for their next heartbeat.
  *
- * <p>Such a command may arrive minutes late, or again. Two things make that harmless. A start
- * without an answer is repeated in report responses until the worker shows the attempt, so the late
- * copy finds the attempt known and has no effect. And an attempt that was ever started directly is
- * not cleared on its worker while the incarnation lasts: a copy that arrives after its exit finds
- * it known as well. Nor is the task placed on that machine again in the incarnation, since a new
- * attempt could take the place of the old one there. So that the reports stay small, only so many
- * attempts of a incarnation are started directly; the others wait for the report.
+ * <p>Such a command may arrive minutes late, or twice. Two things make that harmless. A start
+ * without an answer is repeated in heartbeat responses until the worker reports the attempt, so the
+ * late copy finds the attempt known and has no effect. And an attempt that was ever started
+ * directly is not removed from its worker while the incarnation lasts: a copy that arrives after
+ * its exit finds it known as well. Nor is the task placed on that machine again in the incarnation,
+ * since a new attempt could take the place of the old one there. So that heartbeats stay small,
+ * only so many attempts of an incarnation are started directly; the others wait for the heartbeat.
  */
 public final class DirectCommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(DirectCommandSender.class);
-  private static final long TIMEOUT_MICROS = 2_500_000;
 
-  /**
-   * Direct starts in one incarnation, for services and for other work. A default of this project.
-   */
-  private static final int MAX_SERVICES = 80;
+  /** Direct starts of services in one incarnation. A default of this project. */
+  private static final int MAX_SERVICE_STARTS = 80;
+
+  /** Direct starts of all other tasks in one incarnation. A default of this project. */
+  private static final int MAX_OTHER_STARTS = 40;
 
-  private static final int MAX_OTHERS = 40;
+  /** No further command to a machine for this long after one that it did not answer. */
+  private static final long UNANSWERED_PAUSE_MICROS = WorkerClient.TIMEOUT_MICROS;
 
-  /** Takes the report that answers a command. */
-  public interface Reports {
-    void on(Machine machine, Heartbeat report, long nowMicros);
+  /** Takes the state of a worker that answered a command. */
+  @FunctionalInterface
+  public interface ReplyListener {
+    /** The machine answered with this state, in the form of a heartbeat. */
+    void onDirectReply(Machine machine, Heartbeat heartbeat, long nowMicros);
   }
 
   private final long term;
-  private final Outbox outbox;
+  private final WorkerClient workers;
   private final ClusterState clusterState;
-  private final Reports reports;
-  private final int mostInFlight;
+  private final ReplyListener listener;
+  private final int maxInFlight;
   private int inFlight;
   private boolean closed;
 
   /**
-   * None sent yet.
+   * A sender of one term, which has sent nothing yet.
    *
-   * @param mostInFlight commands on their way at once; what is over waits, for a moment or for the
-   *     machine's next report
+   * @param maxInFlight commands on their way at once; what exceeds it waits, for a moment or for
+   *     the machine's next heartbeat
    */
   public DirectCommandSender(
-      long term, Outbox outbox, ClusterState clusterState, Reports reports, int mostInFlight) {
-    this.mostInFlight = mostInFlight;
+      long term,
+      Outbox outbox,
+      ClusterState clusterState,
+      ReplyListener listener,
+      int maxInFlight) {
     this.term = term;
-    this.outbox = outbox;
+    this.workers = new WorkerClient(outbox);
     this.clusterState = clusterState;
-    this.reports = reports;
+    this.listener = listener;
+    this.maxInFlight = maxInFlight;
   }
 
+  /** The term is over: answers that still come are ignored. */
   public void close() {
     closed = true;
   }
 
-  public void send(long nowMicros) {
+  /** Sends what the cluster state assigned or stopped since the last time. */
+  public void sendPending(long nowMicros) {
     // Only machines with something new: looking at all of them in each pass cost more than placing.
-    Iterator<Machine> it = clusterState.machinesToCommand().iterator();
-    while (it.hasNext() && inFlight < mostInFlight) {
-      Machine machine = it.next();
-      boolean reachable =
-          (machine.phase() == MachinePhase.UP || machine.phase() == MachinePhase.DRAINING)
-              && machine.recorded()
-              && machine.incarnation() >= 0;
-      if (!reachable) {
-        it.remove();
+    Iterator<Machine> machines = clusterState.machinesToCommand().iterator();
+    while (machines.hasNext() && inFlight < maxInFlight) {
+      Machine machine = machines.next();
+      if (!mayCommand(machine)) {
+        machines.remove();
       } else if (!machine.directCommands().inFlight()
           && nowMicros >= machine.directCommands().notBefore()) {
-        it.remove();
-        send(machine, nowMicros);
+        machines.remove();
+        sendPending(machine, nowMicros);
       }
     }
   }
 
-  /**
-   * Asks a machine for its count, after a report that shows an older one and no token.
-   *
-   * <p>Such a report is a late copy of the machine's first, or the first of a worker that restarted
-   * with the same name. The latter would carry out a late copy of a direct start once more; so what
-   * was bound there stays bound until the machine is returned, which is done at once.
-   */
-  void askForCount(Machine machine) {
-    if (machine.restartSuspicion() != RestartCheck.NONE) {
-      return;
-    }
-    machine.restartSuspicion(RestartCheck.CHECKING);
-    long incarnation = machine.incarnation();
-    long sequence = machine.sequence();
-    outbox.call(
-        new Target.Worker(machine.address()),
-        "GET",
-        "/status",
-        null,
-        TIMEOUT_MICROS,
-        (now, status, answer) -> {
-          if (closed || status != 200) {
-            return;
-          }
-          try {
-            Heartbeat report = Heartbeat.parse(answer);
-            boolean lower =
-                report.incarnation() < incarnation
-                    || report.incarnation() == incarnation && report.sequence() < sequence;
-            if (report.machine().equals(machine.name())) {
-              machine.restartSuspicion(lower ? RestartCheck.CONFIRMED : RestartCheck.NONE);
-            }
-          } catch (MalformedException e) {
-            LOG.info("status of {} not understood: {}", machine.name(), e.getMessage());
-          }
-        });
+  private static boolean mayCommand(Machine machine) {
+    return (machine.phase() == MachinePhase.UP || machine.phase() == MachinePhase.DRAINING)
+        && machine.recorded()
+        && machine.incarnation() >= 0;
   }
 
-  private void send(Machine machine, long nowMicros) {
+  private void sendPending(Machine machine, long nowMicros) {
     List<WorkerCommand> commands = new ArrayList<>();
     List<Task> started = new ArrayList<>();
     for (Task task : machine.tasks()) {
-      if (task.phase() == TaskPhase.ASSIGNED && mayStartDirectly(machine, task)) {
+      if (task.phase() == TaskPhase.ASSIGNED && mayStart(machine, task)) {
         commands.add(new WorkerCommand.Start(task.name(), task.attempt()));
         started.add(task);
         machine.directCommands().started(task.name(), task.attempt());
-      } else if (task.phase() == TaskPhase.STOPPING
-          && !task.stopSentDirectly()
-          && task.spec().checkpointMicros() == 0) {
+      } else if (mayStop(task)) {
         task.markStopSentDirectly();
         commands.add(new WorkerCommand.Stop(task.name(), task.attempt(), 0));
       }
@@ -156,51 +121,54 @@
       task.become(TaskPhase.STARTING, nowMicros);
       task.direct(DirectStart.SENT);
     }
-    ObjectNode body = Codec.map().put("warrant", term).put("tenure", machine.incarnation());
-    ArrayNode list = body.putArray("orders");
-    commands.forEach(command -> list.add(command.toNode()));
-    LOG.debug("direct to {}: {}", machine.name(), commands);
-    machine.directCommands().inFlight(true);
-    inFlight++;
-    outbox.call(
-        new Target.Worker(machine.address()),
-        "POST",
-        "/do",
-        body,
-        TIMEOUT_MICROS,
-        (now, status, answer) -> onAnswer(machine, started, now, status, answer));
+    send(machine, commands, started);
   }
 
-  private static boolean mayStartDirectly(Machine machine, Task task) {
-    int most = task.spec().jobKind() == JobKind.SERVICE ? MAX_SERVICES : MAX_OTHERS;
-    return machine.directCommands().starts() < most;
+  private static boolean mayStart(Machine machine, Task task) {
+    boolean service = task.spec().jobKind() == JobKind.SERVICE;
+    return machine.directCommands().starts() < (service ? MAX_SERVICE_STARTS : MAX_OTHER_STARTS);
   }
 
-  private void onAnswer(
-      Machine machine, List<Task> started, long nowMicros, int status, JsonNode answer) {
+  /** A task that saves checkpoints is left to the heartbeat response, which gives it the time. */
+  private static boolean mayStop(Task task) {
+    return task.phase() == TaskPhase.STOPPING
+        && !task.stopSentDirectly()
+        && task.spec().checkpointMicros() == 0;
+  }
+
+  private void send(Machine machine, List<WorkerCommand> commands, List<Task> started) {
+    LOG.debug("direct commands sent: machine={} commands={}", machine.name(), commands);
+    machine.directCommands().inFlight(true);
+    inFlight++;
+    workers.send(
+        machine,
+        new DirectCommandRequest(term, machine.incarnation(), commands),
+        (now, reply) -> onReply(machine, started, reply, now));
+  }
+
+  private void onReply(
+      Machine machine, List<Task> started, WorkerClient.Reply reply, long nowMicros) {
     if (closed) {
       return;
     }
     machine.directCommands().inFlight(false);
     inFlight--;
-    boolean answered = status == 200 || status == 409;
+    boolean answered = !(reply instanceof WorkerClient.Reply.Failed);
     for (Task task : started) {
       task.direct(answered ? DirectStart.ANSWERED : DirectStart.LOST);
     }
-    if (!answered) {
-      LOG.info("machine {}: direct command without answer ({})", machine.name(), status);
-      machine.directCommands().notBefore(nowMicros + TIMEOUT_MICROS);
+    if (reply instanceof WorkerClient.Reply.State state) {
+      listener.onDirectReply(machine, state.heartbeat(), nowMicros);
+    } else if (reply instanceof WorkerClient.Reply.Malformed malformed) {
+      LOG.info(
+          "direct command answer malformed: machine={} cause=\"{}\"",
+          machine.name(),
+          malformed.cause());
+    } else if (reply instanceof WorkerClient.Reply.Failed failed) {
+      LOG.info("direct command unanswered: machine={} status={}", machine.name(), failed.status());
+      machine.directCommands().notBefore(nowMicros + UNANSWERED_PAUSE_MICROS);
       machine.commandUnanswered();
       clusterState.requestPlacement();
-      return;
-    }
-    try {
-      Heartbeat report = Heartbeat.parse(answer);
-      if (report.machine().equals(machine.name())) {
-        reports.on(machine, report, nowMicros);
-      }
-    } catch (MalformedException e) {
-      LOG.info("answer of {} not understood: {}", machine.name(), e.getMessage());
     }
   }
 }
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -1,6 +1,5 @@
 package org.dewreach.heartbeat;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.BooleanSupplier;
 import org.dewreach.membership.FleetManager;
 import org.dewreach.model.Job;
@@ -11,13 +10,14 @@
 import org.dewreach.state.JobRecordWriter;
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
-import org.dewreach.wire.Codec;
 import org.dewreach.wire.Heartbeat;
+import org.dewreach.wire.HeartbeatResponse;
+import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.MachineType;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Receives workers' reports: finds their machines, and sorts out late and repeated ones. */
+/** Receives workers' heartbeats: finds their machines, and sorts out late and repeated ones. */
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
@@ -28,12 +28,12 @@
   private final FleetManager fleet;
   private final MachineRegistry registry;
   private final JobRecordWriter recordWriter;
-  private final DirectCommandSender direct;
   private final BooleanSupplier closed;
-  private final HeartbeatReconciler reports;
+  private final RestartProbe restartProbe;
+  private final HeartbeatReconciler reconciler;
 
   /**
-   * A receiver of one term.
+   * A handler of one term.
    *
    * @param closed tells whether the term is over, which a write may find out at any time
    */
@@ -45,7 +45,6 @@
       FleetManager fleet,
       MachineRegistry registry,
       JobRecordWriter recordWriter,
-      DirectCommandSender direct,
       BooleanSupplier closed) {
     this.term = term;
     this.outbox = outbox;
@@ -54,104 +53,116 @@
     this.fleet = fleet;
     this.registry = registry;
     this.recordWriter = recordWriter;
-    this.direct = direct;
     this.closed = closed;
-    this.reports = new HeartbeatReconciler(term, clusterState);
+    this.restartProbe = new RestartProbe(new WorkerClient(outbox), closed);
+    this.reconciler = new HeartbeatReconciler(term, clusterState);
   }
 
-  /** Takes a report and answers it; the caller has made sure that this term may do so. */
-  public void take(long requestId, Heartbeat report, long nowMicros) {
-    Machine machine = clusterState.machines().get(report.machine());
+  /** Takes in a heartbeat and answers it; the caller has made sure that this term may do so. */
+  public void onHeartbeat(long requestId, Heartbeat heartbeat, long nowMicros) {
+    Machine machine = clusterState.machines().get(heartbeat.machine());
     if (machine == null) {
-      machine = met(report, nowMicros);
-      if (machine == null) {
-        outbox.respond(requestId, 503, null);
-        return;
-      }
+      machine = addUnexpectedMachine(heartbeat, nowMicros);
     }
-    if (machine.phase() == MachinePhase.LOST && report.incarnation() <= machine.incarnation()) {
-      // Held up on the way since before its lease was over.
-      outbox.respond(requestId, 503, null);
+    if (machine == null || isFromLostIncarnation(machine, heartbeat)) {
+      refuse(requestId);
       return;
     }
-    if (!machine.isNewer(report.incarnation(), report.sequence())) {
-      answerStale(requestId, machine, report, nowMicros);
+    if (!machine.isNewer(heartbeat.incarnation(), heartbeat.sequence())) {
+      onStaleHeartbeat(requestId, machine, heartbeat, nowMicros);
       return;
     }
     registry.mark(machine, nowMicros);
-    var response = reports.take(machine, report, true, nowMicros);
-    machine.answered(nowMicros);
-    outbox.respond(requestId, 200, response);
-    pumpExited(report, nowMicros);
+    HeartbeatResponse response = reconciler.onHeartbeat(machine, heartbeat, nowMicros);
+    respond(requestId, machine, response, nowMicros);
+    recordExits(heartbeat, nowMicros);
   }
 
-  /** Answers a report that was held up on the way, or passed by the answer to a direct command. */
-  private void answerStale(long requestId, Machine machine, Heartbeat report, long nowMicros) {
-    if (report.token() == 0 && machine.accountedFor()) {
-      direct.askForCount(machine);
+  /** It was held up on its way since before the lease of that incarnation expired. */
+  private static boolean isFromLostIncarnation(Machine machine, Heartbeat heartbeat) {
+    return machine.phase() == MachinePhase.LOST && heartbeat.incarnation() <= machine.incarnation();
+  }
+
+  /**
+   * Answers a heartbeat that was held up on its way, or passed by the answer to a direct command:
+   * nothing in it is news.
+   */
+  private void onStaleHeartbeat(
+      long requestId, Machine machine, Heartbeat heartbeat, long nowMicros) {
+    if (heartbeat.token() == 0 && machine.accountedFor()) {
+      restartProbe.probe(machine);
     }
-    // Held up on the way, or passed by the answer to a direct command: nothing in it is news.
     if (fleet.isSilent(machine, nowMicros)) {
-      // Only copies are left of it, or its worker restarted with an old count: an answer would
-      // keep that alive without end.
-      outbox.respond(requestId, 503, null);
+      // Only copies are left of it, or its worker restarted with an old sequence number: an answer
+      // would keep that alive without end.
+      refuse(requestId);
       return;
     }
-    // The worker may still wait for the answer, and its lease counts from the sending.
-    machine.answered(nowMicros);
-    outbox.respond(requestId, 200, noOrders());
+    // The worker may still wait for the answer.
+    respond(requestId, machine, HeartbeatResponse.withoutCommands(term), nowMicros);
   }
 
-  private ObjectNode noOrders() {
-    ObjectNode answer = Codec.map().put("warrant", term);
-    answer.putArray("orders");
-    return answer;
+  private void refuse(long requestId) {
+    outbox.respond(requestId, HttpStatus.UNAVAILABLE, null);
   }
 
-  /** The answer to a direct command; it carries no orders back and extends no lease. */
-  public void takeDirect(Machine machine, Heartbeat report, long nowMicros) {
-    if (machine.phase() != MachinePhase.GONE
-        && (machine.phase() != MachinePhase.LOST || report.incarnation() > machine.incarnation())
-        && machine.isNewer(report.incarnation(), report.sequence())) {
-      if (report.incarnation() > machine.incarnation()) {
-        // Guards against taking the lease of this incarnation for over with that of the one before:
-        // it
-        // began without any answer of ours, at the latest now.
-        machine.answered(nowMicros);
-      }
-      reports.take(machine, report, false, nowMicros);
-      pumpExited(report, nowMicros);
+  private void respond(
+      long requestId, Machine machine, HeartbeatResponse response, long nowMicros) {
+    // The worker's lease runs from this answer at the latest.
+    machine.answered(nowMicros);
+    outbox.respond(requestId, HttpStatus.OK, response.toNode());
+  }
+
+  /**
+   * Takes in the state with which a worker answered a direct command. That renews no lease, and no
+   * commands go back.
+   */
+  public void onDirectReply(Machine machine, Heartbeat heartbeat, long nowMicros) {
+    if (machine.phase() == MachinePhase.GONE
+        || isFromLostIncarnation(machine, heartbeat)
+        || !machine.isNewer(heartbeat.incarnation(), heartbeat.sequence())) {
+      return;
     }
+    if (heartbeat.incarnation() > machine.incarnation()) {
+      // Guards against taking the lease of this incarnation for expired with that of the one
+      // before: it began without any answer of ours, at the latest now.
+      machine.answered(nowMicros);
+    }
+    reconciler.onDirectReply(machine, heartbeat, nowMicros);
+    recordExits(heartbeat, nowMicros);
   }
 
-  private void pumpExited(Heartbeat report, long nowMicros) {
-    for (Heartbeat.TaskStatus task : report.tasks()) {
-      if (task.state() == Heartbeat.TaskState.EXITED) {
-        Job job = clusterState.jobs().get(task.name().jobId());
-        if (job != null) {
-          recordWriter.pump(job, nowMicros);
-          if (closed.getAsBoolean()) {
-            return;
-          }
+  /** Writes the records of the jobs whose tasks have exited, as far as that is due. */
+  private void recordExits(Heartbeat heartbeat, long nowMicros) {
+    for (Heartbeat.TaskStatus task : heartbeat.tasks()) {
+      Job job = clusterState.jobs().get(task.name().jobId());
+      if (task.state() == Heartbeat.TaskState.EXITED && job != null) {
+        recordWriter.pump(job, nowMicros);
+        if (closed.getAsBoolean()) {
+          return;
         }
       }
     }
   }
 
-  /** A machine that nobody expected: a late rental, or one that the list does not show yet. */
-  private Machine met(Heartbeat report, long nowMicros) {
-    MachineType type = catalog.type(report.type());
-    if (type == null || fleet.isGone(report.machine())) {
+  /**
+   * Adds a machine that nobody expected: it was rented late, or the cloud does not list it yet.
+   *
+   * @return null if its type is unknown, or the machine is known to be gone
+   */
+  private Machine addUnexpectedMachine(Heartbeat heartbeat, long nowMicros) {
+    MachineType type = catalog.type(heartbeat.type());
+    if (type == null || fleet.isGone(heartbeat.machine())) {
       return null;
     }
-    LOG.info("machine {} met through its report", report.machine());
+    LOG.info("unexpected machine found by its heartbeat: machine={}", heartbeat.machine());
     Machine machine =
         new Machine(
-            report.machine(),
-            report.address(),
+            heartbeat.machine(),
+            heartbeat.address(),
             type,
-            report.zone(),
-            report.spot(),
+            heartbeat.zone(),
+            heartbeat.spot(),
             MachinePhase.BOOTING,
             nowMicros);
     machine.requireToken();
--- a/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
+++ b/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
@@ -5,53 +5,62 @@
 import org.dewreach.wire.Heartbeat;
 
 /**
- * Workers' reports that came while it was being decided who leads.
+ * Heartbeats that came while it is being decided who leads.
  *
- * <p>A worker that is turned away tries the next node a second later; after the end of all
- * controllers that took it past the end of its lease. A moment later it can be answered, or told
- * where to go.
+ * <p>A worker that is refused tries the next node a second later; after the end of all controllers
+ * that took it past the end of its lease. A moment later it can be answered, or redirected.
  */
 public final class PendingHeartbeats {
   /** Well within the 4 s that a worker waits. A default of this project. */
   private static final long MAX_WAIT_MICROS = 1_500_000;
 
-  private record Waiting(long requestId, Heartbeat report, long sinceMicros) {}
+  private record Pending(long requestId, Heartbeat heartbeat, long sinceMicros) {}
 
-  /** Answers a report. */
+  /** Answers a heartbeat. */
+  @FunctionalInterface
   public interface Answerer {
-    void answer(long requestId, Heartbeat report);
+    /** Answers the request with which the heartbeat came. */
+    void answer(long requestId, Heartbeat heartbeat);
   }
 
-  private final int most;
-  private final Deque<Waiting> waiting = new ArrayDeque<>();
+  private final int capacity;
+  private final Deque<Pending> pending = new ArrayDeque<>();
 
   /**
-   * None waits yet.
+   * An empty queue.
    *
-   * @param most reports at once; a connection carries one at a time, so no more than connections
+   * @param capacity heartbeats at once; a connection carries one at a time, so no more than
+   *     connections
    */
-  public PendingHeartbeats(int most) {
-    this.most = most;
+  public PendingHeartbeats(int capacity) {
+    this.capacity = capacity;
   }
 
+  /** True if no more heartbeats may be added. */
   public boolean full() {
-    return waiting.size() >= most;
+    return pending.size() >= capacity;
   }
 
+  /** True if no heartbeat waits. */
   public boolean isEmpty() {
-    return waiting.isEmpty();
+    return pending.isEmpty();
   }
 
-  public void add(long requestId, Heartbeat report, long nowMicros) {
-    waiting.add(new Waiting(requestId, report, nowMicros));
+  /** Adds a heartbeat to those that wait. */
+  public void add(long requestId, Heartbeat heartbeat, long nowMicros) {
+    pending.add(new Pending(requestId, heartbeat, nowMicros));
   }
 
-  /** Hands over what need not or must not wait any longer. */
-  public void takeDue(boolean undecided, long nowMicros, Answerer answerer) {
-    while (!waiting.isEmpty()
-        && (!undecided || nowMicros - waiting.peek().sinceMicros() >= MAX_WAIT_MICROS)) {
-      Waiting next = waiting.poll();
-      answerer.answer(next.requestId(), next.report());
+  /**
+   * Answers what need not or must not wait any longer.
+   *
+   * @param undecided true if it is still not known who leads
+   */
+  public void answerDue(boolean undecided, long nowMicros, Answerer answerer) {
+    while (!pending.isEmpty()
+        && (!undecided || nowMicros - pending.peek().sinceMicros() >= MAX_WAIT_MICROS)) {
+      Pending next = pending.poll();
+      answerer.answer(next.requestId(), next.heartbeat());
     }
   }
 }
--- /dev/null
+++ b/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
@@ -0,0 +1,92 @@
+package org.dewreach.heartbeat;
+
+import org.dewreach.membership.MachineDrainer;
+import org.dewreach.model.Job;
+import org.dewreach.model.Machine;
+import org.dewreach.model.MachinePhase;
+import org.dewreach.state.ClusterState;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Attributes the failures of tasks to their job or to their machine, and quarantines the latter.
+ */
+final class QuarantinePolicy {
+  private static final Logger LOG = LoggerFactory.getLogger(QuarantinePolicy.class);
+
+  /** A machine on which tasks of this many jobs failed in a row is not given more. */
+  private static final int MAX_FAILED_JOBS = 2;
+
+  /** Nor one on which this many tasks failed in a row of a job that completes them elsewhere. */
+  private static final int MAX_FAILURES = 3;
+
+  private final ClusterState clusterState;
+
+  QuarantinePolicy(ClusterState clusterState) {
+    this.clusterState = clusterState;
+  }
+
+  /** A task completed on the machine: what failed there before says nothing about it. */
+  void onTaskSucceeded(Machine machine) {
+    machine.faults().worked();
+  }
+
+  /** A task of the job failed on the machine. */
+  void onTaskFailed(Machine machine, Job job, long nowMicros) {
+    job.failedOn(machine.name(), nowMicros);
+    if (job.suspect()) {
+      absolveMachines(job, nowMicros);
+      return;
+    }
+    machine.faults().erred(job.id());
+    if (isFaulty(machine, job) && !machine.quarantined()) {
+      LOG.info(
+          "machine quarantined: machine={} failedTasks={}",
+          machine.name(),
+          machine.faults().errors());
+      machine.faults().quarantined(nowMicros);
+    }
+  }
+
+  /** One job's failures tell as much only where its other tasks have completed elsewhere. */
+  private static boolean isFaulty(Machine machine, Job job) {
+    return machine.faults().jobs().size() >= MAX_FAILED_JOBS
+        || machine.faults().errors() >= MAX_FAILURES && job.doneCount() > 0;
+  }
+
+  /**
+   * A job that fails wherever it goes says nothing about the machines.
+   *
+   * <p>Guards against healthy machines that are quarantined, and rented again, because two jobs
+   * with a mistake met there.
+   */
+  private void absolveMachines(Job job, long nowMicros) {
+    for (String name : job.suspects(nowMicros)) {
+      Machine machine = clusterState.machines().get(name);
+      boolean blamed = machine != null && machine.faults().jobs().remove(job.id());
+      if (blamed && machine.quarantined() && !isFaulty(machine, job)) {
+        LOG.info("machine quarantine ended: machine={} failingJob={}", name, job.id());
+        machine.faults().endQuarantine();
+        stopDraining(machine, nowMicros);
+        clusterState.requestPlacement();
+      }
+    }
+  }
+
+  /**
+   * A machine that only drains because it was quarantined takes tasks again.
+   *
+   * <p>Guards against a machine that is cleared once {@link MachineDrainer} has begun to drain it:
+   * it was given nothing, and never returned, until the term ended.
+   */
+  private static void stopDraining(Machine machine, long nowMicros) {
+    if (machine.phase() == MachinePhase.DRAINING && machine.reclaimAt() < 0) {
+      LOG.info(
+          "machine phase changed: machine={} from={} to={}",
+          machine.name(),
+          machine.phase(),
+          MachinePhase.UP);
+      machine.become(MachinePhase.UP, nowMicros);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/dewreach/heartbeat/RestartProbe.java
@@ -0,0 +1,61 @@
+package org.dewreach.heartbeat;
+
+import java.util.function.BooleanSupplier;
+import org.dewreach.model.Machine;
+import org.dewreach.model.RestartCheck;
+import org.dewreach.wire.Heartbeat;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Finds out whether a worker restarted under the same name and lost what it knew. */
+final class RestartProbe {
+  private static final Logger LOG = LoggerFactory.getLogger(RestartProbe.class);
+
+  private final WorkerClient workers;
+  private final BooleanSupplier closed;
+
+  /**
+   * A probe of one term.
+   *
+   * @param closed tells whether the term is over
+   */
+  RestartProbe(WorkerClient workers, BooleanSupplier closed) {
+    this.workers = workers;
+    this.closed = closed;
+  }
+
+  /**
+   * Asks a machine for its sequence number, after a heartbeat that shows an older one and no token.
+   *
+   * <p>Such a heartbeat is a late copy of the machine's first, or the first of a worker that
+   * restarted under the same name. The latter would carry out a late copy of a direct start once
+   * more; so what was bound there stays bound until the machine is returned, which is done at once.
+   */
+  void probe(Machine machine) {
+    if (machine.restartSuspicion() != RestartCheck.NONE) {
+      return;
+    }
+    machine.restartSuspicion(RestartCheck.CHECKING);
+    long incarnation = machine.incarnation();
+    long sequence = machine.sequence();
+    workers.readState(machine, (now, reply) -> onReply(machine, incarnation, sequence, reply));
+  }
+
+  private void onReply(Machine machine, long incarnation, long sequence, WorkerClient.Reply reply) {
+    if (closed.getAsBoolean()) {
+      return;
+    }
+    if (reply instanceof WorkerClient.Reply.State state) {
+      boolean older = isOlder(state.heartbeat(), incarnation, sequence);
+      machine.restartSuspicion(older ? RestartCheck.CONFIRMED : RestartCheck.NONE);
+    } else {
+      // The machine stays under suspicion, and is not asked again in this term.
+      LOG.info("restart probe failed: machine={} reply={}", machine.name(), reply);
+    }
+  }
+
+  private static boolean isOlder(Heartbeat heartbeat, long incarnation, long sequence) {
+    return heartbeat.incarnation() < incarnation
+        || heartbeat.incarnation() == incarnation && heartbeat.sequence() < sequence;
+  }
+}
--- a/src/main/java/org/dewreach/wire/Heartbeat.java
+++ b/src/main/java/org/dewreach/wire/Heartbeat.java
@@ -7,7 +7,8 @@
 import java.util.List;
 
 /**
- * A worker's report (`POST /hello`).
+ * A worker's heartbeat (`POST /hello`); the answers to direct commands and to `GET /status` have
+ * the same form.
  *
  * @param machine the machine's unique name
  * @param address where the worker takes commands
@@ -15,8 +16,8 @@
  * @param zone where the machine is
  * @param spot true if the cloud may take the machine away
  * @param incarnation increases each time the worker's lease expires
- * @param sequence orders the reports of one incarnation
- * @param token the highest token the worker has seen
+ * @param sequence orders the heartbeats of one incarnation
+ * @param token the highest fencing token that the worker has seen, or 0
  * @param reclaimMicros time until the cloud takes the machine away, or -1
  * @param tasks what the worker knows of, exited tasks included
  */
@@ -62,11 +63,18 @@
     NO_SUCH
   }
 
-  /** One task of a report. */
+  /**
+   * One task of a heartbeat.
+   *
+   * @param name the task
+   * @param attempt its attempt number
+   * @param state what it is doing
+   * @param cause why it exited; {@link Cause#NONE} if it has not
+   */
   public record TaskStatus(TaskName name, long attempt, TaskState state, Cause cause) {}
 
   /**
-   * Parses the body of a report.
+   * Parses the body of a heartbeat.
    *
    * @throws MalformedException if a field is missing, of the wrong type or out of range
    */
@@ -88,41 +96,44 @@
         Fields.count(map, "tenure", 0, Long.MAX_VALUE),
         Fields.count(map, "tally", 0, Long.MAX_VALUE),
         Fields.count(map, "warrant", 0, Long.MAX_VALUE),
-        recall(map),
+        reclaimMicros(map),
         tasks);
   }
 
-  /** A time that has passed already is none left, not a report to be turned away. */
-  private static long recall(ObjectNode map) throws MalformedException {
+  /** Guards against refusing the heartbeats of a machine whose reclaim time has passed: it is 0. */
+  private static long reclaimMicros(ObjectNode map) throws MalformedException {
     boolean passed = map.path("recall_s").isNumber() && map.path("recall_s").doubleValue() < 0;
     return passed ? 0 : Fields.microsOrNone(map, "recall_s");
   }
 
   private static TaskStatus task(ObjectNode map) throws MalformedException {
-    TaskState state =
-        switch (Fields.text(map, "standing")) {
-          case "running" -> TaskState.RUNNING;
-          case "flushing" -> TaskState.SAVING;
-          case "exited" -> TaskState.EXITED;
-          // A state that this version does not know still occupies the machine.
-          default -> TaskState.PULLING;
-        };
-    Cause cause = Cause.NONE;
-    if (state == TaskState.EXITED) {
-      cause =
-          switch (String.valueOf(Fields.textOrNull(map, "cause"))) {
-            case "done" -> Cause.DONE;
-            case "error" -> Cause.ERROR;
-            case "full" -> Cause.FULL;
-            case "in_use" -> Cause.IN_USE;
-            case "no_such" -> Cause.NO_SUCH;
-            default -> Cause.STOPPED;
-          };
-    }
+    TaskState state = state(Fields.text(map, "standing"));
+    Cause cause = state == TaskState.EXITED ? cause(Fields.textOrNull(map, "cause")) : Cause.NONE;
     return new TaskStatus(
         TaskName.parse(Fields.text(map, "piece")),
         Fields.count(map, "try", 0, Long.MAX_VALUE),
         state,
         cause);
   }
+
+  private static TaskState state(String word) {
+    return switch (word) {
+      case "running" -> TaskState.RUNNING;
+      case "flushing" -> TaskState.SAVING;
+      case "exited" -> TaskState.EXITED;
+      // A state that this version does not know still occupies the machine.
+      default -> TaskState.PULLING;
+    };
+  }
+
+  private static Cause cause(String wordOrNull) {
+    return switch (String.valueOf(wordOrNull)) {
+      case "done" -> Cause.DONE;
+      case "error" -> Cause.ERROR;
+      case "full" -> Cause.FULL;
+      case "in_use" -> Cause.IN_USE;
+      case "no_such" -> Cause.NO_SUCH;
+      default -> Cause.STOPPED;
+    };
+  }
 }
--- a/src/main/java/org/dewreach/wire/WorkerCommand.java
+++ b/src/main/java/org/dewreach/wire/WorkerCommand.java
@@ -1,19 +1,26 @@
 package org.dewreach.wire;
 
+import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
 
 /** A command to a worker. */
 public sealed interface WorkerCommand {
   /** The task that the command is about. */
   TaskName task();
 
-  /** The attempt that the command is about; others are not touched. */
+  /** The attempt that the command is about; other attempts of the task are not affected. */
   long attempt();
 
   /** The command as a worker reads it. */
   ObjectNode toNode();
 
-  /** Start a task. Has no effect if the worker knows this attempt already. */
+  /**
+   * Start a task. Has no effect if the worker knows this attempt already.
+   *
+   * @param task the task
+   * @param attempt its attempt number
+   */
   record Start(TaskName task, long attempt) implements WorkerCommand {
     @Override
     public ObjectNode toNode() {
@@ -21,7 +28,13 @@
     }
   }
 
-  /** Stop a task, leaving it the given time to save. */
+  /**
+   * Stop a task.
+   *
+   * @param task the task
+   * @param attempt its attempt number
+   * @param graceMicros how long the task may take to save its checkpoint before it is killed
+   */
   record Stop(TaskName task, long attempt, long graceMicros) implements WorkerCommand {
     @Override
     public ObjectNode toNode() {
@@ -29,7 +42,12 @@
     }
   }
 
-  /** Remove an exited task from the reports. */
+  /**
+   * Remove an exited task from the heartbeats.
+   *
+   * @param task the task
+   * @param attempt its attempt number
+   */
   record Remove(TaskName task, long attempt) implements WorkerCommand {
     @Override
     public ObjectNode toNode() {
@@ -37,6 +55,12 @@
     }
   }
 
+  /** Adds the list of commands to a message to a worker. */
+  static void putAll(ObjectNode message, List<WorkerCommand> commands) {
+    ArrayNode list = message.putArray("orders");
+    commands.forEach(command -> list.add(command.toNode()));
+  }
+
   private static ObjectNode base(String verb, WorkerCommand command) {
     return Codec.map()
         .put("verb", verb)
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -1,5 +1,7 @@
 package org.dewreach.heartbeat;
 
+import static org.dewreach.testing.ClusterFixture.S;
+import static org.dewreach.testing.ClusterFixture.TERM;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,74 +9,39 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import java.util.Map;
-import org.dewreach.config.Settings;
-import org.dewreach.config.Tuning;
 import org.dewreach.model.Job;
 import org.dewreach.model.JobPhase;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.model.TaskPhase;
 import org.dewreach.state.ClusterState;
+import org.dewreach.testing.ClusterFixture;
+import org.dewreach.testing.JobSpecBuilder;
 import org.dewreach.wire.Codec;
 import org.dewreach.wire.Heartbeat;
 import org.dewreach.wire.Heartbeat.Cause;
 import org.dewreach.wire.Heartbeat.TaskState;
 import org.dewreach.wire.Heartbeat.TaskStatus;
-import org.dewreach.wire.JobKind;
-import org.dewreach.wire.JobSpec;
+import org.dewreach.wire.HeartbeatResponse;
 import org.dewreach.wire.MachineType;
-import org.dewreach.wire.Priority;
 import org.dewreach.wire.TaskName;
+import org.dewreach.wire.WorkerCommand;
 import org.junit.jupiter.api.Test;
 
-/** What a report proves, and what it does not. */
+/** What a heartbeat proves, and what it does not: {@link HeartbeatReconciler}. */
 class HeartbeatReconcilerTest {
-  private static final long TERM = 90;
-  private static final long S = 1_000_000;
-  private static final MachineType TYPE =
-      new MachineType("box", 8, 0, 32, 50, 1, 1, 0.3, 5 * S, List.of("a"));
+  private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
 
-  private final ClusterState clusterState =
-      new ClusterState(
-          TERM, Map.of("red", new Settings.Team("red", 10, 100, 0, 0)), Tuning.DEFAULT);
-  private final HeartbeatReconciler desk = new HeartbeatReconciler(TERM, clusterState);
-  private final Job job =
-      new Job(
-          new JobSpec(
-              "req-000001",
-              "scan",
-              "red",
-              JobKind.ARRAY,
-              Priority.NORMAL,
-              4,
-              1,
-              0,
-              1,
-              "img",
-              1,
-              null,
-              null,
-              false,
-              false,
-              true,
-              10 * S,
-              0,
-              0,
-              -1),
-          0,
-          false,
-          JobPhase.ACTIVE);
+  private final ClusterFixture cluster = new ClusterFixture(10, 100);
+  private final ClusterState clusterState = cluster.state();
+  private final HeartbeatReconciler reconciler = new HeartbeatReconciler(TERM, clusterState);
+  private final Job job = cluster.loaded(JobSpecBuilder.array("req-000001").tasks(4).build());
 
   private Machine machine(String name, MachinePhase phase) {
-    Machine machine = new Machine(name, "", TYPE, "a", false, phase, 0);
-    machine.recorded(true);
-    clusterState.add(machine);
-    clusterState.jobs().put(job.id(), job);
-    return machine;
+    return cluster.add(ClusterFixture.newMachine(name, TYPE, false, phase));
   }
 
-  private static Heartbeat report(
+  private static Heartbeat heartbeat(
       Machine machine, long incarnation, long sequence, long token, TaskStatus... tasks) {
     return new Heartbeat(
         machine.name(), "x:1", "box", "a", false, incarnation, sequence, token, -1, List.of(tasks));
@@ -86,90 +53,96 @@
 
   /** Guards against a copy that binds a task where it no longer is, so that it is stopped. */
   @Test
-  void aReportOfAnEarlierTermBindsNothing() {
+  void aHeartbeatWithATokenOfAnEarlierTermBindsNothing() {
     Machine machine = machine("m1", MachinePhase.UNKNOWN);
-    desk.take(machine, report(machine, 1, 5, 60, shown(0, TaskState.RUNNING, Cause.NONE)), true, S);
+    reconciler.onHeartbeat(
+        machine, heartbeat(machine, 1, 5, 60, shown(0, TaskState.RUNNING, Cause.NONE)), S);
     assertEquals(0, job.bound().size());
     assertEquals(MachinePhase.UNCONFIRMED, machine.phase());
     assertFalse(machine.accountedFor());
-    desk.take(
-        machine, report(machine, 1, 9, TERM, shown(0, TaskState.RUNNING, Cause.NONE)), true, 2 * S);
+    reconciler.onHeartbeat(
+        machine, heartbeat(machine, 1, 9, TERM, shown(0, TaskState.RUNNING, Cause.NONE)), 2 * S);
     assertEquals(1, job.bound().size(), "now it is surely there");
     assertEquals(MachinePhase.UP, machine.phase());
   }
 
   /** What was completed stays completed, however old the report is. */
   @Test
-  void aReportOfAnEarlierTermTellsOfCompletedTasks() {
+  void aHeartbeatWithATokenOfAnEarlierTermProvesCompletedTasks() {
     Machine machine = machine("m1", MachinePhase.UNKNOWN);
-    desk.take(machine, report(machine, 1, 5, 60, shown(2, TaskState.EXITED, Cause.DONE)), true, S);
+    reconciler.onHeartbeat(
+        machine, heartbeat(machine, 1, 5, 60, shown(2, TaskState.EXITED, Cause.DONE)), S);
     assertTrue(job.done().get(2));
   }
 
-  /** Guards against a ghost: the first report of a machine that was returned long ago. */
+  /** Guards against a late copy: the first heartbeat of a machine that was returned long ago. */
   @Test
-  void aMachineThatNobodyExpectedHasToProveItself() {
+  void anUnexpectedMachineIsUsedOnceItShowsOurToken() {
     Machine machine = machine("ghost", MachinePhase.BOOTING);
     machine.requireToken();
-    desk.take(machine, report(machine, 1, 1, 0), true, S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
     assertFalse(machine.schedulable());
-    desk.take(machine, report(machine, 1, 2, TERM), true, 2 * S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM), 2 * S);
     assertTrue(machine.schedulable());
   }
 
   /** Guards against placing tasks again and again where no command arrives. */
   @Test
-  void aMachineThatTakesNoAnswersIsGivenNothingNew() {
+  void aMachineThatReceivesNoResponsesIsGivenNothingNew() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
-    desk.take(machine, report(machine, 1, 1, 0), true, S);
-    desk.take(machine, report(machine, 1, 2, TERM), true, 2 * S);
-    clusterState.bind(job, 0, clusterState.nextAttempt(), machine, TaskPhase.ASSIGNED, 3 * S);
-    desk.take(machine, report(machine, 1, 3, TERM), true, 4 * S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM), 2 * S);
+    cluster.bind(job, 0, machine, TaskPhase.ASSIGNED, 3 * S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 3, TERM), 4 * S);
     assertEquals(TaskPhase.STARTING, job.bound().get(0).phase());
-    desk.take(machine, report(machine, 1, 4, TERM), true, 9 * S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 4, TERM), 9 * S);
     assertTrue(machine.schedulable(), "once may be chance");
-    desk.take(machine, report(machine, 1, 5, TERM), true, 14 * S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 5, TERM), 14 * S);
     assertTrue(machine.missesReplies());
     assertFalse(machine.schedulable());
     assertEquals(1, job.bound().size(), "the start may still come, so the task stays bound");
-    desk.take(machine, report(machine, 2, 1, TERM), true, 20 * S);
-    assertEquals(0, job.bound().size(), "its session is over, and all that was in it");
+    reconciler.onHeartbeat(machine, heartbeat(machine, 2, 1, TERM), 20 * S);
+    assertEquals(0, job.bound().size(), "its incarnation is over, and all that was in it");
   }
 
   /**
-   * Guards against a task that runs twice, seed 1012 of the drawn days: the answer to a direct
-   * command passes the response with the start on its way, and lacks the task.
+   * Guards against a task that runs twice, found with seed 1012 of the random days: the answer to a
+   * direct command passes the response with the start on its way, and lacks the task.
    */
   @Test
   void theAnswerToADirectCommandDoesNotProveThatAStartWasLost() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
-    desk.take(machine, report(machine, 1, 1, 0), true, S);
-    clusterState.bind(job, 0, clusterState.nextAttempt(), machine, TaskPhase.ASSIGNED, 2 * S);
-    desk.take(machine, report(machine, 1, 2, TERM), true, 3 * S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
+    cluster.bind(job, 0, machine, TaskPhase.ASSIGNED, 2 * S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM), 3 * S);
     clusterState.stop(job.bound().get(0), "not wanted", 3 * S);
-    desk.take(machine, report(machine, 1, 3, TERM), false, 3 * S + 1);
+    reconciler.onDirectReply(machine, heartbeat(machine, 1, 3, TERM), 3 * S + 1);
     assertEquals(1, job.bound().size(), "the response with its start may still arrive");
-    desk.take(machine, report(machine, 1, 4, TERM), true, 4 * S);
-    assertEquals(0, job.bound().size(), "this report was sent after that response");
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 4, TERM), 4 * S);
+    assertEquals(0, job.bound().size(), "this heartbeat was sent after that response");
   }
 
-  /** A start that was sent since the report before may have passed this report on its way. */
+  /** A start sent since the previous heartbeat may have passed this one on its way. */
   @Test
-  void aStartSentMeanwhileSaysNothing() {
+  void aStartSentSinceThePreviousHeartbeatIsNotMissedYet() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
-    desk.take(machine, report(machine, 1, 1, 0), true, S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
     for (int i = 0; i < 4; i++) {
-      clusterState
-          .bind(job, i, clusterState.nextAttempt(), machine, TaskPhase.ASSIGNED, (2 + i) * S)
+      cluster
+          .bind(job, i, machine, TaskPhase.ASSIGNED, (2 + i) * S)
           .become(TaskPhase.STARTING, (2 + i) * S);
-      desk.take(machine, report(machine, 1, 2 + i, TERM, started(i)), true, (2 + i) * S + 1);
+      reconciler.onHeartbeat(
+          machine, heartbeat(machine, 1, 2 + i, TERM, started(i)), (2 + i) * S + 1);
     }
     assertFalse(machine.missesReplies());
   }
 
-  /** Guards against a response that outgrows its limit when a machine shows a thousand strays. */
+  /**
+   * Guards against a response that outgrows its limit when a machine reports a thousand unknown
+   * tasks.
+   */
   @Test
-  void aReportAtTheSizeLimitIsAnsweredWithinIt() throws Exception {
+  void aHeartbeatAtTheSizeLimitIsAnsweredWithinIt() throws Exception {
     Machine machine = machine("m1", MachinePhase.BOOTING);
     ObjectNode body = Codec.map().put("host", "m1").put("address", "x:1").put("build", "box");
     body.put("site", "a").put("loaners", false).put("tenure", 1).put("tally", 1);
@@ -183,9 +156,10 @@
           .put("try", 1)
           .put("standing", "running");
     }
-    ObjectNode response = desk.take(machine, Heartbeat.parse(body), true, S);
-    assertTrue(response.path("orders").size() > 0);
-    assertTrue(response.toString().length() < 64 * 1024, "bytes: " + response.toString().length());
+    HeartbeatResponse response = reconciler.onHeartbeat(machine, Heartbeat.parse(body), S);
+    assertTrue(response.commands().size() > 0);
+    int bytes = response.toNode().toString().length();
+    assertTrue(bytes < 64 * 1024, "bytes: " + bytes);
     assertEquals(0, machine.tasks().size());
   }
 
@@ -205,101 +179,70 @@
 
   /** Guards against leases renewed by a new leader while what was cancelled runs on. */
   @Test
-  void whatIsCancelledIsStoppedFromTheFirstHeartbeatOn() {
+  void tasksOfACancelledJobAreStoppedFromTheFirstHeartbeatOn() {
     Machine machine = machine("m1", MachinePhase.UNKNOWN);
     job.become(JobPhase.CANCEL_REQUESTED);
     job.become(JobPhase.CANCEL_COMMITTING);
     job.become(JobPhase.CANCELLED);
-    ObjectNode answer =
-        desk.take(
-            machine, report(machine, 1, 5, 60, shown(0, TaskState.RUNNING, Cause.NONE)), true, S);
-    assertEquals(1, answer.path("orders").size());
-    assertEquals("halt", answer.path("orders").path(0).path("verb").asText());
-    assertEquals(0, job.bound().size(), "the report may be old: it binds nothing");
+    HeartbeatResponse response =
+        reconciler.onHeartbeat(
+            machine, heartbeat(machine, 1, 5, 60, shown(0, TaskState.RUNNING, Cause.NONE)), S);
+    assertEquals(
+        List.of(new WorkerCommand.Stop(new TaskName(job.id(), 0), 7, 0)), response.commands());
+    assertEquals(0, job.bound().size(), "the heartbeat may be old: it binds nothing");
   }
 
   /** Guards against a result that is lost with the leader while the end of its job is written. */
   @Test
-  void aResultIsKeptUntilItIsDurable() {
+  void aResultStaysReportedUntilItIsDurable() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
-    desk.take(machine, report(machine, 1, 1, 0), true, S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
     for (int i = 0; i < 4; i++) {
       clusterState.markDone(job, i);
     }
     job.become(JobPhase.FINALIZING);
     TaskStatus done = shown(3, TaskState.EXITED, Cause.DONE);
-    ObjectNode answer = desk.take(machine, report(machine, 1, 2, TERM, done), true, 2 * S);
-    assertEquals(0, answer.path("orders").size(), "not cleared yet");
+    HeartbeatResponse response =
+        reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM, done), 2 * S);
+    assertEquals(List.of(), response.commands(), "not removed yet");
     clusterState.jobs().remove(job.id());
-    answer = desk.take(machine, report(machine, 1, 3, TERM, done), true, 3 * S);
-    assertEquals("clear", answer.path("orders").path(0).path("verb").asText());
+    response = reconciler.onHeartbeat(machine, heartbeat(machine, 1, 3, TERM, done), 3 * S);
+    assertEquals(
+        List.of(new WorkerCommand.Remove(new TaskName(job.id(), 3), 7)), response.commands());
   }
 
   /** Guards against a machine that is kept by answers to commands while it reaches nobody. */
   @Test
-  void anAnswerToADirectCommandIsNoReport() {
+  void theAnswerToADirectCommandDoesNotCountAsAHeartbeat() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
-    desk.take(machine, report(machine, 1, 1, 0), true, S);
-    desk.take(machine, report(machine, 1, 2, TERM), true, 2 * S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM), 2 * S);
     machine.commandUnanswered();
-    desk.take(machine, report(machine, 1, 3, TERM), false, 9 * S);
+    reconciler.onDirectReply(machine, heartbeat(machine, 1, 3, TERM), 9 * S);
     assertEquals(2 * S, machine.lastHeartbeat());
     assertFalse(machine.schedulable());
-    desk.take(machine, report(machine, 1, 4, TERM), true, 10 * S);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, 4, TERM), 10 * S);
     assertTrue(machine.schedulable());
   }
 
-  private Job other(String id) {
-    JobSpec spec = job.spec();
-    Job other =
-        new Job(
-            new JobSpec(
-                id,
-                spec.lane(),
-                spec.team(),
-                spec.jobKind(),
-                spec.priority(),
-                4,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                10 * S,
-                0,
-                0,
-                -1),
-            0,
-            false,
-            JobPhase.ACTIVE);
-    clusterState.jobs().put(id, other);
-    return other;
-  }
-
   /** Starts a task of the job there, which fails at once. */
   private void fail(Job failing, Machine machine, long atMicros) {
     int index = failing.nextPending();
-    long attempt = clusterState.nextAttempt();
-    clusterState.bind(failing, index, attempt, machine, TaskPhase.STARTING, atMicros);
+    long attempt = cluster.bind(failing, index, machine, TaskPhase.STARTING, atMicros).attempt();
     TaskStatus failed =
         new TaskStatus(new TaskName(failing.id(), index), attempt, TaskState.EXITED, Cause.ERROR);
     long next = machine.sequence() + 1;
-    desk.take(machine, report(machine, 1, next, TERM, failed), true, atMicros);
+    reconciler.onHeartbeat(machine, heartbeat(machine, 1, next, TERM, failed), atMicros);
   }
 
   /**
-   * Guards against healthy machines given up because of jobs that were submitted with a mistake.
+   * Guards against healthy machines returned because of jobs that were submitted with a mistake.
    */
   @Test
-  void jobsThatFailEverywhereSayNothingAboutTheMachines() {
+  void jobsThatFailEverywhereQuarantineNoMachine() {
     List<Machine> machines =
         List.of(machine("m1", MachinePhase.BOOTING), machine("m2", MachinePhase.BOOTING));
-    Job second = other("req-000002");
+    Job second = cluster.loaded(JobSpecBuilder.array("req-000002").tasks(4).build());
     fail(job, machines.get(0), S);
     fail(second, machines.get(0), S);
     assertTrue(machines.get(0).quarantined(), "two jobs failed there, and nowhere else yet");
@@ -317,14 +260,14 @@
   }
 
   /**
-   * Red without {@code HeartbeatReconciler.resume}: the machine stayed DRAINING until the term
+   * Red without {@code QuarantinePolicy.stopDraining}: the machine stayed DRAINING until the term
    * ended.
    */
   @Test
-  void aMachineClearedWhileItDrainsIsUsedAgain() {
+  void aMachineWhoseQuarantineEndsWhileItDrainsIsUsedAgain() {
     Machine drained = machine("m1", MachinePhase.BOOTING);
     Machine elsewhere = machine("m2", MachinePhase.BOOTING);
-    Job second = other("req-000002");
+    Job second = cluster.loaded(JobSpecBuilder.array("req-000002").tasks(4).build());
     fail(job, drained, S);
     fail(second, drained, S);
     assertTrue(drained.quarantined());
@@ -334,12 +277,12 @@
     assertTrue(drained.schedulable());
   }
 
-  /** A machine that is to be taken is given nothing, whatever becomes of the jobs. */
+  /** A machine that is to be reclaimed is given nothing, whatever becomes of the jobs. */
   @Test
-  void aMachineToBeTakenDrainsOnOnceCleared() {
+  void aMachineToBeReclaimedDrainsOnAfterItsQuarantine() {
     Machine drained = machine("m1", MachinePhase.BOOTING);
     Machine elsewhere = machine("m2", MachinePhase.BOOTING);
-    Job second = other("req-000002");
+    Job second = cluster.loaded(JobSpecBuilder.array("req-000002").tasks(4).build());
     fail(job, drained, S);
     fail(second, drained, S);
     drained.reclaimAt(40 * S);
@@ -350,11 +293,12 @@
 
   /** A sick machine is found out although its jobs are new, and by jobs that complete elsewhere. */
   @Test
-  void jobsThatCompleteElsewhereSpeakAgainstAMachine() {
+  void aMachineIsQuarantinedForFailuresOfAJobThatCompletesElsewhere() {
     Machine sick = machine("m1", MachinePhase.BOOTING);
     Machine well = machine("m2", MachinePhase.BOOTING);
     fail(job, sick, S);
-    desk.take(well, report(well, 1, 1, TERM, shown(3, TaskState.EXITED, Cause.DONE)), true, 2 * S);
+    reconciler.onHeartbeat(
+        well, heartbeat(well, 1, 1, TERM, shown(3, TaskState.EXITED, Cause.DONE)), 2 * S);
     assertFalse(job.suspect());
     fail(job, sick, 3 * S);
     fail(job, sick, 4 * S);
--- /dev/null
+++ b/src/test/java/org/dewreach/testing/package-info.java
@@ -0,0 +1,2 @@
+/** Fixtures that the tests of several packages share. */
+package org.dewreach.testing;
--- a/src/test/java/org/dewreach/wire/HeartbeatTest.java
+++ b/src/test/java/org/dewreach/wire/HeartbeatTest.java
@@ -5,9 +5,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.api.Test;
 
-/** What a report may hold. */
+/** What a heartbeat may hold. */
 class HeartbeatTest {
-  private static ObjectNode report() {
+  private static ObjectNode heartbeat() {
     ObjectNode body =
         Codec.map().put("host", "vm-1").put("address", "10.0.0.1:9").put("build", "b");
     body.put("site", "a").put("loaners", true).put("tenure", 1).put("tally", 2).put("warrant", 3);
@@ -16,15 +16,16 @@
   }
 
   /**
-   * Guard: {@code Heartbeat.recall}. A machine whose time is up is still heard: its report turned
-   * away would cost its tasks their lease, and nobody would be told that it is taken.
+   * Guard: {@code Heartbeat.reclaimMicros}. A machine whose reclaim time has passed is still heard:
+   * to refuse its heartbeat would cost its tasks their lease, and nobody would learn of the
+   * reclaim.
    */
   @Test
-  void aRecallThatIsOverdueLeavesNoTime() throws MalformedException {
-    assertEquals(0, Heartbeat.parse(report().put("recall_s", -0.25)).reclaimMicros());
-    assertEquals(0, Heartbeat.parse(report().put("recall_s", -1)).reclaimMicros());
-    assertEquals(1_500_000, Heartbeat.parse(report().put("recall_s", 1.5)).reclaimMicros());
-    assertEquals(-1, Heartbeat.parse(report().putNull("recall_s")).reclaimMicros());
-    assertEquals(-1, Heartbeat.parse(report()).reclaimMicros());
+  void aReclaimTimeThatHasPassedIsZero() throws MalformedException {
+    assertEquals(0, Heartbeat.parse(heartbeat().put("recall_s", -0.25)).reclaimMicros());
+    assertEquals(0, Heartbeat.parse(heartbeat().put("recall_s", -1)).reclaimMicros());
+    assertEquals(1_500_000, Heartbeat.parse(heartbeat().put("recall_s", 1.5)).reclaimMicros());
+    assertEquals(-1, Heartbeat.parse(heartbeat().putNull("recall_s")).reclaimMicros());
+    assertEquals(-1, Heartbeat.parse(heartbeat()).reclaimMicros());
   }
 }
