--- a/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
@@ -108,7 +108,7 @@
       if (task.phase() == TaskPhase.ASSIGNED && mayStart(machine, task)) {
         commands.add(new WorkerCommand.Start(task.name(), task.attempt()));
         started.add(task);
-        machine.directCommands().started(task.name(), task.attempt());
+        machine.directCommands().recordStart(task.name(), task.attempt());
       } else if (mayStop(task)) {
         task.markStopSentDirectly();
         commands.add(new WorkerCommand.Stop(task.name(), task.attempt(), 0));
@@ -119,14 +119,15 @@
     }
     for (Task task : started) {
       task.become(TaskPhase.STARTING, nowMicros);
-      task.direct(DirectStart.SENT);
+      task.directStart(DirectStart.SENT);
     }
     send(machine, commands, started);
   }
 
   private static boolean mayStart(Machine machine, Task task) {
     boolean service = task.spec().jobKind() == JobKind.SERVICE;
-    return machine.directCommands().starts() < (service ? MAX_SERVICE_STARTS : MAX_OTHER_STARTS);
+    return machine.directCommands().startCount()
+        < (service ? MAX_SERVICE_STARTS : MAX_OTHER_STARTS);
   }
 
   /** A task that saves checkpoints is left to the heartbeat response, which gives it the time. */
@@ -155,7 +156,7 @@
     inFlight--;
     boolean answered = !(reply instanceof WorkerClient.Reply.Failed);
     for (Task task : started) {
-      task.direct(answered ? DirectStart.ANSWERED : DirectStart.LOST);
+      task.directStart(answered ? DirectStart.ANSWERED : DirectStart.LOST);
     }
     if (reply instanceof WorkerClient.Reply.State state) {
       listener.onDirectReply(machine, state.heartbeat(), nowMicros);
@@ -167,7 +168,7 @@
     } else if (reply instanceof WorkerClient.Reply.Failed failed) {
       LOG.info("direct command unanswered: machine={} status={}", machine.name(), failed.status());
       machine.directCommands().notBefore(nowMicros + UNANSWERED_PAUSE_MICROS);
-      machine.commandUnanswered();
+      machine.markUnreachable();
       clusterState.requestPlacement();
     }
   }
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -89,7 +89,7 @@
    */
   private void onStaleHeartbeat(
       long requestId, Machine machine, Heartbeat heartbeat, long nowMicros) {
-    if (heartbeat.token() == 0 && machine.accountedFor()) {
+    if (heartbeat.token() == 0 && machine.reconciled()) {
       restartProbe.probe(machine);
     }
     if (fleet.isSilent(machine, nowMicros)) {
@@ -109,7 +109,7 @@
   private void respond(
       long requestId, Machine machine, HeartbeatResponse response, long nowMicros) {
     // The worker's lease runs from this answer at the latest.
-    machine.answered(nowMicros);
+    machine.recordLeaseRenewal(nowMicros);
     outbox.respond(requestId, HttpStatus.OK, response.toNode());
   }
 
@@ -126,7 +126,7 @@
     if (heartbeat.incarnation() > machine.incarnation()) {
       // Guards against taking the lease of this incarnation for expired with that of the one
       // before: it began without any answer of ours, at the latest now.
-      machine.answered(nowMicros);
+      machine.recordLeaseRenewal(nowMicros);
     }
     reconciler.onDirectReply(machine, heartbeat, nowMicros);
     recordExits(heartbeat, nowMicros);
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
@@ -71,14 +71,14 @@
       clusterState.unbindAll(
           machine, "its worker began incarnation " + heartbeat.incarnation(), nowMicros);
     }
-    machine.heard(heartbeat.incarnation(), heartbeat.sequence());
+    machine.recordSequence(heartbeat.incarnation(), heartbeat.sequence());
     if (channel == Channel.HEARTBEAT) {
-      machine.reported(nowMicros);
+      machine.recordHeartbeat(nowMicros);
     }
     machine.address(heartbeat.address());
     Observation observation = Observation.of(machine, heartbeat, channel, term, nowMicros);
     if (observation.isCurrent()) {
-      machine.markAccountedFor();
+      machine.markReconciled();
     }
     return observation;
   }
--- a/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
+++ b/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
@@ -28,30 +28,30 @@
 
   /** A task completed on the machine: what failed there before says nothing about it. */
   void onTaskSucceeded(Machine machine) {
-    machine.faults().worked();
+    machine.failures().recordSuccess();
   }
 
   /** A task of the job failed on the machine. */
   void onTaskFailed(Machine machine, Job job, long nowMicros) {
-    job.failedOn(machine.name(), nowMicros);
-    if (job.suspect()) {
+    job.recordFailure(machine.name(), nowMicros);
+    if (job.failsRepeatedly()) {
       absolveMachines(job, nowMicros);
       return;
     }
-    machine.faults().erred(job.id());
+    machine.failures().recordFailure(job.id());
     if (isFaulty(machine, job) && !machine.quarantined()) {
       LOG.info(
           "machine quarantined: machine={} failedTasks={}",
           machine.name(),
-          machine.faults().errors());
-      machine.faults().quarantined(nowMicros);
+          machine.failures().failureCount());
+      machine.failures().quarantine(nowMicros);
     }
   }
 
   /** One job's failures tell as much only where its other tasks have completed elsewhere. */
   private static boolean isFaulty(Machine machine, Job job) {
-    return machine.faults().jobs().size() >= MAX_FAILED_JOBS
-        || machine.faults().errors() >= MAX_FAILURES && job.doneCount() > 0;
+    return machine.failures().jobs().size() >= MAX_FAILED_JOBS
+        || machine.failures().failureCount() >= MAX_FAILURES && job.doneCount() > 0;
   }
 
   /**
@@ -61,12 +61,12 @@
    * with a mistake met there.
    */
   private void absolveMachines(Job job, long nowMicros) {
-    for (String name : job.suspects(nowMicros)) {
+    for (String name : job.avoidedMachines(nowMicros)) {
       Machine machine = clusterState.machines().get(name);
-      boolean blamed = machine != null && machine.faults().jobs().remove(job.id());
+      boolean blamed = machine != null && machine.failures().jobs().remove(job.id());
       if (blamed && machine.quarantined() && !isFaulty(machine, job)) {
         LOG.info("machine quarantine ended: machine={} failingJob={}", name, job.id());
-        machine.faults().endQuarantine();
+        machine.failures().endQuarantine();
         stopDraining(machine, nowMicros);
         clusterState.requestPlacement();
       }
--- a/src/main/java/org/dewreach/heartbeat/ResponseLossDetector.java
+++ b/src/main/java/org/dewreach/heartbeat/ResponseLossDetector.java
@@ -36,7 +36,7 @@
     boolean arrived =
         tokenArrived && !newIncarnation && !startMissing(observation, previousHeartbeatMicros);
     boolean wasMissing = machine.missesReplies();
-    machine.recordReply(arrived);
+    machine.recordReplyDelivery(arrived);
     if (machine.missesReplies() != wasMissing) {
       LOG.info(
           "machine response delivery changed: machine={} from={} to={}",
--- a/src/main/java/org/dewreach/heartbeat/RestartProbe.java
+++ b/src/main/java/org/dewreach/heartbeat/RestartProbe.java
@@ -32,10 +32,10 @@
    * more; so what was bound there stays bound until the machine is returned, which is done at once.
    */
   void probe(Machine machine) {
-    if (machine.restartSuspicion() != RestartCheck.NONE) {
+    if (machine.restartCheck() != RestartCheck.NONE) {
       return;
     }
-    machine.restartSuspicion(RestartCheck.CHECKING);
+    machine.restartCheck(RestartCheck.CHECKING);
     long incarnation = machine.incarnation();
     long sequence = machine.sequence();
     workers.readState(machine, (now, reply) -> onReply(machine, incarnation, sequence, reply));
@@ -47,7 +47,7 @@
     }
     if (reply instanceof WorkerClient.Reply.State state) {
       boolean older = isOlder(state.heartbeat(), incarnation, sequence);
-      machine.restartSuspicion(older ? RestartCheck.CONFIRMED : RestartCheck.NONE);
+      machine.restartCheck(older ? RestartCheck.CONFIRMED : RestartCheck.NONE);
     } else {
       // The machine stays under suspicion, and is not asked again in this term.
       LOG.info("restart probe failed: machine={} reply={}", machine.name(), reply);
--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -87,13 +87,13 @@
 
   /** A result stays in the heartbeats until it is durable, so that no leader can miss it. */
   private static boolean mustStayReported(Machine machine, Job job, TaskStatus reported) {
-    if (machine.directCommands().wasStarted(reported.attempt())) {
+    if (machine.directCommands().hasStartedAttempt(reported.attempt())) {
       return true;
     }
     return reported.cause() == Cause.DONE
         && job != null
         && (job.isOpen() || job.phase() == JobPhase.FINALIZING)
-        && !job.durable().get(reported.name().index());
+        && !job.durableDone().get(reported.name().index());
   }
 
   private void onExit(Machine machine, Task task, Cause cause, long nowMicros) {
@@ -109,8 +109,8 @@
         quarantine.onTaskFailed(machine, job, nowMicros);
       }
       case FULL -> machine.refusedAt(nowMicros);
-      case IN_USE -> job.avoid(machine.name(), nowMicros + IN_USE_PAUSE_MICROS);
-      case NO_SUCH -> job.rest(nowMicros + MISSING_IMAGE_PAUSE_MICROS);
+      case IN_USE -> job.avoidMachine(machine.name(), nowMicros + IN_USE_PAUSE_MICROS);
+      case NO_SUCH -> job.delayUntil(nowMicros + MISSING_IMAGE_PAUSE_MICROS);
       case STOPPED, NONE -> {
         // it goes back to the queue
       }
@@ -151,7 +151,7 @@
     TaskPhase phase = phase(reported.state());
     clusterState.bind(job, reported.name().index(), reported.attempt(), machine, phase, nowMicros);
     if (phase != TaskPhase.PULLING) {
-      machine.fetched(job.spec());
+      machine.recordImageFetched(job.spec());
     }
   }
 
@@ -172,7 +172,7 @@
     boolean replicaRuns = state == TaskState.RUNNING && task.spec().jobKind() == JobKind.SERVICE;
     if (replicaRuns && nowMicros - task.startedAt() > RUNS_WELL_MICROS) {
       // A service never completes: that it runs for a while says as much.
-      task.job().succeeded();
+      task.job().recordSuccess();
     }
   }
 
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -52,7 +52,7 @@
     Set<String> hopeless = new HashSet<>();
     for (TaskPlacer.Waiting item : waiting) {
       JobSpec spec = item.job().spec();
-      boolean alone = spec.jobKind() != JobKind.GANG && !spec.together() && !spec.scatter();
+      boolean alone = spec.jobKind() != JobKind.GANG && !spec.sameZone() && !spec.spreadZones();
       if (!alone || least == null || !spec.priority().above(least)) {
         continue;
       }
@@ -100,14 +100,14 @@
           && SortFirstFit.permitted(spec, machine)
           && (machine.spot() || !spotOnly)
           && !TaskPlacer.refusedLately(machine, nowMicros)
-          && !job.suspects(nowMicros).contains(machine.name())
-          && !machine.directCommands().hadStart(next)) {
+          && !job.avoidedMachines(nowMicros).contains(machine.name())
+          && !machine.directCommands().hasStartedTask(next)) {
         FreeCapacity freeCapacity = freeCapacities.computeIfAbsent(machine, Preemption::withFreed);
         if (freeCapacity.covers(spec)) {
           freeCapacity.take(spec);
           return true;
         }
-        if (machine.hasLowerPriority(spec.priority())) {
+        if (machine.hasTaskBelow(spec.priority())) {
           candidates.add(machine);
         }
       }
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -123,7 +123,8 @@
         boolean gang = job.spec().jobKind() == JobKind.GANG;
         int most = gang ? freeCapacity : Math.min(freeCapacity, MAX_PLACED - placed);
         // Guards against replicas that need each other's zone and lost it late: never one alone.
-        boolean one = job.suspect() || QueueOrder.toBegin(job, nowMicros + wallOffsetMicros);
+        boolean one =
+            job.failsRepeatedly() || QueueOrder.toBegin(job, nowMicros + wallOffsetMicros);
         if (one && !whole(job)) {
           most = 1;
         }
@@ -131,7 +132,7 @@
         placed += started;
       }
       // Nothing is rented, and nobody stopped, for a job that fails everywhere.
-      if (started < freeCapacity && !job.suspect()) {
+      if (started < freeCapacity && !job.failsRepeatedly()) {
         if (started == 0 && !barred) {
           full.add(likeness(job, nowMicros));
         }
@@ -153,7 +154,7 @@
    * that met two faulty machines: its other tasks do not wait until one of them has completed.
    */
   private static boolean onTrial(Job job, long nowMicros) {
-    return job.suspect()
+    return job.failsRepeatedly()
         && job.bound().values().stream()
             .anyMatch(task -> nowMicros - task.boundAt() < TRIAL_MICROS);
   }
@@ -161,8 +162,8 @@
   /** Jobs with the same likeness fit on the same machines. */
   private String likeness(Job job, long nowMicros) {
     JobSpec spec = job.spec();
-    boolean special = spec.together() || spec.scatter() || spec.jobKind() == JobKind.GANG;
-    if (special || !job.suspects(nowMicros).isEmpty() || keptFrom(job, nowMicros)) {
+    boolean special = spec.sameZone() || spec.spreadZones() || spec.jobKind() == JobKind.GANG;
+    if (special || !job.avoidedMachines(nowMicros).isEmpty() || keptFrom(job, nowMicros)) {
       return job.id();
     }
     return SortFirstFit.likeness(spec) + yields(spec);
@@ -186,7 +187,7 @@
   private static boolean whole(Job job) {
     JobSpec spec = job.spec();
     return spec.jobKind() == JobKind.GANG
-        || spec.together() && spec.jobKind() == JobKind.SERVICE && job.bound().isEmpty();
+        || spec.sameZone() && spec.jobKind() == JobKind.SERVICE && job.bound().isEmpty();
   }
 
   private int place(Job job, int freeCapacity, long nowMicros) {
@@ -214,7 +215,7 @@
    * must share a zone stays where its bound tasks are, or takes the zones in the order of the list.
    */
   private List<String> zones(Job job) {
-    if (!job.spec().together() || job.spec().tasks() == 1) {
+    if (!job.spec().sameZone() || job.spec().tasks() == 1) {
       return Collections.singletonList(null);
     }
     if (!job.bound().isEmpty()) {
@@ -231,16 +232,16 @@
 
   private List<Task> fit(Job job, int count, String zone, long nowMicros) {
     JobSpec spec = job.spec();
-    int most = spec.scatter() ? (spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
+    int most = spec.spreadZones() ? (spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
     Predicate<Machine> allowed = allowed(job, nowMicros);
     if (zone != null) {
       allowed = allowed.and(machine -> machine.zone().equals(zone));
     }
-    if (spec.scatter()) {
+    if (spec.spreadZones()) {
       allowed = allowed.and(machine -> job.boundInZone(machine.zone()) < most);
     }
     List<Task> placed = new ArrayList<>();
-    long within = startWithin.getOrDefault(spec.lane(), 0L);
+    long within = startWithin.getOrDefault(spec.jobClass(), 0L);
     // The tasks of a gang find each other by their attempt: it is one for all of them.
     long gangAttempt = spec.jobKind() == JobKind.GANG ? clusterState.nextAttempt() : 0;
     boolean yields = yields(spec);
@@ -249,12 +250,14 @@
     int index = job.nextPending();
     while (placed.size() < count && index >= 0) {
       TaskName name = new TaskName(job.id(), index);
-      boolean[] hadStart = {false};
+      boolean[] hasStartedTask = {false};
       Machine machine =
-          clusterState.list().firstFit(spec, allowed.and(m -> !barred(m, name, hadStart)), within);
+          clusterState
+              .list()
+              .firstFit(spec, allowed.and(m -> !barred(m, name, hasStartedTask)), within);
       if (machine == null) {
-        barred |= hadStart[0];
-        if (!hadStart[0] || ++passedOver > MAX_PASSED_OVER) {
+        barred |= hasStartedTask[0];
+        if (!hasStartedTask[0] || ++passedOver > MAX_PASSED_OVER) {
           break;
         }
         // Guards against one task that may not go there again keeping its job, and all like it,
@@ -276,9 +279,9 @@
     return placed;
   }
 
-  private static boolean barred(Machine machine, TaskName name, boolean[] hadStart) {
-    boolean had = machine.directCommands().hadStart(name);
-    hadStart[0] |= had;
+  private static boolean barred(Machine machine, TaskName name, boolean[] hasStartedTask) {
+    boolean had = machine.directCommands().hasStartedTask(name);
+    hasStartedTask[0] |= had;
     return had;
   }
 
@@ -292,7 +295,7 @@
   }
 
   private Predicate<Machine> allowed(Job job, long nowMicros) {
-    Set<String> suspects = job.suspects(nowMicros);
+    Set<String> suspects = job.avoidedMachines(nowMicros);
     return machine ->
         SortFirstFit.permitted(job.spec(), machine)
             && !refusedLately(machine, nowMicros)
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -59,7 +59,7 @@
         machine, heartbeat(machine, 1, 5, 60, shown(0, TaskState.RUNNING, Cause.NONE)), S);
     assertEquals(0, job.bound().size());
     assertEquals(MachinePhase.UNCONFIRMED, machine.phase());
-    assertFalse(machine.accountedFor());
+    assertFalse(machine.reconciled());
     reconciler.onHeartbeat(
         machine, heartbeat(machine, 1, 9, TERM, shown(0, TaskState.RUNNING, Cause.NONE)), 2 * S);
     assertEquals(1, job.bound().size(), "now it is surely there");
@@ -217,7 +217,7 @@
     Machine machine = machine("m1", MachinePhase.BOOTING);
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM), 2 * S);
-    machine.commandUnanswered();
+    machine.markUnreachable();
     reconciler.onDirectReply(machine, heartbeat(machine, 1, 3, TERM), 9 * S);
     assertEquals(2 * S, machine.lastHeartbeat());
     assertFalse(machine.schedulable());
@@ -299,7 +299,7 @@
     fail(job, sick, S);
     reconciler.onHeartbeat(
         well, heartbeat(well, 1, 1, TERM, shown(3, TaskState.EXITED, Cause.DONE)), 2 * S);
-    assertFalse(job.suspect());
+    assertFalse(job.failsRepeatedly());
     fail(job, sick, 3 * S);
     fail(job, sick, 4 * S);
     assertTrue(sick.quarantined());
--- a/src/test/java/org/dewreach/testing/JobSpecBuilder.java
+++ b/src/test/java/org/dewreach/testing/JobSpecBuilder.java
@@ -10,7 +10,7 @@
 
   private final String id;
   private final JobKind jobKind;
-  private String lane = "scan";
+  private String jobClass = "scan";
   private String team = "red";
   private Priority priority = Priority.NORMAL;
   private int tasks = 1;
@@ -20,8 +20,8 @@
   private String image = "img";
   private double imageGb = 1;
   private String zone;
-  private boolean together;
-  private boolean scatter;
+  private boolean sameZone;
+  private boolean spreadZones;
   private boolean spot = true;
   private long expectedMicros = DEFAULT_EXPECTED_MICROS;
   private long checkpointMicros;
@@ -41,15 +41,15 @@
   /** One replica of team red with high priority that takes 1 CPU, on ordinary machines. */
   public static JobSpecBuilder service(String id) {
     return new JobSpecBuilder(id, JobKind.SERVICE)
-        .lane("live")
+        .jobClass("live")
         .priority(Priority.HIGH)
         .spot(false)
         .expectedMicros(0);
   }
 
-  /** Sets the class of service. */
-  public JobSpecBuilder lane(String newLane) {
-    lane = newLane;
+  /** Sets the class of the job. */
+  public JobSpecBuilder jobClass(String newJobClass) {
+    jobClass = newJobClass;
     return this;
   }
 
@@ -99,14 +99,14 @@
   }
 
   /** Sets whether all tasks have to be in one zone. */
-  public JobSpecBuilder together(boolean now) {
-    together = now;
+  public JobSpecBuilder sameZone(boolean now) {
+    sameZone = now;
     return this;
   }
 
   /** Sets whether no zone may hold all tasks. */
-  public JobSpecBuilder scatter(boolean now) {
-    scatter = now;
+  public JobSpecBuilder spreadZones(boolean now) {
+    spreadZones = now;
     return this;
   }
 
@@ -139,7 +139,7 @@
   public JobSpec build() {
     return new JobSpec(
         id,
-        lane,
+        jobClass,
         team,
         jobKind,
         priority,
@@ -151,8 +151,8 @@
         imageGb,
         null,
         zone,
-        together,
-        scatter,
+        sameZone,
+        spreadZones,
         spot,
         expectedMicros,
         checkpointMicros,
