--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -77,7 +77,7 @@
   private final ClusterStateLoader loader;
   private final RecoveryTracker recovery;
   private final CancellationGate cancellationGate;
-  private final HeartbeatHandler reportReceiver;
+  private final HeartbeatHandler heartbeatHandler;
   private final TermSummary summary;
   private final LeaderlessJobImporter jobImporter;
   private final JobRequestHandler users;
@@ -137,9 +137,9 @@
             number,
             outbox,
             clusterState,
-            this::directReport,
+            this::onDirectReply,
             settings.limits().connectionsToWorkers());
-    this.reportReceiver = newReportReceiver();
+    this.heartbeatHandler = newHeartbeatHandler();
     this.summary = new TermSummary(number, clusterState, queue);
     this.placement =
         new PlacementLoop(
@@ -172,7 +172,7 @@
         wallOffsetMicros);
   }
 
-  private HeartbeatHandler newReportReceiver() {
+  private HeartbeatHandler newHeartbeatHandler() {
     return new HeartbeatHandler(
         number,
         outbox,
@@ -181,7 +181,6 @@
         fleet,
         registry,
         recordWriter,
-        direct,
         () -> phase == Phase.CLOSED);
   }
 
@@ -329,13 +328,13 @@
       outbox.respond(requestId, 503, null);
       return;
     }
-    reportReceiver.take(requestId, report, nowMicros);
+    heartbeatHandler.onHeartbeat(requestId, report, nowMicros);
   }
 
   /** The answer to a direct command; it carries no orders back and extends no lease. */
-  private void directReport(Machine machine, Heartbeat report, long nowMicros) {
+  private void onDirectReply(Machine machine, Heartbeat report, long nowMicros) {
     if (phase != Phase.CLOSED && authority.test(nowMicros)) {
-      reportReceiver.takeDirect(machine, report, nowMicros);
+      heartbeatHandler.onDirectReply(machine, report, nowMicros);
     }
   }
 
