--- a/src/main/java/org/dewreach/membership/MachineDrainer.java
+++ b/src/main/java/org/dewreach/membership/MachineDrainer.java
@@ -68,7 +68,7 @@
       stopRecalledTasks(machine, nowMicros);
     }
     if (machine.tasks().isEmpty()) {
-      scaleIn.giveUp(machine, "drained", nowMicros);
+      scaleIn.markForRelease(machine, "drained", nowMicros);
     }
   }
 
