--- /dev/null
+++ b/src/test/java/org/dewreach/state/JobRecordWriterTest.java
@@ -0,0 +1,191 @@
+package org.dewreach.state;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import org.dewreach.model.Job;
+import org.dewreach.model.JobPhase;
+import org.dewreach.port.Effect;
+import org.dewreach.store.CommitQueue;
+import org.dewreach.store.Keys;
+import org.dewreach.store.Precondition;
+import org.dewreach.store.TokenBucket;
+import org.dewreach.testing.JobSpecBuilder;
+import org.dewreach.testing.KeyValueStoreFixture;
+import org.junit.jupiter.api.Test;
+
+/** What is written of a job, when, and on which condition. */
+class JobRecordWriterTest {
+  private static final long S = 1_000_000;
+  private static final String ID = "req-1";
+
+  private final KeyValueStoreFixture fixture = new KeyValueStoreFixture();
+  private final RecordingListener listener = new RecordingListener();
+  private final CommitQueue queue =
+      new CommitQueue(
+          fixture.store(),
+          new Precondition(Keys.LEADER, 90),
+          24,
+          new TokenBucket(100, 100),
+          () -> listener.conflicts.add("leader key"));
+  private boolean tasksEndInTime = true;
+  private final JobRecordWriter writer =
+      new JobRecordWriter(queue, (job, now) -> tasksEndInTime, listener);
+
+  private static Job newJob(int tasks) {
+    return new Job(JobSpecBuilder.array(ID).tasks(tasks).build(), 0, true, JobPhase.PERSISTING);
+  }
+
+  /** A job of two tasks whose record is at revision 100. */
+  private Job writtenJob() {
+    return writtenJob(2);
+  }
+
+  private Job writtenJob(int tasks) {
+    Job job = newJob(tasks);
+    assertTrue(writer.writeNewJob(job, S, () -> {}));
+    fixture.commit(fixture.onlyRequest(), 100, S);
+    return job;
+  }
+
+  /** The preconditions of a transaction beside the leader key. */
+  private static String preconditions(Effect.Call transaction) {
+    StringBuilder text = new StringBuilder();
+    for (JsonNode precondition : transaction.body().path("when")) {
+      String key = precondition.path("path").asText();
+      if (!key.equals(Keys.LEADER)) {
+        text.append(key).append('@').append(precondition.path("stamp")).append(' ');
+      }
+    }
+    return text.toString().trim();
+  }
+
+  /** The mutations of a transaction, without values. */
+  private static String mutations(Effect.Call transaction) {
+    StringBuilder text = new StringBuilder();
+    for (JsonNode mutation : transaction.body().path("then")) {
+      String kind = mutation.has("put") ? "put" : "remove";
+      text.append(kind).append(' ').append(mutation.path(kind).asText()).append(' ');
+    }
+    return text.toString().trim();
+  }
+
+  private static JsonNode firstValue(Effect.Call transaction) {
+    return transaction.body().at("/then/0/data");
+  }
+
+  @Test
+  void aNewJobIsWrittenOnlyIfNoRecordOfItExists() {
+    Job job = newJob(2);
+    writer.writeNewJob(job, S, () -> listener.durable.add("exists"));
+    Effect.Call write = fixture.onlyRequest();
+    assertEquals("dw/new/req-1@0 dw/job/req-1@0 dw/over/req-1@0", preconditions(write));
+    assertEquals("put dw/job/req-1", mutations(write));
+    fixture.conflict(write, Keys.finalState(ID), S);
+    assertEquals(List.of("exists"), listener.durable);
+    assertEquals(List.of(), listener.conflicts);
+  }
+
+  @Test
+  void anImportedJobMovesFromItsLeaderlessRecord() {
+    Job job = newJob(2);
+    writer.writeImportedJob(job, 40, true, S, () -> {});
+    Effect.Call write = fixture.onlyRequest();
+    assertEquals("dw/new/req-1@40 dw/job/req-1@0 dw/over/req-1@0", preconditions(write));
+    assertEquals("put dw/job/req-1 remove dw/new/req-1", mutations(write));
+    assertTrue(JobRecord.isCancelled(firstValue(write)));
+    fixture.commit(write, 100, S);
+    assertEquals(100, job.revision());
+    assertEquals(
+        "put dw/over/req-1 remove dw/job/req-1",
+        mutations(fixture.onlyRequest()),
+        "its final state follows: nothing of it runs");
+  }
+
+  @Test
+  void oneWriteOfAJobIsInFlightAtATime() {
+    Job job = writtenJob();
+    job.markDone(0);
+    writer.writeIfDue(job, 10 * S);
+    Effect.Call progress = fixture.onlyRequest();
+    assertEquals("dw/job/req-1@100", preconditions(progress));
+    job.markDone(1);
+    writer.writeIfDue(job, 20 * S);
+    assertEquals(List.of(), fixture.requests());
+    fixture.commit(progress, 101, 20 * S);
+    Effect.Call end = fixture.onlyRequest();
+    assertEquals("dw/job/req-1@101 dw/over/req-1@0", preconditions(end));
+    fixture.commit(end, 102, 20 * S);
+    assertEquals(List.of("req-1 accepted", "req-1 ended"), listener.durable);
+  }
+
+  @Test
+  void progressIsGatheredForAWhile() {
+    Job job = writtenJob(3);
+    job.markDone(0);
+    writer.writeIfDue(job, 10 * S);
+    fixture.commit(fixture.onlyRequest(), 101, 10 * S);
+    assertEquals(1, job.durableDone().cardinality());
+    writer.writeIfDue(job, 20 * S);
+    assertEquals(List.of(), fixture.requests(), "there is no further progress");
+    job.markDone(1);
+    writer.writeIfDue(job, 13 * S);
+    assertEquals(List.of(), fixture.requests(), "it was written 3 s ago");
+    writer.writeIfDue(job, 14 * S);
+    assertEquals("dw/job/req-1@101", preconditions(fixture.onlyRequest()));
+  }
+
+  @Test
+  void aCancellationIsWrittenOnceAllTasksEndInTime() {
+    Job job = writtenJob();
+    job.become(JobPhase.CANCEL_REQUESTED);
+    tasksEndInTime = false;
+    writer.writeIfDue(job, 2 * S);
+    assertEquals(List.of(), fixture.requests());
+    tasksEndInTime = true;
+    writer.writeIfDue(job, 3 * S);
+    Effect.Call cancellation = fixture.onlyRequest();
+    assertTrue(JobRecord.isCancelled(firstValue(cancellation)));
+    assertEquals(List.of("req-1 accepted"), listener.durable, "not durable yet");
+    fixture.commit(cancellation, 101, 3 * S);
+    assertEquals(List.of("req-1 accepted", "req-1 cancelled"), listener.durable);
+  }
+
+  /** Guards against telling an older state than another controller may have read. */
+  @Test
+  void anEndIsInDoubtWhileItsWriteIsInFlight() {
+    Job job = writtenJob();
+    job.markDone(0);
+    writer.writeIfDue(job, 10 * S);
+    assertFalse(writer.endInDoubt(job), "progress ends nothing");
+    fixture.commit(fixture.onlyRequest(), 101, 10 * S);
+    job.markDone(1);
+    writer.writeIfDue(job, 20 * S);
+    assertTrue(writer.endInDoubt(job));
+    fixture.commit(fixture.onlyRequest(), 102, 20 * S);
+    assertFalse(writer.endInDoubt(job));
+  }
+
+  @Test
+  void aJobCancelledInAnEarlierTermKeepsItsRecordUntilAllMachinesAreKnown() {
+    Job job = new Job(JobSpecBuilder.array(ID).build(), 0, false, JobPhase.CANCELLED);
+    writer.writeIfDue(job, S);
+    assertEquals(List.of(), fixture.requests());
+    writer.allowFinalizingCancelled();
+    writer.writeIfDue(job, 2 * S);
+    assertEquals("put dw/over/req-1 remove dw/job/req-1", mutations(fixture.onlyRequest()));
+  }
+
+  @Test
+  void aRecordChangedByAnotherEndsTheTerm() {
+    Job job = writtenJob();
+    job.markDone(0);
+    job.markDone(1);
+    writer.writeIfDue(job, 10 * S);
+    fixture.conflict(fixture.onlyRequest(), Keys.job(ID), 10 * S);
+    assertEquals(1, listener.conflicts.size());
+  }
+}
--- a/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
+++ b/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
@@ -16,8 +16,6 @@
 import org.dewreach.model.Job;
 import org.dewreach.model.JobPhase;
 import org.dewreach.port.Effect;
-import org.dewreach.port.Event;
-import org.dewreach.port.Outbox;
 import org.dewreach.request.JobRequestHandler;
 import org.dewreach.request.UserRequest;
 import org.dewreach.store.CommitQueue;
@@ -25,10 +23,10 @@
 import org.dewreach.store.Keys;
 import org.dewreach.store.Precondition;
 import org.dewreach.store.TokenBucket;
+import org.dewreach.testing.JobSpecBuilder;
+import org.dewreach.testing.KeyValueStoreFixture;
 import org.dewreach.wire.Codec;
-import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobSpec;
-import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
 /** Jobs that are accepted while the leader is reading what else there is. */
@@ -36,88 +34,40 @@
   private static final long S = 1_000_000;
   private static final Settings SETTINGS = SettingsFixture.oneNode();
 
-  private final Outbox outbox = new Outbox();
-  private final KeyValueStore state = new KeyValueStore(outbox);
+  private final KeyValueStoreFixture fixture = new KeyValueStoreFixture();
+  private final KeyValueStore store = fixture.store();
   private final ClusterState clusterState = new ClusterState(90, SETTINGS.teams(), Tuning.DEFAULT);
   private final CommitQueue queue =
       new CommitQueue(
-          state, new Precondition(Keys.LEADER, 90), 24, new TokenBucket(100, 100), () -> {});
+          store, new Precondition(Keys.LEADER, 90), 24, new TokenBucket(100, 100), () -> {});
   private final JobRecordWriter recordWriter =
-      new JobRecordWriter(queue, (job, now) -> true, new Ignoring());
+      new JobRecordWriter(queue, (job, now) -> true, new RecordingListener());
   private final LeaderlessJobImporter jobImporter =
-      new LeaderlessJobImporter(state, clusterState, recordWriter, id -> {});
-  private final JobRequestHandler desk =
+      new LeaderlessJobImporter(store, clusterState, recordWriter, id -> {});
+  private final JobRequestHandler requestHandler =
       new JobRequestHandler(
           clusterState,
           recordWriter,
           jobImporter,
-          state,
+          store,
           new FinalStates(),
-          new MachineTypeCatalog(state, new CloudClient(outbox, 100)),
+          new MachineTypeCatalog(store, new CloudClient(fixture.outbox(), 100)),
           SETTINGS,
           0);
-  private final List<Integer> answered = new ArrayList<>();
-
-  /** Nothing is done about what becomes durable. */
-  private static final class Ignoring implements JobRecordWriter.Listener {
-    @Override
-    public void onAccepted(Job job, long nowMicros) {}
-
-    @Override
-    public void onCancelled(Job job, long nowMicros) {}
-
-    @Override
-    public void onEnded(Job job, long nowMicros) {}
-
-    @Override
-    public void onMachinesRegistered(long nowMicros) {}
-
-    @Override
-    public void onRecordConflict(String why, long nowMicros) {}
-  }
+  private final List<Integer> statuses = new ArrayList<>();
 
   private static JobSpec spec(String id) {
-    return new JobSpec(
-        id,
-        "scan",
-        "red",
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        1,
-        1,
-        0,
-        1,
-        "img",
-        1,
-        null,
-        null,
-        false,
-        false,
-        true,
-        10 * S,
-        0,
-        0,
-        -1);
-  }
-
-  /** The only call that was made since the last time, of this method and path. */
-  private Effect.Call sent(String path) {
-    List<Effect.Call> made = new ArrayList<>();
-    outbox.drain().forEach(effect -> made.add((Effect.Call) effect));
-    made.removeIf(call -> !call.path().startsWith(path));
-    assertEquals(1, made.size(), path);
-    return made.get(0);
+    return JobSpecBuilder.array(id).build();
   }
 
-  private void reply(Effect.Call call, int status, JsonNode body) {
-    outbox.reply(2 * S, new Event.Reply(call.callId(), status, body));
+  private void reply(Effect.Call request, int status, JsonNode body) {
+    fixture.reply(request, status, body, 2 * S);
   }
 
   private static ObjectNode page(long revision, boolean more, String id) {
-    ObjectNode page = Codec.map().put("ledger_rev", revision).put("more", more);
-    ObjectNode entry = page.putArray("entries").addObject().put("path", Keys.leaderlessJob(id));
-    entry.put("stamp", 40).set("data", new JobRecord(spec(id), 0, false, new BitSet()).encode());
-    return page;
+    ObjectNode value = new JobRecord(spec(id), 0, false, new BitSet()).encode();
+    ObjectNode page = KeyValueStoreFixture.page(revision, more);
+    return KeyValueStoreFixture.addEntry(page, Keys.leaderlessJob(id), 40, value);
   }
 
   /**
@@ -128,9 +78,9 @@
   @Test
   void theWatchBeginsWhereTheFirstPageDid() {
     jobImporter.tick(S);
-    reply(sent("/keys?"), 200, page(50, true, "req-5"));
-    reply(sent("/keys?"), 200, page(60, false, "req-7"));
-    String watch = sent("/changes?").path();
+    reply(fixture.onlyRequest("/keys?"), 200, page(50, true, "req-5"));
+    reply(fixture.onlyRequest("/keys?"), 200, page(60, false, "req-7"));
+    String watch = fixture.onlyRequest("/changes?").path();
     assertTrue(watch.contains("&after=50&"), watch);
   }
 
@@ -142,13 +92,13 @@
   @Test
   void aSubmissionIsNotRefusedIfItsJobIsAcceptedWhileItIsLookedUp() {
     UserRequest submit = new UserRequest.Submit("req-1", Codec.map().put("uid", "req-1"));
-    desk.handle(submit, (status, body, retry) -> answered.add(status), S);
-    reply(sent("/keys/" + Keys.leaderlessJob("req-1")), 404, Codec.map());
-    Effect.Call lastLook = sent("/keys/" + Keys.finalState("req-1"));
+    requestHandler.handle(submit, (status, body, retry) -> statuses.add(status), S);
+    reply(fixture.onlyRequest("/keys/" + Keys.leaderlessJob("req-1")), 404, Codec.map());
+    Effect.Call lastLook = fixture.onlyRequest("/keys/" + Keys.finalState("req-1"));
     clusterState.jobs().put("req-1", new Job(spec("req-1"), 0, true, JobPhase.ACTIVE));
     reply(lastLook, 404, Codec.map());
-    assertEquals(List.of(503), answered, "to come back");
-    desk.handle(submit, (status, body, retry) -> answered.add(status), 3 * S);
-    assertEquals(List.of(503, 200), answered);
+    assertEquals(List.of(503), statuses, "to be retried");
+    requestHandler.handle(submit, (status, body, retry) -> statuses.add(status), 3 * S);
+    assertEquals(List.of(503, 200), statuses);
   }
 }
--- a/src/test/java/org/dewreach/state/MachineRegistryTest.java
+++ b/src/test/java/org/dewreach/state/MachineRegistryTest.java
@@ -7,142 +7,105 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
-import org.dewreach.model.Job;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.port.Effect;
-import org.dewreach.port.Event;
-import org.dewreach.port.Outbox;
 import org.dewreach.store.CommitQueue;
-import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Precondition;
 import org.dewreach.store.TokenBucket;
-import org.dewreach.wire.Codec;
+import org.dewreach.testing.KeyValueStoreFixture;
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
+/** What is durable about machines, and when. */
 class MachineRegistryTest {
   private static final long S = 1_000_000;
   private static final int VALUE_BYTES = 8192;
   private static final MachineType TYPE =
       new MachineType("box", 8, 0, 32, 50, 1, 1, 0.3, 5 * S, List.of("a"));
 
-  private final Outbox outbox = new Outbox();
-  private final List<String> broken = new ArrayList<>();
+  private final KeyValueStoreFixture fixture = new KeyValueStoreFixture();
+  private final RecordingListener listener = new RecordingListener();
   private final CommitQueue queue =
       new CommitQueue(
-          new KeyValueStore(outbox),
+          fixture.store(),
           new Precondition("dw/leader", 9),
           24,
           new TokenBucket(100, 100),
-          () -> broken.add("lost"));
-  private final MachineRegistry registry =
-      new MachineRegistry(
-          queue,
-          VALUE_BYTES,
-          0,
-          new JobRecordWriter.Listener() {
-            @Override
-            public void onAccepted(Job job, long nowMicros) {}
-
-            @Override
-            public void onCancelled(Job job, long nowMicros) {}
-
-            @Override
-            public void onEnded(Job job, long nowMicros) {}
-
-            @Override
-            public void onMachinesRegistered(long nowMicros) {}
-
-            @Override
-            public void onRecordConflict(String why, long nowMicros) {
-              broken.add(why);
-            }
-          });
+          () -> listener.conflicts.add("leader key"));
+  private final MachineRegistry registry = new MachineRegistry(queue, VALUE_BYTES, 0, listener);
 
   private static Machine machine(int number) {
     return new Machine(
         String.format("vm-%06d", number), "", TYPE, "a", true, MachinePhase.BOOTING, 0);
   }
 
-  private List<Effect.Call> sent() {
-    List<Effect.Call> commits = new ArrayList<>();
-    outbox.drain().forEach(effect -> commits.add((Effect.Call) effect));
-    return commits;
-  }
-
-  private void answer(Effect.Call call, int status, long revision) {
-    JsonNode body = Codec.map().put("ledger_rev", revision);
-    outbox.reply(20 * S, new Event.Reply(call.callId(), status, body));
+  private static List<MachinePageRecord.Entry> entries(JsonNode value) {
+    return MachinePageRecord.decode(value).entries();
   }
 
   @Test
-  void aWholeRentalTakesOneChangeForEachPage() {
+  void allMachinesOfAPageAreRegisteredByOneMutation() {
     List<Machine> rented = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
       rented.add(machine(i));
       registry.register(rented.get(i), 0);
     }
     registry.tick(3 * S);
-    int changes = 0;
+    int mutations = 0;
     List<String> names = new ArrayList<>();
-    for (List<Effect.Call> now = sent(); !now.isEmpty(); now = sent()) {
+    for (List<Effect.Call> now = fixture.requests(); !now.isEmpty(); now = fixture.requests()) {
       for (Effect.Call call : now) {
-        for (JsonNode change : call.body().path("then")) {
-          changes++;
-          assertTrue(change.path("data").toString().length() < VALUE_BYTES);
-          MachinePageRecord.decode(change.path("data"))
-              .entries()
-              .forEach(entry -> names.add(entry.name()));
+        for (JsonNode mutation : call.body().path("then")) {
+          mutations++;
+          assertTrue(mutation.path("data").toString().length() < VALUE_BYTES);
+          entries(mutation.path("data")).forEach(entry -> names.add(entry.name()));
         }
-        answer(call, 200, 10);
+        fixture.commit(call, 10, 20 * S);
       }
     }
     assertEquals(rented.stream().map(Machine::name).toList(), names);
-    assertTrue(changes <= 5, changes + " changes for 200 machines");
-    rented.forEach(machine -> assertFalse(machine.recorded(), "not marked yet"));
+    assertTrue(mutations <= 5, mutations + " mutations for 200 machines");
+    rented.forEach(machine -> assertFalse(machine.recorded(), "not registered for commands yet"));
   }
 
   /** Guards against a command to a machine that a later leader would not wait for. */
   @Test
-  void aMachineIsMarkedOnlyOnceThatIsDurable() {
+  void aMachineIsCommandableOnlyOnceThatIsDurable() {
     Machine machine = machine(1);
     registry.register(machine, 0);
     registry.registerForCommands(machine, 0);
     registry.tick(S);
-    Effect.Call commit = sent().get(0);
+    Effect.Call commit = fixture.requests().get(0);
     assertFalse(machine.recorded());
-    assertTrue(
-        MachinePageRecord.decode(commit.body().at("/then/0/data")).entries().get(0).commandable());
-    answer(commit, 200, 31);
+    assertTrue(entries(commit.body().at("/then/0/data")).get(0).commandable());
+    fixture.commit(commit, 31, 20 * S);
     assertTrue(machine.recorded());
   }
 
-  /** Guards against a late copy of a page that lacks machines marked since. */
+  /** Guards against a late copy of a page that lacks machines registered since. */
   @Test
-  void eachFormOfAPageIsConditionalOnTheOneBefore() {
+  void eachWriteOfAPageIsConditionalOnTheOneBefore() {
     registry.registerForCommands(machine(1), 0);
     registry.tick(S);
-    Effect.Call first = sent().get(0);
+    Effect.Call first = fixture.requests().get(0);
     registry.registerForCommands(machine(2), S);
     registry.tick(2 * S);
-    assertTrue(sent().isEmpty(), "one form of a page is in flight at a time");
-    answer(first, 200, 31);
+    assertTrue(fixture.requests().isEmpty(), "one write of a page is in flight at a time");
+    fixture.commit(first, 31, 20 * S);
     registry.tick(3 * S);
-    Effect.Call second = sent().get(0);
+    Effect.Call second = fixture.requests().get(0);
     assertEquals(31, second.body().at("/when/1/stamp").asLong());
-    assertEquals(2, MachinePageRecord.decode(second.body().at("/then/0/data")).entries().size());
-    assertEquals(List.of(), broken);
+    assertEquals(2, entries(second.body().at("/then/0/data")).size());
+    assertEquals(List.of(), listener.conflicts);
   }
 
   @Test
-  void aPageChangedBySomebodyEndsTheTerm() {
+  void aPageChangedByAnotherEndsTheTerm() {
     registry.registerForCommands(machine(1), 0);
     registry.tick(S);
-    Effect.Call commit = sent().get(0);
-    var conflict = Codec.map().put("ledger_rev", 40);
-    conflict.putArray("failed").add("dw/machines/0");
-    outbox.reply(2 * S, new Event.Reply(commit.callId(), 409, conflict));
-    assertEquals(1, broken.size());
+    Effect.Call commit = fixture.requests().get(0);
+    fixture.conflict(commit, "dw/machines/0", 2 * S);
+    assertEquals(1, listener.conflicts.size());
   }
 }
--- a/src/test/java/org/dewreach/store/CommitQueueTest.java
+++ b/src/test/java/org/dewreach/store/CommitQueueTest.java
@@ -4,28 +4,28 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 import org.dewreach.port.Effect;
-import org.dewreach.port.Event;
-import org.dewreach.port.Outbox;
+import org.dewreach.testing.KeyValueStoreFixture;
 import org.dewreach.wire.Codec;
 import org.junit.jupiter.api.Test;
 
-/** Grouped writes: outcomes, repeats and refusals. */
+/** Outcomes, retries and rejections of grouped writes. */
 class CommitQueueTest {
-  private final Outbox outbox = new Outbox();
+  private static final long NOW = 1_000_000;
+
+  private final KeyValueStoreFixture fixture = new KeyValueStoreFixture();
   private final List<String> outcomes = new ArrayList<>();
-  private boolean lost;
+  private boolean leaderLost;
   private final CommitQueue queue =
       new CommitQueue(
-          new KeyValueStore(outbox),
+          fixture.store(),
           new Precondition("dw/leader", 9),
           4,
           new TokenBucket(100, 100),
-          () -> lost = true);
+          () -> leaderLost = true);
 
   private void add(String key) {
     queue.offer(
@@ -37,94 +37,78 @@
             (now, outcome, revision) -> outcomes.add(key + " " + outcome)));
   }
 
-  private Effect.Call sent() {
-    List<Effect> effects = outbox.drain();
-    assertEquals(1, effects.size(), effects.toString());
-    return (Effect.Call) effects.get(0);
-  }
-
-  private void reply(Effect.Call call, int status, JsonNode body) {
-    outbox.reply(1_000_000, new Event.Reply(call.callId(), status, body));
-  }
-
-  private static ObjectNode conflict(String key) {
-    ObjectNode body = Codec.map().put("ledger_rev", 20);
-    body.putArray("failed").add(key);
-    return body;
-  }
-
   @Test
   void waitingWritesShareOneTransaction() {
     add("a");
-    Effect.Call first = sent();
+    Effect.Call first = fixture.onlyRequest();
     add("b");
     add("c");
-    assertTrue(outbox.drain().isEmpty(), "one in flight");
-    reply(first, 200, Codec.map().put("ledger_rev", 10));
-    Effect.Call second = sent();
+    assertTrue(fixture.requests().isEmpty(), "one in flight");
+    fixture.commit(first, 10, NOW);
+    Effect.Call second = fixture.onlyRequest();
     assertEquals(2, second.body().path("then").size());
     assertEquals("dw/leader", second.body().path("when").get(0).path("path").asText());
-    reply(second, 200, Codec.map().put("ledger_rev", 11));
+    fixture.commit(second, 11, NOW);
     assertEquals(List.of("a WRITTEN", "b WRITTEN", "c WRITTEN"), outcomes);
   }
 
   @Test
-  void aWriteThatFailsDoesNotTakeTheOthersWithIt() {
+  void aConflictingWriteDoesNotTakeTheOthersWithIt() {
     add("x");
-    reply(sent(), 503, null);
+    fixture.reply(fixture.onlyRequest(), 503, null, NOW);
     add("a");
     queue.tick(2_000_000);
-    reply(sent(), 200, Codec.map().put("ledger_rev", 10));
-    Effect.Call second = sent();
+    fixture.commit(fixture.onlyRequest(), 10, NOW);
+    Effect.Call second = fixture.onlyRequest();
     add("b");
-    reply(second, 409, conflict("a"));
-    reply(sent(), 200, Codec.map().put("ledger_rev", 11));
+    fixture.conflict(second, "a", NOW);
+    fixture.commit(fixture.onlyRequest(), 11, NOW);
     assertEquals(List.of("x WRITTEN", "a CONFLICT", "b WRITTEN"), outcomes);
   }
 
-  /** Guards against telling a user "conflict" for a write that had been applied unanswered. */
+  /** Guards against telling a user "conflict" for a write that was applied without a response. */
   @Test
-  void anEarlierCopyThatWasAppliedIsRecognised() {
+  void anEarlierCopyThatWasAppliedIsRecognized() {
     add("a");
-    Effect.Call first = sent();
-    String mark = first.body().path("then").get(0).path("data").path("w").asText();
-    reply(first, 0, null);
+    Effect.Call first = fixture.onlyRequest();
+    String transactionId = first.body().path("then").get(0).path("data").path("w").asText();
+    fixture.reply(first, 0, null, NOW);
     queue.tick(2_000_000);
-    Effect.Call again = sent();
+    Effect.Call again = fixture.onlyRequest();
     assertEquals(first.body(), again.body(), "sent again unchanged");
-    reply(again, 409, conflict("a"));
-    Effect.Call check = sent();
+    fixture.conflict(again, "a", NOW);
+    Effect.Call check = fixture.onlyRequest();
     assertEquals("/keys/a", check.path());
     ObjectNode found = Codec.map().put("stamp", 15);
-    found.putObject("data").put("w", mark);
-    reply(check, 200, found);
+    found.putObject("data").put("w", transactionId);
+    fixture.reply(check, 200, found, NOW);
     assertEquals(List.of("a WRITTEN"), outcomes);
   }
 
   @Test
-  void theLeaderKeyGoneEndsTheTerm() {
+  void aChangedLeaderKeyEndsTheTerm() {
     add("a");
-    reply(sent(), 409, conflict("dw/leader"));
-    assertTrue(lost);
+    fixture.conflict(fixture.onlyRequest(), "dw/leader", NOW);
+    assertTrue(leaderLost);
     queue.close(0);
     assertEquals(List.of("a UNKNOWN"), outcomes);
   }
 
-  /** Guards against one write that is always refused ending the term by taking others with it. */
+  /** Guards against one write that is always rejected ending the term by taking others with it. */
   @Test
-  void aRefusedWriteFailsAlone() {
+  void aRejectedWriteFailsAlone() {
     add("first");
-    Effect.Call before = sent();
+    Effect.Call before = fixture.onlyRequest();
     add("a");
     add("bad");
     add("b");
-    reply(before, 200, Codec.map().put("ledger_rev", 10));
-    reply(sent(), 400, null);
+    fixture.commit(before, 10, NOW);
+    fixture.reply(fixture.onlyRequest(), 400, null, NOW);
     for (int i = 0; i < 3; i++) {
-      Effect.Call call = sent();
+      Effect.Call call = fixture.onlyRequest();
       assertEquals(1, call.body().path("then").size());
       boolean bad = call.body().at("/then/0/put").asText().equals("bad");
-      reply(call, bad ? 400 : 200, Codec.map().put("ledger_rev", 11 + i));
+      fixture.reply(call, bad ? 400 : 200, Codec.map().put("ledger_rev", 11 + i), NOW);
     }
     assertEquals(List.of("first WRITTEN", "a WRITTEN", "bad CONFLICT", "b WRITTEN"), outcomes);
   }
@@ -137,40 +121,40 @@
           (now, outcome, revision) -> outcomes.add("ending " + outcome));
 
   @Test
-  void aWriteThatWaitsIsNotInDoubt() {
+  void aWaitingWriteIsNotInDoubt() {
     add("a");
-    Effect.Call first = sent();
+    Effect.Call first = fixture.onlyRequest();
     queue.offer(0, ending);
     assertFalse(queue.inDoubt(ending), "it was not sent");
-    reply(first, 200, Codec.map().put("ledger_rev", 10));
-    Effect.Call second = sent();
+    fixture.commit(first, 10, NOW);
+    Effect.Call second = fixture.onlyRequest();
     assertTrue(queue.inDoubt(ending), "it is on its way");
-    reply(second, 200, Codec.map().put("ledger_rev", 11));
+    fixture.commit(second, 11, NOW);
     assertFalse(queue.inDoubt(ending), "it is written");
   }
 
   @Test
   void aWriteThatWasNotExecutedIsNotInDoubt() {
     queue.offer(0, ending);
-    reply(sent(), 503, null);
+    fixture.reply(fixture.onlyRequest(), 503, null, NOW);
     assertFalse(queue.inDoubt(ending), "503: not executed");
     queue.tick(2_000_000);
-    Effect.Call again = sent();
+    Effect.Call again = fixture.onlyRequest();
     assertTrue(queue.inDoubt(ending), "it is on its way again");
-    reply(again, 429, null);
+    fixture.reply(again, 429, null, NOW);
     assertFalse(queue.inDoubt(ending), "429: not executed");
   }
 
   @Test
-  void aWriteWithoutAnAnswerStaysInDoubtUntilItsOutcomeIsKnown() {
+  void aWriteWithoutAResponseStaysInDoubtUntilItsOutcomeIsKnown() {
     queue.offer(0, ending);
-    reply(sent(), 0, null);
+    fixture.reply(fixture.onlyRequest(), 0, null, NOW);
     assertTrue(queue.inDoubt(ending), "it may have been applied");
     queue.tick(2_000_000);
-    reply(sent(), 503, null);
+    fixture.reply(fixture.onlyRequest(), 503, null, NOW);
     assertTrue(queue.inDoubt(ending), "the copy before it may have been applied");
     queue.tick(4_000_000);
-    reply(sent(), 200, Codec.map().put("ledger_rev", 11));
+    fixture.commit(fixture.onlyRequest(), 11, NOW);
     assertFalse(queue.inDoubt(ending), "it is written");
   }
 }
