--- a/src/main/java/org/dewreach/controller/Controller.java
+++ b/src/main/java/org/dewreach/controller/Controller.java
@@ -259,7 +259,10 @@
     }
     if (delegateRenewer.tryRenew(report, now)) {
       outbox.respondUntil(
-          requestId, 200, delegateRenewer.heartbeatResponse(), delegateRenewer.delegatedUntil());
+          requestId,
+          200,
+          delegateRenewer.heartbeatResponse().toNode(),
+          delegateRenewer.delegatedUntil());
       return;
     }
     String leader = election.leader();
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -1,6 +1,5 @@
 package org.dewreach.leadership;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashSet;
 import java.util.Set;
 import org.dewreach.config.Settings;
@@ -11,8 +10,8 @@
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
 import org.dewreach.store.RequestFailure;
-import org.dewreach.wire.Codec;
 import org.dewreach.wire.Heartbeat;
+import org.dewreach.wire.HeartbeatResponse;
 import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -204,9 +203,7 @@
   }
 
   /** The response to a heartbeat that was renewed: it carries no commands. */
-  public ObjectNode heartbeatResponse() {
-    ObjectNode answer = Codec.map().put("warrant", term);
-    answer.putArray("orders");
-    return answer;
+  public HeartbeatResponse heartbeatResponse() {
+    return HeartbeatResponse.withoutCommands(term);
   }
 }
--- a/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
+++ b/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
@@ -15,6 +15,7 @@
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.wire.Codec;
 import org.dewreach.wire.Heartbeat;
+import org.dewreach.wire.HeartbeatResponse;
 import org.dewreach.wire.MalformedException;
 import org.junit.jupiter.api.Test;
 
@@ -69,7 +70,7 @@
     assertFalse(delegateRenewer.tryRenew(heartbeat("m1", "b"), 102 * S), "in contact a moment ago");
     assertFalse(delegateRenewer.tryRenew(heartbeat("m1", "a"), 104 * S), "another zone");
     assertTrue(delegateRenewer.tryRenew(heartbeat("m1", "b"), 104 * S));
-    assertEquals(7, delegateRenewer.heartbeatResponse().path("warrant").asLong());
+    assertEquals(HeartbeatResponse.withoutCommands(7), delegateRenewer.heartbeatResponse());
     assertTrue(delegateRenewer.tryRenew(heartbeat("m1", "b"), 129 * S));
     assertFalse(
         delegateRenewer.tryRenew(heartbeat("m1", "b"), 130 * S),
