--- a/src/main/java/org/dewreach/cli/Main.java
+++ b/src/main/java/org/dewreach/cli/Main.java
@@ -53,8 +53,8 @@
       description = "Check settings and script, and exit without starting anything.")
   private boolean check;
 
-  @Option(names = "--rehearse", hidden = true, description = "Load all classes and exit (build).")
-  private boolean rehearse;
+  @Option(names = "--load-classes", hidden = true, description = "Load all classes and exit (build).")
+  private boolean loadClasses;
 
   /** The version, as the build wrote it into the archive. */
   static final class Version implements CommandLine.IVersionProvider {
@@ -86,7 +86,7 @@
 
   @Override
   public Integer call() {
-    if (rehearse) {
+    if (loadClasses) {
       ClassLoadingRun.run();
       return 0;
     }
