--- a/src/main/java/org/dewreach/cli/ClassLoadingRun.java
+++ b/src/main/java/org/dewreach/cli/ClassLoadingRun.java
@@ -43,7 +43,7 @@
 
   private static final String SETTINGS =
       """
-      host_name = "rehearsal"
+      host_name = "class-loading"
       location = "a"
       client_listen = "127.0.0.1:1"
       internal_addr = "127.0.0.1:1"
@@ -83,7 +83,7 @@
     try {
       loadOwnClasses();
       Settings settings = SettingsReader.parse(SETTINGS);
-      Controller core = new Controller(settings, Tuning.DEFAULT, "rehearsal", new Random(1), 0);
+      Controller core = new Controller(settings, Tuning.DEFAULT, "class-loading", new Random(1), 0);
       core.handle(0, new Event.Tick());
       talk();
     } catch (IOException
