--- a/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.dewreach.autoscaling.ScalingPlanner.Need;
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
 import org.dewreach.model.Job;
@@ -15,7 +14,7 @@
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobSpec;
 
-/** Derives from the waiting tasks what is worth renting machines for. */
+/** Derives from the waiting tasks how much capacity is worth renting. */
 public final class CapacityDemand {
   private static final double MICROS_PER_SECOND = 1e6;
 
@@ -37,6 +36,11 @@
   private final QueueOrder order;
   private final long wallOffsetMicros;
 
+  /**
+   * The demand of one term.
+   *
+   * @param wallOffsetMicros time of day less event time
+   */
   public CapacityDemand(
       ClusterState clusterState, Settings settings, Tuning tuning, long wallOffsetMicros) {
     this.clusterState = clusterState;
@@ -46,34 +50,36 @@
   }
 
   /** The waiting tasks that are worth machines of their own. */
-  List<Need> needs(List<TaskPlacer.Waiting> waiting, long nowMicros) {
-    List<Need> needs = new ArrayList<>();
+  List<CapacityRequirement> requirements(List<TaskPlacer.Waiting> waiting, long nowMicros) {
+    List<CapacityRequirement> requirements = new ArrayList<>();
     for (TaskPlacer.Waiting item : waiting) {
-      int tasks = worthRenting(item, nowMicros);
+      int tasks = tasksWorthRenting(item, nowMicros);
       if (tasks > 0) {
         Job job = item.job();
-        needs.add(new Need(job.spec(), tasks, slackMicros(job, nowMicros), job.boundInZones()));
+        requirements.add(
+            new CapacityRequirement(
+                job.spec(), tasks, slackMicros(job, nowMicros), job.boundInZones()));
       }
     }
-    return needs;
+    return requirements;
   }
 
   /** True if the machines that are there would work on the waiting batch tasks for too long. */
-  boolean longBacklog(List<TaskPlacer.Waiting> waiting, long nowMicros) {
-    double backlog = 0;
-    double patience = 0;
+  boolean hasLongBacklog(List<TaskPlacer.Waiting> waiting, long nowMicros) {
+    double backlogCpuS = 0;
+    double weightedPatience = 0;
     for (TaskPlacer.Waiting item : waiting) {
       JobSpec spec = item.job().spec();
       if (spec.spot()) {
-        double work =
+        double cpuS =
             item.tasks()
                 * spec.cpus()
                 * (spec.expectedMicros() / MICROS_PER_SECOND + TASK_OVERHEAD_S);
-        backlog += work;
-        patience += work * patienceS(item.job(), nowMicros);
+        backlogCpuS += cpuS;
+        weightedPatience += cpuS * patienceS(item.job(), nowMicros);
       }
     }
-    return backlog > 0 && backlog > batchCpus() * patience / backlog;
+    return backlogCpuS > 0 && backlogCpuS > batchCpus() * weightedPatience / backlogCpuS;
   }
 
   /** The CPUs that batch tasks have or could have. */
@@ -95,40 +101,50 @@
   }
 
   /** How many of the waiting tasks are worth a machine of their own, rather than a wait. */
-  private int worthRenting(TaskPlacer.Waiting item, long nowMicros) {
+  private int tasksWorthRenting(TaskPlacer.Waiting item, long nowMicros) {
     Job job = item.job();
     JobSpec spec = job.spec();
     if (spec.jobKind() == JobKind.SERVICE) {
       return item.tasks();
     }
-    long horizon = tuning.workOffMicros();
-    long allowed = order.allowedMicros(spec);
-    if (allowed >= 0) {
-      long dueAt = job.acceptedWallMicros() - wallOffsetMicros + allowed;
-      horizon = Math.max(spec.expectedMicros(), (dueAt - nowMicros) / 2);
-    }
-    horizon = Math.max(horizon, MIN_HORIZON_MICROS);
     // In floating point: the owner's estimate may be anything.
     double work = (double) job.pending() * (spec.expectedMicros() + TASK_OVERHEAD_MICROS);
-    int slots = (int) Math.min(job.pending(), Math.ceil(work / horizon));
-    return Math.min(item.tasks(), Math.max(0, slots - job.bound().size()));
+    int parallel = (int) Math.min(job.pending(), Math.ceil(work / horizonMicros(job, nowMicros)));
+    return Math.min(item.tasks(), Math.max(0, parallel - job.bound().size()));
+  }
+
+  /** Within what time a job's pending tasks are to be done: half of what its objective leaves. */
+  private long horizonMicros(Job job, long nowMicros) {
+    long horizon =
+        hasObjective(job)
+            ? Math.max(job.spec().expectedMicros(), dueInMicros(job, nowMicros) / 2)
+            : tuning.workOffMicros();
+    return Math.max(horizon, MIN_HORIZON_MICROS);
+  }
+
+  private boolean hasObjective(Job job) {
+    return order.allowedMicros(job.spec()) >= 0;
+  }
+
+  /** Time until the job is to be done by its objective; negative if that is past. */
+  private long dueInMicros(Job job, long nowMicros) {
+    long submittedAt = job.acceptedWallMicros() - wallOffsetMicros;
+    return submittedAt + order.allowedMicros(job.spec()) - nowMicros;
   }
 
   private long slackMicros(Job job, long nowMicros) {
-    long allowed = order.allowedMicros(job.spec());
-    long dueAt = job.acceptedWallMicros() - wallOffsetMicros + allowed;
-    return allowed < 0 ? UNLIMITED_SLACK_MICROS : dueAt - nowMicros - job.spec().expectedMicros();
+    return hasObjective(job)
+        ? dueInMicros(job, nowMicros) - job.spec().expectedMicros()
+        : UNLIMITED_SLACK_MICROS;
   }
 
   /** How long work can wait for machines that are there: half of the time that it has left. */
   private double patienceS(Job job, long nowMicros) {
     double longWaitS = tuning.longWaitMicros() / MICROS_PER_SECOND;
-    long allowed = order.allowedMicros(job.spec());
-    if (allowed < 0) {
+    if (!hasObjective(job)) {
       return longWaitS;
     }
-    long dueAt = job.acceptedWallMicros() - wallOffsetMicros + allowed;
-    double spareS = (dueAt - nowMicros - job.spec().expectedMicros()) / (2 * MICROS_PER_SECOND);
+    double spareS = slackMicros(job, nowMicros) / (2 * MICROS_PER_SECOND);
     return Math.max(MIN_PATIENCE_S, Math.min(longWaitS, spareS));
   }
 }
--- /dev/null
+++ b/src/main/java/org/dewreach/autoscaling/MachinePool.java
@@ -0,0 +1,28 @@
+package org.dewreach.autoscaling;
+
+import org.dewreach.model.Machine;
+import org.dewreach.placement.SortFirstFit;
+import org.dewreach.wire.JobSpec;
+import org.dewreach.wire.MachineType;
+
+/**
+ * The machines that the cloud offers under one type, zone and kind of price.
+ *
+ * @param spot true for spot machines, false for on-demand ones
+ */
+public record MachinePool(MachineType type, String zone, boolean spot) {
+  /** The pool that a machine belongs to. */
+  public static MachinePool of(Machine machine) {
+    return new MachinePool(machine.type(), machine.zone(), machine.spot());
+  }
+
+  /** The price of one machine. */
+  double price() {
+    return spot ? type.spotPrice() : type.price();
+  }
+
+  /** True if the job's owner allows machines of this pool. */
+  boolean permittedBy(JobSpec spec) {
+    return SortFirstFit.permitted(spec, type.name(), zone, spot);
+  }
+}
--- /dev/null
+++ b/src/main/java/org/dewreach/autoscaling/PoolSelector.java
@@ -0,0 +1,96 @@
+package org.dewreach.autoscaling;
+
+import java.util.List;
+import org.dewreach.model.Admission;
+import org.dewreach.placement.FreeCapacity;
+import org.dewreach.wire.JobSpec;
+import org.dewreach.wire.MachineType;
+
+/** Chooses the pool that is the cheapest per task, among those that can be asked for now. */
+final class PoolSelector {
+  private static final double COST_TOLERANCE = 1e-9;
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  /**
+   * Time over which what a machine costs until it is of use is spread. A default of this project.
+   */
+  private static final double STARTUP_COST_SPREAD_S = 120;
+
+  /**
+   * How much dearer a machine counts that comes too late for the tasks. A default of this project.
+   */
+  private static final double LATE_COST_FACTOR = 2;
+
+  private final List<MachineType> catalog;
+  private final boolean onDemandForAll;
+  private final RefusalBackoff refusals;
+  private final long nowMicros;
+
+  /**
+   * A selector for one plan.
+   *
+   * @param onDemandForAll false if work that may run on spot machines is to get only those
+   */
+  PoolSelector(
+      List<MachineType> catalog, boolean onDemandForAll, RefusalBackoff refusals, long nowMicros) {
+    this.catalog = catalog;
+    this.onDemandForAll = onDemandForAll;
+    this.refusals = refusals;
+    this.nowMicros = nowMicros;
+  }
+
+  /** All machine types on offer. */
+  List<MachineType> catalog() {
+    return catalog;
+  }
+
+  /** The cheapest pool for the given number of the group's tasks, or null if there is none. */
+  MachinePool cheapest(RequirementGroup group, int tasks, ZoneAllowance allowance) {
+    MachinePool best = null;
+    double bestCost = Double.POSITIVE_INFINITY;
+    for (MachineType type : catalog) {
+      if (!Admission.fits(group.requirement().spec(), type)) {
+        continue;
+      }
+      for (String zone : type.zones()) {
+        int tasksInZone = Math.min(tasks, allowance.remaining(zone));
+        if (tasksInZone <= 0) {
+          continue;
+        }
+        // Spot first: at equal cost the first one is taken.
+        for (boolean spot : new boolean[] {true, false}) {
+          MachinePool pool = new MachinePool(type, zone, spot);
+          double cost = costPerTask(pool, group, tasksInZone);
+          if (cost < bestCost - COST_TOLERANCE) {
+            best = pool;
+            bestCost = cost;
+          }
+        }
+      }
+    }
+    return best;
+  }
+
+  private boolean allowed(MachinePool pool, JobSpec spec) {
+    boolean spotOnly = spec.spot() && !onDemandForAll;
+    return pool.permittedBy(spec)
+        && refusals.available(pool, nowMicros)
+        && (pool.spot() || !spotOnly);
+  }
+
+  /** What a machine of the pool costs per task, with its start-up; infinite if not allowed. */
+  private double costPerTask(MachinePool pool, RequirementGroup group, int maxTasks) {
+    CapacityRequirement requirement = group.requirement();
+    if (!allowed(pool, requirement.spec())) {
+      return Double.POSITIVE_INFINITY;
+    }
+    MachineType type = pool.type();
+    int tasks = FreeCapacity.of(type).take(requirement.spec(), maxTasks);
+    // Until it has booted and fetched its images, a machine is paid for and of no use.
+    double fetchS = type.fetchGbPerS() > 0 ? group.fetchGb(tasks) / type.fetchGbPerS() : 0;
+    boolean late = type.bootMicros() + fetchS * MICROS_PER_SECOND > requirement.slackMicros();
+    double startupS = type.bootMicros() / MICROS_PER_SECOND + fetchS;
+    double startupFactor = 1 + startupS / STARTUP_COST_SPREAD_S;
+    return pool.price() * startupFactor * (late ? LATE_COST_FACTOR : 1) / tasks;
+  }
+}
--- a/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
@@ -5,19 +5,24 @@
 import java.util.List;
 import java.util.Set;
 import org.dewreach.cloud.CloudClient;
+import org.dewreach.cloud.ReleaseResult;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.MachineRegistry;
-import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Returns machines to the cloud and remembers those that are gone. */
+/**
+ * Releases machines to the cloud and remembers the names of those that are gone.
+ *
+ * <p>A machine is first marked ({@link MachinePhase#TERMINATING}); all marked machines are released
+ * with the next request.
+ */
 public final class ScaleInExecutor {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleInExecutor.class);
 
-  private static final int MAX_RETURNED_PER_CALL = 100;
+  private static final int MAX_MACHINES_PER_REQUEST = 100;
   private static final int MAX_REMEMBERED_NAMES = 4_000;
   private static final long RETRY_DELAY_MICROS = 1_000_000;
 
@@ -25,10 +30,11 @@
   private final MachineRegistry registry;
   private final CloudClient cloud;
   private final Set<String> releasedNames = new LinkedHashSet<>();
-  private boolean inFlight;
-  private long nextTryAt;
+  private boolean requestInFlight;
+  private long nextRequestAt;
   private boolean closed;
 
+  /** An executor of one term. */
   public ScaleInExecutor(ClusterState clusterState, MachineRegistry registry, CloudClient cloud) {
     this.clusterState = clusterState;
     this.registry = registry;
@@ -40,56 +46,60 @@
     closed = true;
   }
 
-  /** Marks a machine to be returned with the next call. */
-  public void markForRelease(Machine machine, String why, long nowMicros) {
-    LOG.info("machine {} is to be returned: {}", machine.name(), why);
+  /** Marks a machine to be released with the next request. */
+  public void markForRelease(Machine machine, String reason, long nowMicros) {
+    LOG.info(
+        "machine phase changed: machine={} from={} to={} reason={}",
+        machine.name(),
+        machine.phase(),
+        MachinePhase.TERMINATING,
+        reason);
     machine.become(MachinePhase.TERMINATING, nowMicros);
     clusterState.requestPlacement();
   }
 
-  /** Returns the machines that are marked, unless a call is in flight. */
+  /** Releases the machines that are marked, unless a request is in flight. */
   public void releaseMarked(long nowMicros) {
-    if (inFlight || nowMicros < nextTryAt || !cloud.mayCall(nowMicros)) {
+    if (requestInFlight || nowMicros < nextRequestAt || !cloud.mayCall(nowMicros)) {
       return;
     }
     List<String> names = markedNames();
     if (names.isEmpty()) {
       return;
     }
-    inFlight = true;
-    cloud.release(
-        nowMicros, names, (answeredAt, status, body) -> onAnswer(names, status, answeredAt));
+    requestInFlight = true;
+    cloud.release(nowMicros, names, (answeredAt, result) -> onResult(names, result, answeredAt));
   }
 
   private List<String> markedNames() {
     List<String> names = new ArrayList<>();
     for (Machine machine : clusterState.machines().values()) {
-      if (machine.phase() == MachinePhase.TERMINATING && names.size() < MAX_RETURNED_PER_CALL) {
+      if (machine.phase() == MachinePhase.TERMINATING && names.size() < MAX_MACHINES_PER_REQUEST) {
         names.add(machine.name());
       }
     }
     return names;
   }
 
-  private void onAnswer(List<String> names, int status, long nowMicros) {
+  private void onResult(List<String> names, ReleaseResult result, long nowMicros) {
     if (closed) {
       return;
     }
-    inFlight = false;
-    if (status != HttpStatus.OK) {
-      nextTryAt = nowMicros + RETRY_DELAY_MICROS;
+    requestInFlight = false;
+    if (!(result instanceof ReleaseResult.Released)) {
+      nextRequestAt = nowMicros + RETRY_DELAY_MICROS;
       return;
     }
     for (String name : names) {
       Machine machine = clusterState.machines().get(name);
       if (machine != null) {
-        forget(machine, "returned", nowMicros);
+        removeReleased(machine, nowMicros);
       }
     }
   }
 
-  private void forget(Machine machine, String why, long nowMicros) {
-    clusterState.gone(machine, why, nowMicros);
+  private void removeReleased(Machine machine, long nowMicros) {
+    clusterState.gone(machine, "released", nowMicros);
     registry.forget(machine, nowMicros);
     releasedNames.add(machine.name());
     if (releasedNames.size() > MAX_REMEMBERED_NAMES) {
@@ -97,7 +107,7 @@
     }
   }
 
-  /** A machine that was returned may still be listed, or heard of, for a while. */
+  /** True if the machine was released: it may still be listed, or heard of, for a while. */
   public boolean isReleased(String name) {
     return releasedNames.contains(name);
   }
--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -12,12 +12,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Lets machines that are not needed run empty, and returns those that are idle. */
+/** Cordons machines that are not needed, and has those released that are idle. */
 public final class ScaleInPolicy {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleInPolicy.class);
 
   /**
-   * Room has to be there this long before a machine is let run empty. A default of this project.
+   * There has to be spare capacity for this long before a machine is cordoned. A default of this
+   * project.
    */
   private static final long SPARE_CAPACITY_PERIOD_MICROS = 10_000_000;
 
@@ -27,19 +28,20 @@
    */
   private static final double MAX_SERVICE_SHARE = 0.4;
 
-  private static final int MAX_RETIRED = 3;
+  /** Machines that may be cordoned in one round. */
+  private static final int MAX_CORDONED_PER_ROUND = 3;
 
   /**
-   * Of a large fleet, one machine in this many may start to run empty at a time. A default of this
+   * Of a large fleet, one machine in this many may be cordoned in one round. A default of this
    * project.
    */
-  private static final int RETIRED_DIVISOR = 25;
+  private static final int CORDONED_PER_ROUND_DIVISOR = 25;
 
   /** Prices per CPU that differ by less are equal. */
   private static final double PRICE_TOLERANCE = 1e-9;
 
   /** From the end of the boot until the first task can start. */
-  private static final long FIRST_REPORT_MICROS = 5_000_000;
+  private static final long FIRST_HEARTBEAT_MICROS = 5_000_000;
 
   private final ClusterState clusterState;
   private final MachineTypeCatalog catalog;
@@ -47,6 +49,7 @@
   private final ScaleInExecutor scaleIn;
   private long spareCapacitySince;
 
+  /** The policy of one term. */
   public ScaleInPolicy(
       ClusterState clusterState,
       MachineTypeCatalog catalog,
@@ -64,12 +67,12 @@
     for (MachineType type : catalog.types()) {
       longest = Math.max(longest, type.bootMicros());
     }
-    return longest + FIRST_REPORT_MICROS;
+    return longest + FIRST_HEARTBEAT_MICROS;
   }
 
   /**
-   * Lets a few machines at a time run empty when the others have had room enough for their tasks
-   * for a while. The dearest goes first, among equals the last of the list, which fills last.
+   * Cordons a few machines at a time when the others have had capacity for their tasks for a while,
+   * and uncordons all as soon as tasks wait.
    */
   public void cordonSpareMachines(long nowMicros, List<TaskPlacer.Waiting> waiting) {
     if (!waiting.isEmpty()) {
@@ -83,49 +86,44 @@
       }
       return;
     }
-    int most = Math.max(MAX_RETIRED, clusterState.machines().size() / RETIRED_DIVISOR);
+    int most =
+        Math.max(
+            MAX_CORDONED_PER_ROUND, clusterState.machines().size() / CORDONED_PER_ROUND_DIVISOR);
     for (int i = 0; i < most; i++) {
       Machine spare = mostExpensiveSpareMachine(nowMicros);
       if (spare == null) {
         break;
       }
-      LOG.info("machine {} is to run empty", spare.name());
+      LOG.info("machine cordoned: machine={} reason=spare_capacity", spare.name());
       spare.cordoned(true);
     }
     spareCapacitySince = nowMicros - SPARE_CAPACITY_PERIOD_MICROS / 2;
   }
 
-  /** Takes the machines that run empty into use again. */
   private void uncordonAll() {
     for (Machine machine : clusterState.machines().values()) {
       if (machine.cordoned() && machine.phase() == MachinePhase.UP) {
-        LOG.info("machine {} is needed again", machine.name());
+        LOG.info("machine uncordoned: machine={} reason=tasks_waiting", machine.name());
         machine.cordoned(false);
         clusterState.requestPlacement();
       }
     }
   }
 
-  /** The dearest machine, among equals the last of the list, whose work has room elsewhere. */
+  /**
+   * The machine with the highest price per CPU among those whose tasks have room elsewhere; among
+   * equals the last of the list, which fills last. Null if there is none.
+   */
   private Machine mostExpensiveSpareMachine(long nowMicros) {
-    double ordinary = clusterState.freeCpus(false);
-    double spot = clusterState.freeCpus(true);
-    double headroom = clusterState.services().headroomCpus(typicalBootMicros(), nowMicros);
+    SpareCapacity spareCapacity = spareCapacity(nowMicros);
     Machine best = null;
     for (Machine machine : clusterState.list().machines()) {
       if (!machine.schedulable() || nowMicros - machine.knownSince() < tuning.leastPaidMicros()) {
         continue;
       }
-      double services = serviceCpus(machine);
-      // What it offers now, and the room that its tasks would take elsewhere.
-      double capacity = machine.type().cpus();
-      boolean freeCapacity =
-          machine.spot()
-              ? spot + ordinary - headroom >= capacity
-              : ordinary - machine.freeCpus() - services >= headroom
-                  && spot + ordinary - headroom >= capacity;
-      if (freeCapacity
-          && services <= capacity * MAX_SERVICE_SHARE
+      double serviceCpus = serviceCpus(machine);
+      if (spareCapacity.canSpare(machine, serviceCpus)
+          && serviceCpus <= machine.type().cpus() * MAX_SERVICE_SHARE
           && (best == null || pricePerCpu(machine) >= pricePerCpu(best) - PRICE_TOLERANCE)) {
         best = machine;
       }
@@ -133,26 +131,49 @@
     return best;
   }
 
+  /**
+   * The free CPUs of the fleet.
+   *
+   * @param headroom what is to stay free on on-demand machines for services to come
+   */
+  private record SpareCapacity(double onDemandCpus, double spotCpus, double headroom) {
+    /** True if the fleet can spare what the machine offers, and has room for its tasks. */
+    boolean canSpare(Machine machine, double serviceCpus) {
+      boolean enoughInAll = spotCpus + onDemandCpus - headroom >= machine.type().cpus();
+      // Services run on on-demand machines only, so those have to have room for them.
+      boolean enoughOnDemand =
+          machine.spot() || onDemandCpus - machine.freeCpus() - serviceCpus >= headroom;
+      return enoughInAll && enoughOnDemand;
+    }
+  }
+
+  private SpareCapacity spareCapacity(long nowMicros) {
+    return new SpareCapacity(
+        clusterState.freeCpus(false),
+        clusterState.freeCpus(true),
+        clusterState.services().headroomCpus(typicalBootMicros(), nowMicros));
+  }
+
+  /** The CPUs taken by tasks that may run on on-demand machines only. */
   private static double serviceCpus(Machine machine) {
-    double services = 0;
+    double cpus = 0;
     for (Task task : machine.tasks()) {
-      services += task.spec().spot() ? 0 : task.spec().cpus();
+      cpus += task.spec().spot() ? 0 : task.spec().cpus();
     }
-    return services;
+    return cpus;
   }
 
   private static double pricePerCpu(Machine machine) {
-    MachineType type = machine.type();
-    return (machine.spot() ? type.spotPrice() : type.price()) / Math.max(1, type.cpus());
+    return MachinePool.of(machine).price() / Math.max(1, machine.type().cpus());
   }
 
-  /** Returns the machines that have been idle for longer than they are kept. */
+  /** Marks the machines for release that have been idle for longer than they are kept. */
   public void releaseIdleMachines(long nowMicros) {
     for (Machine machine : clusterState.machines().values()) {
-      long kept = machine.cordoned() ? 0 : tuning.idleKeptMicros();
+      long keptMicros = machine.cordoned() ? 0 : tuning.idleKeptMicros();
       if (machine.phase() == MachinePhase.UP
           && machine.tasks().isEmpty()
-          && nowMicros - machine.idleSince() > kept
+          && nowMicros - machine.idleSince() > keptMicros
           && nowMicros - machine.knownSince() > tuning.leastPaidMicros()) {
         scaleIn.markForRelease(machine, "idle", nowMicros);
       }
--- a/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
@@ -1,22 +1,19 @@
 package org.dewreach.autoscaling;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.dewreach.autoscaling.ScalingPlanner.Kind;
-import org.dewreach.autoscaling.ScalingPlanner.Need;
-import org.dewreach.autoscaling.ScalingPlanner.Rental;
 import org.dewreach.cloud.CloudClient;
+import org.dewreach.cloud.RentalRequest;
+import org.dewreach.cloud.RentalResult;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.scheduling.TaskPlacer;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
-import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -24,19 +21,19 @@
 public final class ScaleOutExecutor {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOutExecutor.class);
 
-  private static final int MAX_RENTAL_REQUESTS = 6;
-  private static final int MAX_RENT_TRIES = 4;
+  private static final int MAX_OPEN_REQUESTS = 6;
+  private static final int MAX_ATTEMPTS = 4;
   private static final long RETRY_DELAY_MICROS = 1_500_000;
 
-  /** A rental request on its way. */
-  private static final class RentalRequest {
+  /** A rental request without an outcome. */
+  private static final class OpenRequest {
     final String name;
     final Rental rental;
-    int tries;
-    long nextTryAt;
+    int attempts;
+    long nextAttemptAt;
     boolean inFlight;
 
-    RentalRequest(String name, Rental rental) {
+    OpenRequest(String name, Rental rental) {
       this.name = name;
       this.rental = rental;
     }
@@ -50,10 +47,11 @@
   private final CapacityDemand demand;
   private final ScaleInExecutor scaleIn;
   private final ScalingPlanner planner = new ScalingPlanner();
-  private final Map<String, RentalRequest> rentalRequests = new LinkedHashMap<>();
-  private long lastRequest;
+  private final Map<String, OpenRequest> openRequests = new LinkedHashMap<>();
+  private long lastRequestNumber;
   private boolean closed;
 
+  /** An executor of one term. */
   public ScaleOutExecutor(
       long term,
       ClusterState clusterState,
@@ -76,122 +74,127 @@
     closed = true;
   }
 
-  /** Repeats requests that are due, then rents for what waits. Called once a round. */
+  /** Repeats requests that are due, then rents for the waiting tasks. Called once a round. */
   public void scaleOut(long nowMicros, List<TaskPlacer.Waiting> waiting) {
-    retry(nowMicros);
-    if (catalog.types().isEmpty() || rentalRequests.size() >= MAX_RENTAL_REQUESTS) {
+    repeatDueRequests(nowMicros);
+    if (catalog.types().isEmpty() || openRequests.size() >= MAX_OPEN_REQUESTS) {
       return;
     }
-    List<Need> needs = demand.needs(waiting, nowMicros);
-    if (needs.isEmpty()) {
+    List<CapacityRequirement> requirements = demand.requirements(waiting, nowMicros);
+    if (requirements.isEmpty()) {
       return;
     }
     List<Rental> rentals =
         planner.plan(
-            needs,
+            requirements,
             clusterState.machines().values(),
-            requestedKinds(),
+            requestedPools(),
             catalog.types(),
-            demand.longBacklog(waiting, nowMicros),
+            demand.hasLongBacklog(waiting, nowMicros),
             nowMicros);
     for (Rental rental : rentals) {
-      if (rentalRequests.size() < MAX_RENTAL_REQUESTS && cloud.mayCall(nowMicros)) {
-        // The term makes the name unique among leaders, the counter within the term.
-        RentalRequest request = new RentalRequest("dw-" + term + "-" + ++lastRequest, rental);
-        rentalRequests.put(request.name, request);
-        send(request, nowMicros);
+      if (openRequests.size() < MAX_OPEN_REQUESTS && cloud.mayCall(nowMicros)) {
+        send(newRequest(rental), nowMicros);
       }
     }
   }
 
-  private void retry(long nowMicros) {
-    for (RentalRequest request : List.copyOf(rentalRequests.values())) {
-      if (!request.inFlight && nowMicros >= request.nextTryAt && cloud.mayCall(nowMicros)) {
+  private OpenRequest newRequest(Rental rental) {
+    // The term makes the name unique among leaders, the counter within the term.
+    String name = "dw-" + term + "-" + ++lastRequestNumber;
+    OpenRequest request = new OpenRequest(name, rental);
+    openRequests.put(name, request);
+    return request;
+  }
+
+  private void repeatDueRequests(long nowMicros) {
+    for (OpenRequest request : List.copyOf(openRequests.values())) {
+      if (!request.inFlight && nowMicros >= request.nextAttemptAt && cloud.mayCall(nowMicros)) {
         send(request, nowMicros);
       }
     }
   }
 
-  private List<Kind> requestedKinds() {
-    List<Kind> kinds = new ArrayList<>();
-    for (RentalRequest request : rentalRequests.values()) {
-      kinds.addAll(Collections.nCopies(request.rental.count(), request.rental.kind()));
+  /** The pool of each machine that was asked for and not granted yet. */
+  private List<MachinePool> requestedPools() {
+    List<MachinePool> pools = new ArrayList<>();
+    for (OpenRequest request : openRequests.values()) {
+      pools.addAll(Collections.nCopies(request.rental.count(), request.rental.pool()));
     }
-    return kinds;
+    return pools;
   }
 
-  private void send(RentalRequest request, long nowMicros) {
-    Rental rental = request.rental;
-    Kind kind = rental.kind();
+  private void send(OpenRequest request, long nowMicros) {
+    MachinePool pool = request.rental.pool();
     request.inFlight = true;
-    request.tries++;
+    request.attempts++;
     LOG.info(
-        "renting {} {}{} in {} as {}",
-        rental.count(),
-        kind.spot() ? "spot " : "",
-        kind.type().name(),
-        kind.zone(),
-        request.name);
-    cloud.rent(
-        nowMicros,
+        "scale out requested: request={} attempt={} count={} type={} zone={} spot={}",
         request.name,
-        kind.type().name(),
-        kind.zone(),
-        kind.spot(),
-        rental.count(),
-        (answeredAt, status, body) -> onAnswer(request, status, body, answeredAt));
+        request.attempts,
+        request.rental.count(),
+        pool.type().name(),
+        pool.zone(),
+        pool.spot());
+    RentalRequest rentalRequest =
+        new RentalRequest(
+            request.name, pool.type().name(), pool.zone(), pool.spot(), request.rental.count());
+    cloud.rent(
+        nowMicros, rentalRequest, (answeredAt, result) -> onResult(request, result, answeredAt));
   }
 
-  private void onAnswer(RentalRequest request, int status, JsonNode body, long nowMicros) {
+  private void onResult(OpenRequest request, RentalResult result, long nowMicros) {
     if (closed) {
       return;
     }
     request.inFlight = false;
-    if (status == HttpStatus.OK) {
-      onRented(request, body, nowMicros);
-    } else if (outcomeUnknown(status, body)) {
-      // Carried out or not: the same name again gives the same machines.
-      request.nextTryAt = nowMicros + RETRY_DELAY_MICROS;
-      if (request.tries >= MAX_RENT_TRIES) {
-        rentalRequests.remove(request.name);
-      }
+    if (result instanceof RentalResult.Rented rented) {
+      onRented(request, rented, nowMicros);
+    } else if (result instanceof RentalResult.Refused refused) {
+      LOG.info("scale out refused: request={} status={}", request.name, refused.status());
+      planner.onRefused(request.rental.pool(), nowMicros);
+      openRequests.remove(request.name);
     } else {
-      LOG.info("renting {} refused: {}", request.name, status);
-      planner.refused(request.rental.kind(), nowMicros);
-      rentalRequests.remove(request.name);
+      onInconclusive(request, nowMicros);
     }
   }
 
-  private static boolean outcomeUnknown(int status, JsonNode body) {
-    boolean trouble = body != null && "trouble".equals(body.path("error").asText());
-    return status == HttpStatus.UNAVAILABLE && trouble
-        || status == HttpStatus.TOO_MANY_REQUESTS
-        || status == 0;
+  private void onInconclusive(OpenRequest request, long nowMicros) {
+    // Executed or not: the same name again gives the same machines.
+    request.nextAttemptAt = nowMicros + RETRY_DELAY_MICROS;
+    if (request.attempts >= MAX_ATTEMPTS) {
+      openRequests.remove(request.name);
+    }
   }
 
-  private void onRented(RentalRequest request, JsonNode body, long nowMicros) {
-    rentalRequests.remove(request.name);
-    Kind kind = request.rental.kind();
-    int count = 0;
-    for (JsonNode host : body.path("hosts")) {
-      count++;
-      addRented(host.asText(), kind, nowMicros);
+  private void onRented(OpenRequest request, RentalResult.Rented rented, long nowMicros) {
+    openRequests.remove(request.name);
+    MachinePool pool = request.rental.pool();
+    for (String name : rented.machines()) {
+      addRented(name, pool, nowMicros);
     }
-    LOG.info("rented {} of {} as {}", count, request.rental.count(), request.name);
+    int count = rented.machines().size();
+    LOG.info(
+        "scale out completed: request={} requested={} rented={}",
+        request.name,
+        request.rental.count(),
+        count);
     if (count < request.rental.count()) {
-      planner.refused(kind, nowMicros);
+      planner.onRefused(pool, nowMicros);
     } else {
-      planner.granted(kind);
+      planner.onGranted(pool);
     }
   }
 
-  private void addRented(String name, Kind kind, long nowMicros) {
-    if (!clusterState.machines().containsKey(name) && !scaleIn.isReleased(name)) {
-      Machine machine =
-          new Machine(
-              name, "", kind.type(), kind.zone(), kind.spot(), MachinePhase.BOOTING, nowMicros);
-      clusterState.add(machine);
-      registry.note(machine, nowMicros);
+  private void addRented(String name, MachinePool pool, long nowMicros) {
+    // Its worker may have reported, or the machine may have been released, before this answer came.
+    if (clusterState.machines().containsKey(name) || scaleIn.isReleased(name)) {
+      return;
     }
+    Machine machine =
+        new Machine(
+            name, "", pool.type(), pool.zone(), pool.spot(), MachinePhase.BOOTING, nowMicros);
+    clusterState.add(machine);
+    registry.note(machine, nowMicros);
   }
 }
--- a/src/main/java/org/dewreach/cloud/CloudClient.java
+++ b/src/main/java/org/dewreach/cloud/CloudClient.java
@@ -1,14 +1,15 @@
 package org.dewreach.cloud;
 
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
 import org.dewreach.store.TokenBucket;
-import org.dewreach.wire.Codec;
 
-/** The requests of the cloud. Callers ask {@link #mayCall} first: the rate is small. */
+/**
+ * Client of the cloud's API: typed requests and results.
+ *
+ * <p>The cloud allows few requests per second, so callers ask {@link #mayCall} first.
+ */
 public final class CloudClient {
   private static final long TIMEOUT_MICROS = 5_000_000;
 
@@ -24,11 +25,11 @@
   /**
    * A client within a rate.
    *
-   * @param rps requests that the cloud takes in a second
+   * @param requestsPerSecond what the cloud allows
    */
-  public CloudClient(Outbox outbox, double rps) {
+  public CloudClient(Outbox outbox, double requestsPerSecond) {
     this.outbox = outbox;
-    this.budget = new TokenBucket(rps * LEADER_SHARE, rps);
+    this.budget = new TokenBucket(requestsPerSecond * LEADER_SHARE, requestsPerSecond);
   }
 
   /** True if the rate allows a request now. */
@@ -36,49 +37,58 @@
     return budget.available(nowMicros) >= 1;
   }
 
-  /** Reads the catalog. */
-  public void catalog(long nowMicros, Outbox.ReplyHandler handler) {
+  /** Reads the catalog of machine types. */
+  public void readCatalog(long nowMicros, CloudResultHandler<CatalogResult> handler) {
     budget.consume(nowMicros, 1);
-    outbox.call(Target.CLOUD, "GET", "/catalog", null, TIMEOUT_MICROS, handler);
+    outbox.call(
+        Target.CLOUD,
+        "GET",
+        CloudCodec.CATALOG_PATH,
+        null,
+        TIMEOUT_MICROS,
+        (now, status, body) -> handler.onResult(now, CloudCodec.decodeCatalog(status, body)));
   }
 
-  /**
-   * Rents machines.
-   *
-   * @param request the name of the request: repeated, it rents nothing more
-   */
+  /** Rents machines. */
   public void rent(
-      long nowMicros,
-      String request,
-      String type,
-      String zone,
-      boolean spot,
-      int count,
-      Outbox.ReplyHandler handler) {
+      long nowMicros, RentalRequest request, CloudResultHandler<RentalResult> handler) {
     budget.consume(nowMicros, 1);
-    ObjectNode body = Codec.map();
-    body.put("hire", request).put("build", type).put("site", zone);
-    body.put("loaners", spot).put("count", count);
-    outbox.call(Target.CLOUD, "POST", "/rentals", body, TIMEOUT_MICROS, handler);
+    outbox.call(
+        Target.CLOUD,
+        "POST",
+        CloudCodec.RENTALS_PATH,
+        CloudCodec.encodeRental(request),
+        TIMEOUT_MICROS,
+        (now, status, body) -> handler.onResult(now, CloudCodec.decodeRental(status, body)));
   }
 
-  /** Returns machines. */
-  public void release(long nowMicros, List<String> machines, Outbox.ReplyHandler handler) {
+  /** Releases machines, with everything that runs on them. */
+  public void release(
+      long nowMicros, List<String> machines, CloudResultHandler<ReleaseResult> handler) {
     budget.consume(nowMicros, 1);
-    ObjectNode body = Codec.map();
-    ArrayNode hosts = body.putArray("hosts");
-    machines.forEach(hosts::add);
-    outbox.call(Target.CLOUD, "POST", "/rentals/return", body, TIMEOUT_MICROS, handler);
+    outbox.call(
+        Target.CLOUD,
+        "POST",
+        CloudCodec.RELEASE_PATH,
+        CloudCodec.encodeRelease(machines),
+        TIMEOUT_MICROS,
+        (now, status, body) -> handler.onResult(now, CloudCodec.decodeRelease(status)));
   }
 
   /**
-   * Reads a page of the machine list.
+   * Reads a page of the list of the machines that are rented.
    *
-   * @param after the last machine of the page before, or null
+   * @param afterMachine the last machine of the page before, or null for the first page
    */
-  public void list(long nowMicros, String after, Outbox.ReplyHandler handler) {
+  public void listMachines(
+      long nowMicros, String afterMachine, CloudResultHandler<MachineListResult> handler) {
     budget.consume(nowMicros, 1);
-    String path = "/rentals?" + (after == null ? "" : "after=" + after + "&") + "most=" + PAGE_SIZE;
-    outbox.call(Target.CLOUD, "GET", path, null, TIMEOUT_MICROS, handler);
+    outbox.call(
+        Target.CLOUD,
+        "GET",
+        CloudCodec.listPath(afterMachine, PAGE_SIZE),
+        null,
+        TIMEOUT_MICROS,
+        (now, status, body) -> handler.onResult(now, CloudCodec.decodeList(status, body)));
   }
 }
--- /dev/null
+++ b/src/main/java/org/dewreach/cloud/CloudResultHandler.java
@@ -0,0 +1,12 @@
+package org.dewreach.cloud;
+
+/**
+ * Receives the outcome of a request to the cloud.
+ *
+ * @param <T> the outcomes that the request can have
+ */
+@FunctionalInterface
+public interface CloudResultHandler<T> {
+  /** Called exactly once per request. */
+  void onResult(long nowMicros, T result);
+}
--- a/src/main/java/org/dewreach/membership/CloudReconciler.java
+++ b/src/main/java/org/dewreach/membership/CloudReconciler.java
@@ -1,41 +1,45 @@
 package org.dewreach.membership;
 
-import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
 import org.dewreach.autoscaling.ScaleInExecutor;
 import org.dewreach.cloud.CloudClient;
+import org.dewreach.cloud.CloudFailure;
+import org.dewreach.cloud.MachineListResult;
 import org.dewreach.config.Settings;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
-import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.ListedMachine;
 import org.dewreach.wire.MachineType;
-import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the cloud's list of machines, to find unknown and failed ones. */
+/**
+ * Compares the cloud's list of machines with the cluster state: adds machines that are unknown here
+ * and releases those that have failed.
+ */
 final class CloudReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(CloudReconciler.class);
 
   /**
-   * A large fleet takes several calls of a small rate to list; reports tell most of it. A default
-   * of this project.
+   * A large fleet takes several calls of a small rate to list; heartbeats tell most of it. A
+   * default of this project.
    */
-  private static final long LIST_INTERVAL_MICROS = 5_000_000;
+  private static final long MIN_INTERVAL_MICROS = 5_000_000;
 
   private final ClusterState clusterState;
   private final MachineRegistry registry;
   private final CloudClient cloud;
   private final MachineTypeCatalog catalog;
-  private final Settings settings;
   private final ScaleInExecutor scaleIn;
-  private boolean inFlight;
-  private long nextListAt;
+  private final long intervalMicros;
+  private boolean requestInFlight;
+  private long nextListingAt;
   private boolean closed;
 
+  /** A reconciler of one term. */
   CloudReconciler(
       ClusterState clusterState,
       MachineRegistry registry,
@@ -47,8 +51,8 @@
     this.registry = registry;
     this.cloud = cloud;
     this.catalog = catalog;
-    this.settings = settings;
     this.scaleIn = scaleIn;
+    this.intervalMicros = Math.max(MIN_INTERVAL_MICROS, settings.cloudLimits().listLagMicros());
   }
 
   /** Ignores all later answers of the cloud. */
@@ -56,40 +60,41 @@
     closed = true;
   }
 
-  /** Begins to read the list when it is due and no call is in flight. */
+  /** Begins to read the list when it is due and no request is in flight. */
   void reconcile(long nowMicros) {
-    if (inFlight || nowMicros < nextListAt || !cloud.mayCall(nowMicros)) {
+    if (requestInFlight || nowMicros < nextListingAt || !cloud.mayCall(nowMicros)) {
       return;
     }
-    nextListAt = nowMicros + Math.max(LIST_INTERVAL_MICROS, settings.cloudLimits().listLagMicros());
+    nextListingAt = nowMicros + intervalMicros;
     requestPage(null, nowMicros);
   }
 
-  private void requestPage(String after, long nowMicros) {
-    inFlight = true;
-    cloud.list(nowMicros, after, (answeredAt, status, body) -> onPage(status, body, answeredAt));
+  private void requestPage(String afterMachine, long nowMicros) {
+    requestInFlight = true;
+    cloud.listMachines(nowMicros, afterMachine, (answeredAt, result) -> onPage(result, answeredAt));
   }
 
-  private void onPage(int status, JsonNode body, long nowMicros) {
+  private void onPage(MachineListResult result, long nowMicros) {
     if (closed) {
       return;
     }
-    inFlight = false;
-    if (status != HttpStatus.OK) {
-      return;
+    requestInFlight = false;
+    if (result instanceof MachineListResult.Page page) {
+      reconcilePage(page, nowMicros);
+    } else if (result instanceof CloudFailure failure && failure.decodingFailed()) {
+      LOG.error("machine list not understood: error={}", failure.decodingError());
     }
-    try {
-      ListedMachine.Page page = ListedMachine.parsePage(body);
-      page.machines().forEach(machine -> onListed(machine, nowMicros));
-      if (page.more() && !page.machines().isEmpty()) {
-        requestPage(page.machines().get(page.machines().size() - 1).name(), nowMicros);
-      }
-    } catch (MalformedException e) {
-      LOG.error("machine list not understood: {}", e.getMessage());
+  }
+
+  private void reconcilePage(MachineListResult.Page page, long nowMicros) {
+    List<ListedMachine> machines = page.machines();
+    machines.forEach(listed -> reconcileMachine(listed, nowMicros));
+    if (page.more() && !machines.isEmpty()) {
+      requestPage(machines.get(machines.size() - 1).name(), nowMicros);
     }
   }
 
-  private void onListed(ListedMachine listed, long nowMicros) {
+  private void reconcileMachine(ListedMachine listed, long nowMicros) {
     if (scaleIn.isReleased(listed.name())) {
       return;
     }
@@ -99,16 +104,16 @@
       if (type == null) {
         return;
       }
-      machine = addListed(listed, type, nowMicros);
+      machine = addUnknown(listed, type, nowMicros);
     }
     if (listed.failed() && machine.phase() != MachinePhase.TERMINATING) {
-      clusterState.unbindAll(machine, "it failed", nowMicros);
+      clusterState.unbindAll(machine, "machine failed", nowMicros);
       scaleIn.markForRelease(machine, "failed", nowMicros);
     }
   }
 
-  private Machine addListed(ListedMachine listed, MachineType type, long nowMicros) {
-    LOG.info("machine {} found in the list", listed.name());
+  private Machine addUnknown(ListedMachine listed, MachineType type, long nowMicros) {
+    LOG.info("machine found in the cloud's list: machine={}", listed.name());
     Machine machine =
         new Machine(
             listed.name(),
--- a/src/main/java/org/dewreach/membership/FleetManager.java
+++ b/src/main/java/org/dewreach/membership/FleetManager.java
@@ -17,20 +17,30 @@
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
 
-/** Rents, watches and returns machines: runs the parts that do so, one round at a time. */
+/**
+ * Runs what keeps the fleet healthy and of the right size, one round per second: health checks,
+ * drains, scale in, scale out and reconciliation with the cloud.
+ */
 public final class FleetManager {
   private static final long ROUND_INTERVAL_MICROS = 1_000_000;
 
   private final ScaleInExecutor scaleIn;
+  private final FailureDetector failureDetector;
+  private final PartitionDetector partitionDetector;
   private final MachineHealthMonitor healthMonitor;
   private final MachineDrainer drainer;
   private final ScaleInPolicy scaleInPolicy;
   private final ServiceMigrator serviceMigrator;
-  private final TaskConsolidator consolidation;
+  private final TaskConsolidator consolidator;
   private final ScaleOutExecutor scaleOut;
   private final CloudReconciler cloudReconciler;
   private long nextRoundAt;
 
+  /**
+   * A manager of one term.
+   *
+   * @param wallOffsetMicros time of day less event time
+   */
   public FleetManager(
       long term,
       ClusterState clusterState,
@@ -43,12 +53,14 @@
       long nowMicros,
       long wallOffsetMicros) {
     this.scaleIn = new ScaleInExecutor(clusterState, registry, cloud);
+    this.failureDetector = new FailureDetector(delegations, settings.workers(), nowMicros);
+    this.partitionDetector = new PartitionDetector(settings);
     this.healthMonitor =
-        new MachineHealthMonitor(clusterState, delegations, settings, scaleIn, nowMicros);
+        new MachineHealthMonitor(clusterState, failureDetector, partitionDetector, scaleIn);
     this.drainer = new MachineDrainer(clusterState, settings, scaleIn);
     this.scaleInPolicy = new ScaleInPolicy(clusterState, catalog, tuning, scaleIn);
     this.serviceMigrator = new ServiceMigrator(clusterState, tuning, ROUND_INTERVAL_MICROS);
-    this.consolidation = new TaskConsolidator(clusterState);
+    this.consolidator = new TaskConsolidator(clusterState);
     CapacityDemand demand = new CapacityDemand(clusterState, settings, tuning, wallOffsetMicros);
     this.scaleOut =
         new ScaleOutExecutor(term, clusterState, registry, cloud, catalog, demand, scaleIn);
@@ -65,27 +77,32 @@
 
   /** From now on, and not before, this leader alone answers workers. */
   public void onAuthorityGained(long nowMicros) {
-    healthMonitor.onAuthorityGained(nowMicros);
+    failureDetector.onAuthorityGained(nowMicros);
   }
 
-  /** True if the worker has surely killed all its tasks, or never had any. */
+  /** True if the worker's lease has surely expired, or if it never had any tasks. */
   boolean leaseExpired(Machine machine, long nowMicros) {
-    return healthMonitor.leaseExpired(machine, nowMicros);
+    return failureDetector.leaseExpired(machine, nowMicros);
   }
 
-  /** Runs a round if one is due. */
-  public void tick(long nowMicros, List<TaskPlacer.Waiting> waiting, boolean mayRent) {
+  /**
+   * Runs a round if one is due.
+   *
+   * @param waiting the tasks that found no place in the last placement pass
+   * @param mayScale true if every machine of earlier terms is accounted for
+   */
+  public void tick(long nowMicros, List<TaskPlacer.Waiting> waiting, boolean mayScale) {
     if (nowMicros < nextRoundAt) {
       return;
     }
     nextRoundAt = nowMicros + ROUND_INTERVAL_MICROS;
-    healthMonitor.check(nowMicros);
-    drainer.drain(nowMicros);
-    if (mayRent) {
+    healthMonitor.checkMachines(nowMicros);
+    drainer.drainMachines(nowMicros);
+    if (mayScale) {
       // Before all machines are accounted for, what looks idle may be needed in a moment.
       scaleInPolicy.cordonSpareMachines(nowMicros, waiting);
       serviceMigrator.move(nowMicros);
-      consolidation.move(nowMicros);
+      consolidator.move(nowMicros);
       scaleInPolicy.releaseIdleMachines(nowMicros);
       scaleOut.scaleOut(nowMicros, waiting);
     }
@@ -93,17 +110,17 @@
     cloudReconciler.reconcile(nowMicros);
   }
 
-  /** True if nothing new was heard of the machine for longer than reports take. */
+  /** True if no heartbeat has come from the machine for far longer than the interval. */
   public boolean isSilent(Machine machine, long nowMicros) {
-    return healthMonitor.isSilent(machine, nowMicros);
+    return failureDetector.isSilent(machine, nowMicros);
   }
 
   /** True if it is this node that has lost the workers, which another node may well have. */
   public boolean partitionedFromWorkers() {
-    return healthMonitor.partitionedFromWorkers();
+    return partitionDetector.partitionedFromWorkers();
   }
 
-  /** A machine that was returned may still be listed, or heard of, for a while. */
+  /** True if the machine was released: it may still be listed, or heard of, for a while. */
   public boolean isReleased(String name) {
     return scaleIn.isReleased(name);
   }
--- a/src/main/java/org/dewreach/membership/MachineDrainer.java
+++ b/src/main/java/org/dewreach/membership/MachineDrainer.java
@@ -12,52 +12,61 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Drains machines that the cloud recalls or that are faulty, and returns them once empty. */
+/** Drains machines that the cloud reclaims or that are faulty, and releases them once empty. */
 public final class MachineDrainer {
   private static final Logger LOG = LoggerFactory.getLogger(MachineDrainer.class);
 
   /**
-   * Estimates are often wrong by half, so a task is given up only if it is this far off. A default
-   * of this project.
+   * Estimates are often wrong by half, so a task is stopped early only if it is this far off. A
+   * default of this project.
    */
-  private static final double HOPELESS_FACTOR = 1.6;
+  private static final double TOO_LATE_FACTOR = 1.6;
 
   /**
-   * A machine that is quarantined keeps its tasks for so long, in which it may be cleared. A
-   * default of this project.
+   * A quarantined machine keeps its tasks for this long, in which the quarantine may end. A default
+   * of this project.
    */
-  private static final long SUSPECT_MACHINE_GRACE_MICROS = 8_000_000;
+  private static final long QUARANTINE_GRACE_MICROS = 8_000_000;
 
   /**
    * It keeps them for this long while a job that failed there is still tried elsewhere. A default
    * of this project.
    */
-  private static final long MAX_SUSPECT_MACHINE_TRIAL_MICROS = 60_000_000;
+  private static final long MAX_QUARANTINE_MICROS = 60_000_000;
 
   private final ClusterState clusterState;
   private final Settings settings;
   private final ScaleInExecutor scaleIn;
 
+  /** A drainer of one term. */
   MachineDrainer(ClusterState clusterState, Settings settings, ScaleInExecutor scaleIn) {
     this.clusterState = clusterState;
     this.settings = settings;
     this.scaleIn = scaleIn;
   }
 
-  /** Drains all machines that are recalled or surely faulty, one step further. */
-  void drain(long nowMicros) {
+  /** Drains all machines that are reclaimed or surely faulty, one step further. */
+  void drainMachines(long nowMicros) {
     for (Machine machine : List.copyOf(clusterState.machines().values())) {
-      boolean faulty = surelyFaulty(machine, nowMicros);
-      boolean leaving = machine.reclaimAt() >= 0 || faulty;
-      if (leaving && machine.phase() != MachinePhase.TERMINATING) {
-        drain(machine, faulty, nowMicros);
+      if (machine.phase() == MachinePhase.TERMINATING) {
+        continue;
+      }
+      if (surelyFaulty(machine, nowMicros)) {
+        drain(machine, "quarantined", nowMicros);
+      } else if (machine.reclaimAt() >= 0) {
+        drain(machine, "reclaimed", nowMicros);
       }
     }
   }
 
-  private void drain(Machine machine, boolean faulty, long nowMicros) {
+  private void drain(Machine machine, String reason, long nowMicros) {
     if (machine.phase() == MachinePhase.UP) {
-      LOG.info("machine {} drains: {}", machine.name(), faulty ? "set aside" : "to be taken");
+      LOG.info(
+          "machine phase changed: machine={} from={} to={} reason={}",
+          machine.name(),
+          machine.phase(),
+          MachinePhase.DRAINING,
+          reason);
       machine.become(MachinePhase.DRAINING, nowMicros);
       clusterState.requestPlacement();
     }
@@ -65,49 +74,57 @@
       return;
     }
     if (machine.reclaimAt() >= 0) {
-      stopRecalledTasks(machine, nowMicros);
+      stopTasksBeforeReclaim(machine, nowMicros);
     }
     if (machine.tasks().isEmpty()) {
       scaleIn.markForRelease(machine, "drained", nowMicros);
     }
   }
 
-  private void stopRecalledTasks(Machine machine, long nowMicros) {
+  private void stopTasksBeforeReclaim(Machine machine, long nowMicros) {
     for (Task task : List.copyOf(machine.tasks())) {
-      boolean saves = task.spec().checkpointMicros() > 0;
-      long lead = task.spec().saveMicros() + 2 * settings.workers().reportMicros();
-      // What cannot save may still complete before the machine is taken. What surely will not
-      // had better begin anew elsewhere now than once it is lost.
-      if (task.spec().jobKind() == JobKind.SERVICE
-          || saves && nowMicros + lead > machine.reclaimAt()
-          || !saves && hopeless(task, machine.reclaimAt() - nowMicros, nowMicros)) {
-        clusterState.stop(task, "its machine is to be taken", nowMicros);
+      if (shouldStop(task, machine.reclaimAt(), nowMicros)) {
+        clusterState.stop(task, "machine reclaimed", nowMicros);
       }
     }
   }
 
+  /** True if the task is better off elsewhere from now on. */
+  private boolean shouldStop(Task task, long reclaimAt, long nowMicros) {
+    if (task.spec().jobKind() == JobKind.SERVICE) {
+      return true;
+    }
+    if (task.spec().checkpointMicros() > 0) {
+      long lead = task.spec().saveMicros() + 2 * settings.workers().reportMicros();
+      return nowMicros + lead > reclaimAt;
+    }
+    // What cannot save may still complete before the machine is taken. What surely will not had
+    // better begin anew elsewhere now than once it is lost.
+    return cannotComplete(task, reclaimAt - nowMicros, nowMicros);
+  }
+
   /**
-   * True if the jobs that failed on a machine that is quarantined have been tried elsewhere.
+   * True if a machine is quarantined and the jobs that failed there have been tried elsewhere.
    *
-   * <p>Guards against healthy machines returned for jobs that take a while to fail: the second
+   * <p>Guards against healthy machines released for jobs that take a while to fail: the second
    * failure, which shows that it is the job, comes no sooner than the first one did.
    */
   private boolean surelyFaulty(Machine machine, long nowMicros) {
     if (!machine.quarantined()) {
       return false;
     }
-    boolean onTrial =
+    boolean triedElsewhere =
         machine.failures().jobs().stream()
             .map(clusterState.jobs()::get)
             .anyMatch(job -> job != null && job.failedOnce());
     return nowMicros - machine.failures().quarantinedAt()
-        > (onTrial ? MAX_SUSPECT_MACHINE_TRIAL_MICROS : SUSPECT_MACHINE_GRACE_MICROS);
+        > (triedElsewhere ? MAX_QUARANTINE_MICROS : QUARANTINE_GRACE_MICROS);
   }
 
   /** True if a task has far more left to run, by its owner's estimate, than the time given. */
-  private static boolean hopeless(Task task, long leftMicros, long nowMicros) {
+  private static boolean cannotComplete(Task task, long leftMicros, long nowMicros) {
     boolean running = task.phase() == TaskPhase.RUNNING;
     long ran = running ? nowMicros - task.startedAt() : 0;
-    return task.spec().expectedMicros() - ran > HOPELESS_FACTOR * Math.max(0, leftMicros);
+    return task.spec().expectedMicros() - ran > TOO_LATE_FACTOR * Math.max(0, leftMicros);
   }
 }
--- a/src/main/java/org/dewreach/membership/RecoveryTracker.java
+++ b/src/main/java/org/dewreach/membership/RecoveryTracker.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.dewreach.autoscaling.ScalingPlanner;
+import org.dewreach.autoscaling.MachinePool;
 import org.dewreach.model.Job;
 import org.dewreach.model.Machine;
 import org.dewreach.placement.SortFirstFit;
@@ -12,19 +12,20 @@
 
 /** Tracks the machines on which tasks of earlier terms may run that this term does not know of. */
 public final class RecoveryTracker {
-  /** How often it is looked at which machines are still to be accounted for. */
+  /** How often the machines that are still to be accounted for are looked at. */
   private static final long UPDATE_INTERVAL_MICROS = 50_000;
 
   private final ClusterState clusterState;
   private final FleetManager fleet;
-  private long nextUpdate;
+  private long nextUpdateAt;
 
   /** Machines of earlier terms that are not accounted for, while this term recovers. */
   private final List<Machine> unaccounted = new ArrayList<>();
 
-  /** One of them of each kind: a job that may run on one may run on all of the kind. */
-  private final Map<ScalingPlanner.Kind, Machine> unaccountedKinds = new LinkedHashMap<>();
+  /** One of them of each pool: a job that may run on one may run on all of the pool. */
+  private final Map<MachinePool, Machine> unaccountedByPool = new LinkedHashMap<>();
 
+  /** A tracker of one term. */
   public RecoveryTracker(ClusterState clusterState, FleetManager fleet) {
     this.clusterState = clusterState;
     this.fleet = fleet;
@@ -38,28 +39,28 @@
   /**
    * Drops the machines of which it has become known what earlier terms left there; it stays known.
    *
-   * <p>Guards against a pass over all machines for each event: while a thousand of them report to a
-   * leader that has just started, that took half of its time.
+   * <p>Guards against a pass over all machines for each event: while a thousand of them send
+   * heartbeats to a leader that has just started, that took half of its time.
    *
    * @return true if it was found now that every machine is accounted for
    */
   public boolean update(long nowMicros) {
-    if (nowMicros < nextUpdate) {
+    if (nowMicros < nextUpdateAt) {
       return false;
     }
-    nextUpdate = nowMicros + UPDATE_INTERVAL_MICROS;
+    nextUpdateAt = nowMicros + UPDATE_INTERVAL_MICROS;
     unaccounted.removeIf(machine -> !mayRunUnknownTasks(machine, nowMicros));
-    unaccountedKinds.clear();
+    unaccountedByPool.clear();
     for (Machine machine : unaccounted) {
-      unaccountedKinds.putIfAbsent(
-          new ScalingPlanner.Kind(machine.type(), machine.zone(), machine.spot()), machine);
+      unaccountedByPool.putIfAbsent(MachinePool.of(machine), machine);
     }
     return unaccounted.isEmpty();
   }
 
-  /** True if tasks of earlier terms may run there that we do not know of. */
+  /** True if tasks of earlier terms may run on the machine that this term does not know of. */
   private boolean mayRunUnknownTasks(Machine machine, long nowMicros) {
-    // One that is in no record was never given commands: it may be a late copy's ghost.
+    // One that is in no record was never given commands: only a late copy of a heartbeat may have
+    // told of it.
     boolean open = machine.commandedByEarlierTerm() && !machine.reconciled();
     return switch (machine.phase()) {
       case UNKNOWN, UNCONFIRMED -> open;
@@ -69,13 +70,14 @@
   }
 
   /**
-   * True if no task of the job can run unseen. While some machines of earlier terms are not
-   * accounted for, that holds for jobs of this term, and for those that were allowed on none of
-   * these machines: services need not wait for what became of spot machines.
+   * True if every task of the job that may run is known to this term. While some machines of
+   * earlier terms are not accounted for, that holds for jobs submitted in this term, and for those
+   * that were allowed on none of these machines: services need not wait for what became of spot
+   * machines.
    */
   public boolean allTasksKnown(Job job) {
     return job.submittedThisTerm()
-        || unaccountedKinds.values().stream()
+        || unaccountedByPool.values().stream()
             .noneMatch(machine -> SortFirstFit.permitted(job.spec(), machine));
   }
 }
--- a/src/main/java/org/dewreach/state/MachineTypeCatalog.java
+++ b/src/main/java/org/dewreach/state/MachineTypeCatalog.java
@@ -2,7 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
+import org.dewreach.cloud.CatalogResult;
 import org.dewreach.cloud.CloudClient;
+import org.dewreach.cloud.CloudFailure;
 import org.dewreach.store.KeyValue;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
@@ -83,16 +85,20 @@
       return;
     }
     triedStore = false;
-    cloud.catalog(
+    cloud.readCatalog(
         nowMicros,
-        (now, status, body) -> {
+        (now, result) -> {
           asking = false;
-          if (status == 200 && take(body)) {
+          if (result instanceof CatalogResult.Catalog catalog) {
+            types = catalog.types();
             fromCloud = true;
             nextAsk = now + REFRESH_MICROS;
-          } else {
-            nextAsk = now + RETRY_MICROS;
+            return;
           }
+          if (result instanceof CloudFailure failure && failure.decodingFailed()) {
+            LOG.error("catalog not understood: {}", failure.decodingError());
+          }
+          nextAsk = now + RETRY_MICROS;
         });
   }
 
--- a/src/main/java/org/dewreach/wire/ListedMachine.java
+++ b/src/main/java/org/dewreach/wire/ListedMachine.java
@@ -15,7 +15,6 @@
  * @param zone where it is
  * @param spot true if the cloud may take it away
  * @param failed true if it has ended by itself
- * @param booting true if it has not started yet
  * @param ageMicros time since it was rented
  */
 public record ListedMachine(
@@ -25,7 +24,6 @@
     String zone,
     boolean spot,
     boolean failed,
-    boolean booting,
     long ageMicros) {
 
   /**
@@ -53,7 +51,6 @@
               Fields.text(item, "site"),
               Fields.flag(item, "loaners"),
               state.equals("failed"),
-              state.equals("booting"),
               Fields.micros(item, "age_s")));
     }
     return new Page(machines, map.path("more").asBoolean(false));
--- a/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
@@ -6,9 +6,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.dewreach.autoscaling.ScalingPlanner.Kind;
-import org.dewreach.autoscaling.ScalingPlanner.Need;
-import org.dewreach.autoscaling.ScalingPlanner.Rental;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.wire.JobKind;
@@ -19,7 +16,7 @@
 
 /** What is rented for waiting tasks: {@link ScalingPlanner}. */
 class ScalingPlannerTest {
-  private static final long NO_HURRY = Long.MAX_VALUE / 4;
+  private static final long AMPLE_SLACK = Long.MAX_VALUE / 4;
 
   /** Holds two tasks; the cheaper of the two types, in both zones. */
   private static final MachineType BOX = type("box", 8, 1, "a", "b");
@@ -62,72 +59,77 @@
     return job(id, tasks, null, true, false);
   }
 
-  private static Need need(JobSpec spec) {
-    return new Need(spec, spec.tasks(), NO_HURRY);
+  private static CapacityRequirement requirement(JobSpec spec) {
+    return new CapacityRequirement(spec, spec.tasks(), AMPLE_SLACK);
   }
 
   private static Machine booting(String name, MachineType type, String zone) {
     return new Machine(name, "", type, zone, false, MachinePhase.BOOTING, 0);
   }
 
-  private static Kind ordinary(MachineType type, String zone) {
-    return new Kind(type, zone, false);
+  private static MachinePool onDemand(MachineType type, String zone) {
+    return new MachinePool(type, zone, false);
   }
 
   /** Machines asked for, by zone. */
   private Map<String, Integer> plan(
-      List<Need> needs, List<Machine> machines, MachineType... catalog) {
+      List<CapacityRequirement> requirements, List<Machine> machines, MachineType... catalog) {
     Map<String, Integer> byZone = new HashMap<>();
     for (Rental rental :
-        planner.plan(needs, machines, List.of(), List.of(catalog), true, 1_000_000)) {
-      byZone.merge(rental.kind().zone(), rental.count(), Integer::sum);
+        planner.plan(requirements, machines, List.of(), List.of(catalog), true, 1_000_000)) {
+      byZone.merge(rental.pool().zone(), rental.count(), Integer::sum);
     }
     return byZone;
   }
 
   /**
-   * Guard: the zone of the bound tasks in {@code ScalingPlanner.sharedZone}. Zone a has the cheaper
+   * Guard: the zone of the bound tasks in {@code SharedZoneSelector.select}. Zone a has the cheaper
    * machines, which the job cannot use.
    */
   @Test
   void tasksThatShareAZoneGetMachinesWhereTheOthersAre() {
     MachineType onlyInA = type("box", 8, 1, "a");
-    Need bound = new Need(together("req-1", 6), 4, NO_HURRY, Map.of("b", 2, "a", 0));
+    CapacityRequirement bound =
+        new CapacityRequirement(together("req-1", 6), 4, AMPLE_SLACK, Map.of("b", 2, "a", 0));
     assertEquals(Map.of("b", 2), plan(List.of(bound), List.of(), onlyInA, CRATE));
   }
 
   /**
-   * Guard: {@code Draft.copyOf} and {@code ZoneAllowance.only}. The machines to come in two zones
-   * have room for all six tasks, those of one zone have not.
+   * Guard: {@code CapacityPlan.copyOf} and {@code ZoneAllowance.only}. The machines to come in two
+   * zones have room for all six tasks, those of one zone have not.
    */
   @Test
   void machinesToComeInSeveralZonesAreNotCountedTogether() {
     List<Machine> machines =
         List.of(booting("m1", BOX, "a"), booting("m2", BOX, "b"), booting("m3", BOX, "b"));
-    assertEquals(Map.of("b", 1), plan(List.of(need(together("req-1", 6))), machines, BOX));
+    assertEquals(Map.of("b", 1), plan(List.of(requirement(together("req-1", 6))), machines, BOX));
   }
 
-  /** Guard: the job's id in {@code Need.groupKey}. */
+  /** Guard: the job's id in {@code CapacityRequirement.groupKey}. */
   @Test
   void jobsThatShareAZoneEachAreNotPlannedAsOne() {
-    Need inA = new Need(together("req-1", 4), 2, NO_HURRY, Map.of("a", 2));
-    Need inB = new Need(together("req-2", 4), 2, NO_HURRY, Map.of("b", 2));
+    CapacityRequirement inA =
+        new CapacityRequirement(together("req-1", 4), 2, AMPLE_SLACK, Map.of("a", 2));
+    CapacityRequirement inB =
+        new CapacityRequirement(together("req-2", 4), 2, AMPLE_SLACK, Map.of("b", 2));
     assertEquals(Map.of("a", 1, "b", 1), plan(List.of(inA, inB), List.of(), BOX));
   }
 
   /**
-   * Guard: the tasks left over decide in {@code ScalingPlanner.sharedZone}, not the price alone.
+   * Guard: the tasks left over decide in {@code SharedZoneSelector.select}, not the price alone.
    */
   @Test
   void aZoneThatCannotHoldTheJobIsNotRentedIn() {
-    planner.refused(ordinary(BOX, "a"), 0);
-    planner.refused(ordinary(BOX, "b"), 0);
+    planner.onRefused(onDemand(BOX, "a"), 0);
+    planner.onRefused(onDemand(BOX, "b"), 0);
     List<Machine> machines = List.of(booting("m1", BOX, "a"));
-    assertEquals(Map.of("b", 2), plan(List.of(need(together("req-1", 4))), machines, BOX, CRATE));
+    assertEquals(
+        Map.of("b", 2), plan(List.of(requirement(together("req-1", 4))), machines, BOX, CRATE));
   }
 
   /**
-   * Guard: {@code ScalingPlanner.fitsFree}. Machines that came for it wait with it for the rest.
+   * Guard: {@code SharedZoneSelector.fittingNow}. Machines that came for it wait with it for the
+   * rest.
    */
   @Test
   void aJobStaysWithTheZoneInWhichSomeOfItsMachinesAreUp() {
@@ -136,7 +138,8 @@
     up.become(MachinePhase.UP, 500_000);
     up.recorded(true);
     assertTrue(up.schedulable());
-    assertEquals(Map.of("b", 2), plan(List.of(need(together("req-1", 4))), List.of(up), BOX));
+    assertEquals(
+        Map.of("b", 2), plan(List.of(requirement(together("req-1", 4))), List.of(up), BOX));
   }
 
   /** Guard: {@code ZoneAllowance.atMostHalf}; the cheaper machines are all in zone a. */
@@ -144,7 +147,8 @@
   void aScatteredJobIsPlannedWithAtMostHalfOfItsTasksInOneZone() {
     MachineType onlyInA = type("box", 8, 1, "a");
     JobSpec nine = job("req-1", 9, null, false, true);
-    assertEquals(Map.of("a", 3, "b", 2), plan(List.of(need(nine)), List.of(), onlyInA, CRATE));
+    assertEquals(
+        Map.of("a", 3, "b", 2), plan(List.of(requirement(nine)), List.of(), onlyInA, CRATE));
     List<Machine> machines =
         List.of(
             booting("m1", onlyInA, "a"),
@@ -152,8 +156,8 @@
             booting("m3", onlyInA, "a"),
             booting("m4", onlyInA, "a"),
             booting("m5", onlyInA, "a"));
-    assertEquals(Map.of("b", 2), plan(List.of(need(nine)), machines, onlyInA, CRATE));
-    Need bound = new Need(nine, 5, NO_HURRY, Map.of("a", 4));
+    assertEquals(Map.of("b", 2), plan(List.of(requirement(nine)), machines, onlyInA, CRATE));
+    CapacityRequirement bound = new CapacityRequirement(nine, 5, AMPLE_SLACK, Map.of("a", 4));
     assertEquals(Map.of("a", 1, "b", 2), plan(List.of(bound), List.of(), onlyInA, CRATE));
   }
 
@@ -161,13 +165,16 @@
   @Test
   void otherJobsAreRentedForWhereverTheyMayRun() {
     assertEquals(
-        Map.of("b", 1), plan(List.of(need(job("req-1", 2, "b", false, false))), List.of(), BOX));
+        Map.of("b", 1),
+        plan(List.of(requirement(job("req-1", 2, "b", false, false))), List.of(), BOX));
     assertEquals(
-        Map.of("b", 1), plan(List.of(need(job("req-1", 2, "b", true, false))), List.of(), BOX));
+        Map.of("b", 1),
+        plan(List.of(requirement(job("req-1", 2, "b", true, false))), List.of(), BOX));
     List<Machine> machines = List.of(booting("m1", BOX, "a"), booting("m2", BOX, "b"));
     JobSpec anywhere = job("req-1", 4, null, false, false);
-    assertEquals(Map.of(), plan(List.of(need(anywhere)), machines, BOX));
-    List<Need> ones = List.of(need(together("req-1", 1)), need(together("req-2", 1)));
+    assertEquals(Map.of(), plan(List.of(requirement(anywhere)), machines, BOX));
+    List<CapacityRequirement> ones =
+        List.of(requirement(together("req-1", 1)), requirement(together("req-2", 1)));
     assertEquals(Map.of(), plan(ones, List.of(booting("m1", BOX, "a")), BOX));
   }
 
@@ -201,7 +208,7 @@
     List<Rental> rentals =
         new ScalingPlanner()
             .plan(
-                List.of(new Need(spec, 100_000, Long.MAX_VALUE / 4)),
+                List.of(new CapacityRequirement(spec, 100_000, Long.MAX_VALUE / 4)),
                 List.of(),
                 List.of(),
                 List.of(type),
--- a/src/test/java/org/dewreach/membership/FleetManagerTest.java
+++ b/src/test/java/org/dewreach/membership/FleetManagerTest.java
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Red without {@code MachineDrainer.MAX_SUSPECT_MACHINE_TRIAL_MICROS}: a job whose tasks take 20
-   * s to fail cannot have failed elsewhere within 8 s, and the healthy machine was returned.
+   * Red without {@code MachineDrainer.MAX_QUARANTINE_MICROS}: a job whose tasks take 20 s to fail
+   * cannot have failed elsewhere within 8 s, and the healthy machine was returned.
    */
   @Test
   void aMachineIsKeptWhileItsJobsAreTriedElsewhere() {
--- a/src/test/java/org/dewreach/sim/LeaderFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/LeaderFaultCombination.java
@@ -33,7 +33,7 @@
     }
   },
 
-  /** Guards: {@code RecoveryTracker.allTasksKnown}, {@code MachineHealthMonitor.leaseExpired}. */
+  /** Guards: {@code RecoveryTracker.allTasksKnown}, {@code FailureDetector.leaseExpired}. */
   LEADER_ALONE_WITH_WORKERS {
     @Override
     public void bring(FaultScenario day) {
@@ -101,7 +101,7 @@
     }
   },
 
-  /** Guards: {@code RecoveryTracker.allTasksKnown}, {@code MachineHealthMonitor.leaseExpired}. */
+  /** Guards: {@code RecoveryTracker.allTasksKnown}, {@code FailureDetector.leaseExpired}. */
   LEADER_ENDS_UNHEARD {
     @Override
     public void bring(FaultScenario day) {
@@ -131,7 +131,7 @@
     }
   },
 
-  /** Guards: {@code RecoveryTracker.allTasksKnown}, {@code MachineHealthMonitor.leaseExpired}. */
+  /** Guards: {@code RecoveryTracker.allTasksKnown}, {@code FailureDetector.leaseExpired}. */
   AT_THE_LIMIT {
     @Override
     public void bring(FaultScenario day) {
--- a/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
+++ b/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
@@ -190,7 +190,7 @@
     assertTrue(world.cloud.hosts() <= 4, "machines kept: " + world.cloud.hosts());
   }
 
-  /** Red without {@code ScalingPlanner.comes}: what was asked for was asked for again and again. */
+  /** Red without {@code CapacityPlan.boots}: what was asked for was asked for again and again. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   @DisplayName(
@@ -207,7 +207,7 @@
     }
   }
 
-  /** Red without giving up what never came up in {@code MachineHealthMonitor.releaseIfNeverUp}. */
+  /** Red without giving up what never came up in {@code FailureDetector.bootIsOverdue}. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   @DisplayName("Machines that never come up are returned, and replaced at a bounded rate")
--- a/src/test/java/org/dewreach/sim/StaleMessageTest.java
+++ b/src/test/java/org/dewreach/sim/StaleMessageTest.java
@@ -17,8 +17,8 @@
   /** How a case is brought about, and what shows that it took place. */
   private enum Case implements FaultCombination {
     /**
-     * Guards: {@code RecoveryTracker.allTasksKnown}, {@code MachineHealthMonitor.leaseExpired};
-     * with seed 10 {@code Task.mayStartLate}.
+     * Guards: {@code RecoveryTracker.allTasksKnown}, {@code FailureDetector.leaseExpired}; with
+     * seed 10 {@code Task.mayStartLate}.
      */
     LATE_COMMANDS {
       @Override
@@ -67,7 +67,7 @@
       }
     },
 
-    /** Guards: {@code RecoveryTracker.allTasksKnown}, {@code MachineHealthMonitor.leaseExpired}. */
+    /** Guards: {@code RecoveryTracker.allTasksKnown}, {@code FailureDetector.leaseExpired}. */
     MACHINES_UP_AT_ONCE {
       @Override
       public void bring(FaultScenario day) {
@@ -133,7 +133,7 @@
       }
     },
 
-    /** Guards: {@code MachineHealthMonitor.leaseExpired}, {@code RecoveryTracker.allTasksKnown}. */
+    /** Guards: {@code FailureDetector.leaseExpired}, {@code RecoveryTracker.allTasksKnown}. */
     ANSWERED_UNDER_PROMISES {
       @Override
       public void bring(FaultScenario day) {
--- a/src/test/java/org/dewreach/sim/StateServiceFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/StateServiceFaultCombination.java
@@ -37,7 +37,7 @@
     }
   },
 
-  /** Guard: {@code MachineHealthMonitor.leaseExpired}, with seed 3. */
+  /** Guard: {@code FailureDetector.leaseExpired}, with seed 3. */
   CANCELLED_AT_THE_REFUSAL {
     @Override
     public void bring(FaultScenario day) {
--- a/src/test/java/org/dewreach/sim/WorkerFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/WorkerFaultCombination.java
@@ -4,7 +4,7 @@
 
 /** Combinations around workers that are cut off, mute or lost, and around their late messages. */
 enum WorkerFaultCombination implements FaultCombination {
-  /** Guards: {@code MachineHealthMonitor.leaseExpired}, {@code RecoveryTracker.allTasksKnown}. */
+  /** Guards: {@code FailureDetector.leaseExpired}, {@code RecoveryTracker.allTasksKnown}. */
   CUT_ZONE {
     @Override
     public void bring(FaultScenario day) {
@@ -59,7 +59,7 @@
     }
   },
 
-  /** Guard: {@code MachineHealthMonitor.leaseExpired}. */
+  /** Guard: {@code FailureDetector.leaseExpired}. */
   MUTE_MACHINES {
     @Override
     public void bring(FaultScenario day) {
@@ -105,7 +105,7 @@
     }
   },
 
-  /** Guards: {@code Machine.isNewer}, {@code MachineHealthMonitor.leaseExpired}. */
+  /** Guards: {@code Machine.isNewer}, {@code FailureDetector.leaseExpired}. */
   MORE_WORK_THAN_ROOM {
     @Override
     public void bring(FaultScenario day) {
@@ -126,7 +126,7 @@
     }
   },
 
-  /** Guards: {@code MachineHealthMonitor.leaseExpired}; with seed 1 {@code Task.mayStartLate}. */
+  /** Guards: {@code FailureDetector.leaseExpired}; with seed 1 {@code Task.mayStartLate}. */
   HELD_COMMANDS {
     @Override
     public void bring(FaultScenario day) {
