--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -1,6 +1,5 @@
 package org.dewreach.controller;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,6 +17,8 @@
 import org.dewreach.model.Job;
 import org.dewreach.model.JobPhase;
 import org.dewreach.model.Machine;
+import org.dewreach.peer.DelegationRequest;
+import org.dewreach.peer.DelegationResponse;
 import org.dewreach.port.Outbox;
 import org.dewreach.request.JobRequestHandler;
 import org.dewreach.request.Responder;
@@ -76,7 +77,7 @@
   private final ClusterStateLoader loader;
   private final RecoveryTracker recovery;
   private final CancellationGate cancellationGate;
-  private final HeartbeatHandler reportReceiver;
+  private final HeartbeatHandler heartbeatHandler;
   private final TermSummary summary;
   private final LeaderlessJobImporter jobImporter;
   private final JobRequestHandler users;
@@ -136,9 +137,9 @@
             number,
             outbox,
             clusterState,
-            this::directReport,
+            this::onDirectReply,
             settings.limits().connectionsToWorkers());
-    this.reportReceiver = newReportReceiver();
+    this.heartbeatHandler = newHeartbeatHandler();
     this.summary = new TermSummary(number, clusterState, queue);
     this.placement =
         new PlacementLoop(
@@ -171,7 +172,7 @@
         wallOffsetMicros);
   }
 
-  private HeartbeatHandler newReportReceiver() {
+  private HeartbeatHandler newHeartbeatHandler() {
     return new HeartbeatHandler(
         number,
         outbox,
@@ -180,7 +181,6 @@
         fleet,
         registry,
         recordWriter,
-        direct,
         () -> phase == Phase.CLOSED);
   }
 
@@ -301,16 +301,16 @@
   // delegates
 
   /** A node asks for how long it may answer its zone's workers when it loses this one. */
-  ObjectNode onDelegationRequest(JsonNode delegationRequest, long nowMicros) {
-    String zone = delegations.zone(delegationRequest.path("node").asText());
+  DelegationResponse onDelegationRequest(DelegationRequest request, long nowMicros) {
+    String zone = delegations.zoneOf(request.node());
     return delegations.onRequest(
-        delegationRequest, zone == null ? 0 : delegableMicros(zone, nowMicros), nowMicros);
+        request, zone == null ? 0 : delegableMicros(zone, nowMicros), nowMicros);
   }
 
   /** Until when this node itself may answer its zone's workers, should it lose its authority. */
   long delegateToSelf(String zone, long nowMicros) {
     long until = nowMicros + delegableMicros(zone, nowMicros);
-    delegations.delegatedToSelf(until);
+    delegations.delegateToSelf(until);
     return until;
   }
 
@@ -328,13 +328,13 @@
       outbox.respond(requestId, 503, null);
       return;
     }
-    reportReceiver.take(requestId, report, nowMicros);
+    heartbeatHandler.onHeartbeat(requestId, report, nowMicros);
   }
 
   /** The answer to a direct command; it carries no orders back and extends no lease. */
-  private void directReport(Machine machine, Heartbeat report, long nowMicros) {
+  private void onDirectReply(Machine machine, Heartbeat report, long nowMicros) {
     if (phase != Phase.CLOSED && authority.test(nowMicros)) {
-      reportReceiver.takeDirect(machine, report, nowMicros);
+      heartbeatHandler.onDirectReply(machine, report, nowMicros);
     }
   }
 
--- a/src/main/java/org/dewreach/membership/FailureDetector.java
+++ b/src/main/java/org/dewreach/membership/FailureDetector.java
@@ -95,7 +95,7 @@
       return false;
     }
     long from = Math.max(authoritySince, machine.lastLeaseRenewal());
-    from = Math.max(from, delegations.answeredUntil(machine.zone(), nowMicros));
+    from = Math.max(from, delegations.renewedUntil(machine.zone(), nowMicros));
     long lease = settings.leaseMicros();
     return nowMicros > from + lease + lease / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MICROS;
   }
