--- a/src/main/java/org/dewreach/controller/PlacementLoop.java
+++ b/src/main/java/org/dewreach/controller/PlacementLoop.java
@@ -70,11 +70,11 @@
       return;
     }
     lastPass = nowMicros;
-    waiting = placer.pass(nowMicros, recovery::allSeen, fleet.bootMicros());
+    waiting = placer.pass(nowMicros, recovery::allTasksKnown, fleet.typicalBootMicros());
     if (mayPreempt) {
       preemption.evictIdleConnection(waiting, nowMicros);
     }
-    direct.send(nowMicros);
+    direct.sendPending(nowMicros);
   }
 
   /** A pass looks at all jobs and machines: the more there are, the more changes share one. */
--- a/src/main/java/org/dewreach/request/LeaderDiscovery.java
+++ b/src/main/java/org/dewreach/request/LeaderDiscovery.java
@@ -73,7 +73,7 @@
   }
 
   private void onReply(KnownLeader known, long nowMicros) {
-    election.hint(known.leader(), known.term(), nowMicros);
-    delegateRenewer.over(known.term());
+    election.onLeaderHint(known.leader(), known.term(), nowMicros);
+    delegateRenewer.onTermKnown(known.term());
   }
 }
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -147,8 +147,8 @@
             saved.acceptedWallMicros(),
             false,
             saved.cancelled() ? JobPhase.CANCELLED : JobPhase.ACTIVE);
-    job.stamp(entry.revision());
-    job.restore(saved.done());
+    job.revision(entry.revision());
+    job.restoreProgress(saved.done());
     clusterState.jobs().put(job.id(), job);
   }
 }
