--- a/src/main/java/org/dewreach/cli/Main.java
+++ b/src/main/java/org/dewreach/cli/Main.java
@@ -53,7 +53,10 @@
       description = "Check settings and script, and exit without starting anything.")
   private boolean check;
 
-  @Option(names = "--load-classes", hidden = true, description = "Load all classes and exit (build).")
+  @Option(
+      names = "--load-classes",
+      hidden = true,
+      description = "Load all classes and exit (build).")
   private boolean loadClasses;
 
   /** The version, as the build wrote it into the archive. */
