--- a/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
@@ -98,7 +98,7 @@
   private static boolean mayCommand(Machine machine) {
     return (machine.phase() == MachinePhase.UP || machine.phase() == MachinePhase.DRAINING)
         && machine.recorded()
-        && machine.incarnation() >= 0;
+        && machine.heartbeats().incarnation() >= 0;
   }
 
   private void sendPending(Machine machine, long nowMicros) {
@@ -143,7 +143,7 @@
     inFlight++;
     workers.send(
         machine,
-        new DirectCommandRequest(term, machine.incarnation(), commands),
+        new DirectCommandRequest(term, machine.heartbeats().incarnation(), commands),
         (now, reply) -> onReply(machine, started, reply, now));
   }
 
@@ -168,7 +168,7 @@
     } else if (reply instanceof WorkerClient.Reply.Failed failed) {
       LOG.info("direct command unanswered: machine={} status={}", machine.name(), failed.status());
       machine.directCommands().notBefore(nowMicros + UNANSWERED_PAUSE_MICROS);
-      machine.markUnreachable();
+      machine.heartbeats().markUnreachable();
       clusterState.requestPlacement();
     }
   }
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -68,7 +68,7 @@
       refuse(requestId);
       return;
     }
-    if (!machine.isNewer(heartbeat.incarnation(), heartbeat.sequence())) {
+    if (!machine.heartbeats().isNewer(heartbeat.incarnation(), heartbeat.sequence())) {
       onStaleHeartbeat(requestId, machine, heartbeat, nowMicros);
       return;
     }
@@ -80,7 +80,8 @@
 
   /** It was held up on its way since before the lease of that incarnation expired. */
   private static boolean isFromLostIncarnation(Machine machine, Heartbeat heartbeat) {
-    return machine.phase() == MachinePhase.LOST && heartbeat.incarnation() <= machine.incarnation();
+    return machine.phase() == MachinePhase.LOST
+        && heartbeat.incarnation() <= machine.heartbeats().incarnation();
   }
 
   /**
@@ -109,7 +110,7 @@
   private void respond(
       long requestId, Machine machine, HeartbeatResponse response, long nowMicros) {
     // The worker's lease runs from this answer at the latest.
-    machine.recordLeaseRenewal(nowMicros);
+    machine.heartbeats().recordLeaseRenewal(nowMicros);
     outbox.respond(requestId, HttpStatus.OK, response.toNode());
   }
 
@@ -120,13 +121,13 @@
   public void onDirectReply(Machine machine, Heartbeat heartbeat, long nowMicros) {
     if (machine.phase() == MachinePhase.GONE
         || isFromLostIncarnation(machine, heartbeat)
-        || !machine.isNewer(heartbeat.incarnation(), heartbeat.sequence())) {
+        || !machine.heartbeats().isNewer(heartbeat.incarnation(), heartbeat.sequence())) {
       return;
     }
-    if (heartbeat.incarnation() > machine.incarnation()) {
+    if (heartbeat.incarnation() > machine.heartbeats().incarnation()) {
       // Guards against taking the lease of this incarnation for expired with that of the one
       // before: it began without any answer of ours, at the latest now.
-      machine.recordLeaseRenewal(nowMicros);
+      machine.heartbeats().recordLeaseRenewal(nowMicros);
     }
     reconciler.onDirectReply(machine, heartbeat, nowMicros);
     recordExits(heartbeat, nowMicros);
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
@@ -38,9 +38,9 @@
 
   /** Takes in a heartbeat that is newer than the last one of its machine, and answers it. */
   HeartbeatResponse onHeartbeat(Machine machine, Heartbeat heartbeat, long nowMicros) {
-    boolean first = machine.incarnation() < 0;
+    boolean first = machine.heartbeats().incarnation() < 0;
     boolean newIncarnation = beginsNewIncarnation(machine, heartbeat);
-    long previousHeartbeatMicros = machine.lastHeartbeat();
+    long previousHeartbeatMicros = machine.heartbeats().lastHeartbeat();
     Observation observation = observe(machine, heartbeat, Channel.HEARTBEAT, nowMicros);
     if (!first) {
       responseLoss.onHeartbeat(observation, newIncarnation, previousHeartbeatMicros);
@@ -61,7 +61,8 @@
   }
 
   private static boolean beginsNewIncarnation(Machine machine, Heartbeat heartbeat) {
-    return machine.incarnation() >= 0 && heartbeat.incarnation() > machine.incarnation();
+    return machine.heartbeats().incarnation() >= 0
+        && heartbeat.incarnation() > machine.heartbeats().incarnation();
   }
 
   /** Updates what is known of the machine itself, and judges what the heartbeat proves. */
@@ -73,7 +74,7 @@
     }
     machine.recordSequence(heartbeat.incarnation(), heartbeat.sequence());
     if (channel == Channel.HEARTBEAT) {
-      machine.recordHeartbeat(nowMicros);
+      machine.heartbeats().recordHeartbeat(nowMicros);
     }
     machine.address(heartbeat.address());
     Observation observation = Observation.of(machine, heartbeat, channel, term, nowMicros);
--- a/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
+++ b/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
@@ -33,8 +33,8 @@
 
   /** A task of the job failed on the machine. */
   void onTaskFailed(Machine machine, Job job, long nowMicros) {
-    job.recordFailure(machine.name(), nowMicros);
-    if (job.failsRepeatedly()) {
+    job.backoff().recordFailure(machine.name(), nowMicros);
+    if (job.backoff().failsRepeatedly()) {
       absolveMachines(job, nowMicros);
       return;
     }
@@ -61,7 +61,7 @@
    * with a mistake met there.
    */
   private void absolveMachines(Job job, long nowMicros) {
-    for (String name : job.avoidedMachines(nowMicros)) {
+    for (String name : job.backoff().avoidedMachines(nowMicros)) {
       Machine machine = clusterState.machines().get(name);
       boolean blamed = machine != null && machine.failures().jobs().remove(job.id());
       if (blamed && machine.quarantined() && !isFaulty(machine, job)) {
--- a/src/main/java/org/dewreach/heartbeat/ResponseLossDetector.java
+++ b/src/main/java/org/dewreach/heartbeat/ResponseLossDetector.java
@@ -35,14 +35,14 @@
     boolean tokenArrived = observation.heartbeat().token() == term;
     boolean arrived =
         tokenArrived && !newIncarnation && !startMissing(observation, previousHeartbeatMicros);
-    boolean wasMissing = machine.missesReplies();
-    machine.recordReplyDelivery(arrived);
-    if (machine.missesReplies() != wasMissing) {
+    boolean wasMissing = machine.heartbeats().missesReplies();
+    machine.heartbeats().recordReplyDelivery(arrived);
+    if (machine.heartbeats().missesReplies() != wasMissing) {
       LOG.info(
           "machine response delivery changed: machine={} from={} to={}",
           machine.name(),
           word(wasMissing),
-          word(machine.missesReplies()));
+          word(machine.heartbeats().missesReplies()));
       clusterState.requestPlacement();
     }
   }
--- a/src/main/java/org/dewreach/heartbeat/RestartProbe.java
+++ b/src/main/java/org/dewreach/heartbeat/RestartProbe.java
@@ -32,12 +32,12 @@
    * more; so what was bound there stays bound until the machine is returned, which is done at once.
    */
   void probe(Machine machine) {
-    if (machine.restartCheck() != RestartCheck.NONE) {
+    if (machine.heartbeats().restartCheck() != RestartCheck.NONE) {
       return;
     }
-    machine.restartCheck(RestartCheck.CHECKING);
-    long incarnation = machine.incarnation();
-    long sequence = machine.sequence();
+    machine.heartbeats().restartCheck(RestartCheck.CHECKING);
+    long incarnation = machine.heartbeats().incarnation();
+    long sequence = machine.heartbeats().sequence();
     workers.readState(machine, (now, reply) -> onReply(machine, incarnation, sequence, reply));
   }
 
@@ -47,7 +47,7 @@
     }
     if (reply instanceof WorkerClient.Reply.State state) {
       boolean older = isOlder(state.heartbeat(), incarnation, sequence);
-      machine.restartCheck(older ? RestartCheck.CONFIRMED : RestartCheck.NONE);
+      machine.heartbeats().restartCheck(older ? RestartCheck.CONFIRMED : RestartCheck.NONE);
     } else {
       // The machine stays under suspicion, and is not asked again in this term.
       LOG.info("restart probe failed: machine={} reply={}", machine.name(), reply);
--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -93,7 +93,7 @@
     return reported.cause() == Cause.DONE
         && job != null
         && (job.isOpen() || job.phase() == JobPhase.FINALIZING)
-        && !job.durableDone().get(reported.name().index());
+        && !job.record().done().get(reported.name().index());
   }
 
   private void onExit(Machine machine, Task task, Cause cause, long nowMicros) {
@@ -109,8 +109,8 @@
         quarantine.onTaskFailed(machine, job, nowMicros);
       }
       case FULL -> machine.refusedAt(nowMicros);
-      case IN_USE -> job.avoidMachine(machine.name(), nowMicros + IN_USE_PAUSE_MICROS);
-      case NO_SUCH -> job.delayUntil(nowMicros + MISSING_IMAGE_PAUSE_MICROS);
+      case IN_USE -> job.backoff().avoidMachine(machine.name(), nowMicros + IN_USE_PAUSE_MICROS);
+      case NO_SUCH -> job.backoff().delayUntil(nowMicros + MISSING_IMAGE_PAUSE_MICROS);
       case STOPPED, NONE -> {
         // it goes back to the queue
       }
@@ -172,7 +172,7 @@
     boolean replicaRuns = state == TaskState.RUNNING && task.spec().jobKind() == JobKind.SERVICE;
     if (replicaRuns && nowMicros - task.startedAt() > RUNS_WELL_MICROS) {
       // A service never completes: that it runs for a while says as much.
-      task.job().recordSuccess();
+      task.job().backoff().recordSuccess();
     }
   }
 
--- a/src/main/java/org/dewreach/membership/FailureDetector.java
+++ b/src/main/java/org/dewreach/membership/FailureDetector.java
@@ -82,7 +82,7 @@
   }
 
   private long sinceHeartbeatMicros(Machine machine, long nowMicros) {
-    return nowMicros - Math.max(authoritySince, machine.lastHeartbeat());
+    return nowMicros - Math.max(authoritySince, machine.heartbeats().lastHeartbeat());
   }
 
   /**
@@ -90,11 +90,11 @@
    * never had any.
    */
   boolean leaseExpired(Machine machine, long nowMicros) {
-    if (machine.restartCheck() != RestartCheck.NONE) {
+    if (machine.heartbeats().restartCheck() != RestartCheck.NONE) {
       // A worker that restarted has a lease of its own, and takes late copies of our starts.
       return false;
     }
-    long from = Math.max(authoritySince, machine.lastLeaseRenewal());
+    long from = Math.max(authoritySince, machine.heartbeats().lastLeaseRenewal());
     from = Math.max(from, delegations.renewedUntil(machine.zone(), nowMicros));
     long lease = settings.leaseMicros();
     return nowMicros > from + lease + lease / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MICROS;
@@ -125,7 +125,9 @@
         machine.phase() == MachinePhase.UNKNOWN
             || machine.phase() == MachinePhase.UP
             || machine.phase() == MachinePhase.DRAINING;
-    return expected && condition != MachineCondition.RESTARTED && !machine.missesReplies();
+    return expected
+        && condition != MachineCondition.RESTARTED
+        && !machine.heartbeats().missesReplies();
   }
 
   private MachineCondition condition(Machine machine, long nowMicros) {
@@ -143,14 +145,16 @@
 
   private MachineCondition workingCondition(Machine machine, long nowMicros) {
     boolean silent = isSilent(machine, nowMicros);
-    if (machine.restartCheck() == RestartCheck.CONFIRMED
-        || machine.restartCheck() == RestartCheck.CHECKING && silent) {
+    if (machine.heartbeats().restartCheck() == RestartCheck.CONFIRMED
+        || machine.heartbeats().restartCheck() == RestartCheck.CHECKING && silent) {
       return MachineCondition.RESTARTED;
     }
     if (silent) {
       return MachineCondition.SILENT;
     }
-    return machine.missesReplies() ? MachineCondition.MISSES_REPLIES : MachineCondition.RESPONSIVE;
+    return machine.heartbeats().missesReplies()
+        ? MachineCondition.MISSES_REPLIES
+        : MachineCondition.RESPONSIVE;
   }
 
   private static boolean bootIsOverdue(Machine machine, long nowMicros) {
--- a/src/main/java/org/dewreach/membership/MachineDrainer.java
+++ b/src/main/java/org/dewreach/membership/MachineDrainer.java
@@ -116,7 +116,7 @@
     boolean triedElsewhere =
         machine.failures().jobs().stream()
             .map(clusterState.jobs()::get)
-            .anyMatch(job -> job != null && job.failedOnce());
+            .anyMatch(job -> job != null && job.backoff().failedOnce());
     return nowMicros - machine.failures().quarantinedAt()
         > (triedElsewhere ? MAX_QUARANTINE_MICROS : QUARANTINE_GRACE_MICROS);
   }
--- a/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
+++ b/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
@@ -44,7 +44,7 @@
     markForRelease(health.in(MachineCondition.NEVER_UP), "never came up", nowMicros);
     markForRelease(health.in(MachineCondition.LOST_FOR_GOOD), "lost and not back", nowMicros);
     // What is placed there now would be bound until it is known what became of it.
-    health.overdue().forEach(Machine::markUnreachable);
+    health.overdue().forEach(machine -> machine.heartbeats().markUnreachable());
     partitionDetector.onRound(health, detector.authorityMicros(nowMicros));
     releaseStragglers(health, nowMicros);
     for (Machine machine : health.in(MachineCondition.SILENT)) {
--- a/src/main/java/org/dewreach/model/Job.java
+++ b/src/main/java/org/dewreach/model/Job.java
@@ -6,51 +6,25 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.BitSet;
 import java.util.Collections;
-import java.util.LinkedHashMap;
 import java.util.Map;
-import java.util.Set;
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.JobState;
 
 /** A job that is not over, as the leader knows it. */
 public final class Job {
-  private static final int MAX_SUSPECTS = 8;
-
-  /**
-   * So many machines on which it failed in a row speak against the job. A default of this project.
-   */
-  private static final int DOUBTFUL_FROM_FAILURES = 2;
-
-  /**
-   * A machine on which a task of the job failed is avoided by it for this long. A default of this
-   * project.
-   */
-  private static final long SUSPECTED_MICROS = 60_000_000;
-
-  /** Pause of a doubtful job; it doubles with each failure. */
-  private static final long FIRST_REST_MICROS = 500_000;
-
-  private static final int MAX_REST_DOUBLINGS = 7;
-  private static final long MAX_REST_MICROS = 60_000_000;
-
   private final JobSpec spec;
   private final long acceptedWallMicros;
   private final boolean submittedThisTerm;
   private final BitSet done = new BitSet();
   private final Int2ObjectMap<Task> bound = new Int2ObjectLinkedOpenHashMap<>();
-  private final Map<String, Long> avoidedUntil = new LinkedHashMap<>();
+  private final StoredRecord record = new StoredRecord();
+  private final RetryBackoff backoff = new RetryBackoff();
   private JobPhase phase;
   private JobState finalState;
-  private long revision;
-  private BitSet durableDone = new BitSet();
-  private boolean writeInFlight;
-  private long progressWrittenAt;
   private long cancelRequestedAt;
   private long cancelledAt = Long.MIN_VALUE / 2;
   private int cursor;
-  private int failures;
-  private long notBefore;
   private int doneCount;
   private int boundOpen;
   private final Object2IntOpenHashMap<String> boundInZone = new Object2IntOpenHashMap<>();
@@ -128,34 +102,14 @@
     return submittedThisTerm;
   }
 
-  /** The revision of its record, on which the next write is conditional. */
-  public long revision() {
-    return revision;
-  }
-
-  /** Sets the revision of its record. */
-  public void revision(long newRevision) {
-    revision = newRevision;
-  }
-
-  /** True while a write of its record has no outcome. */
-  public boolean writeInFlight() {
-    return writeInFlight;
+  /** What is stored of it. */
+  public StoredRecord record() {
+    return record;
   }
 
-  /** Sets whether a write of its record has no outcome. */
-  public void writeInFlight(boolean now) {
-    writeInFlight = now;
-  }
-
-  /** When progress was last written. */
-  public long progressWrittenAt() {
-    return progressWrittenAt;
-  }
-
-  /** Sets when progress was last written. */
-  public void progressWrittenAt(long micros) {
-    progressWrittenAt = micros;
+  /** When and where it is tried again after failures. */
+  public RetryBackoff backoff() {
+    return backoff;
   }
 
   /** When its user asked to cancel it; 0 if nobody did under this leader. */
@@ -208,17 +162,7 @@
   public void restoreProgress(BitSet saved) {
     done.or(saved);
     doneCount = done.cardinality();
-    durableDone = (BitSet) saved.clone();
-  }
-
-  /** The tasks done that a new leader would know of. */
-  public BitSet durableDone() {
-    return durableDone;
-  }
-
-  /** Sets the tasks done that are durable. */
-  public void durableDone(BitSet written) {
-    durableDone = written;
+    record.done((BitSet) saved.clone());
   }
 
   /** True if every task is done; a service never is. */
@@ -299,73 +243,6 @@
     return phase == JobPhase.ACTIVE;
   }
 
-  /** Nothing of it is started before this time. */
-  public long notBefore() {
-    return notBefore;
-  }
-
-  /**
-   * Machines on which its tasks failed lately.
-   *
-   * <p>Not for ever: guards against a job that waits beside the only machine with room.
-   */
-  public Set<String> avoidedMachines(long nowMicros) {
-    avoidedUntil.values().removeIf(until -> until <= nowMicros);
-    return avoidedUntil.keySet();
-  }
-
-  /**
-   * A task failed: the job avoids the machine, and rests the longer the more machines it failed on.
-   * Several tasks that fail on one machine say no more than one.
-   */
-  public void recordFailure(String machine, long nowMicros) {
-    if (!avoidedMachines(nowMicros).contains(machine)) {
-      failures++;
-    }
-    avoidMachine(machine, nowMicros + SUSPECTED_MICROS);
-    if (failsRepeatedly()) {
-      notBefore =
-          nowMicros
-              + Math.min(
-                  MAX_REST_MICROS, FIRST_REST_MICROS << Math.min(failures, MAX_REST_DOUBLINGS));
-    }
-  }
-
-  /**
-   * True if it failed wherever it went since it last got anywhere: that speaks against the job, not
-   * the machines. It is tried with one task at a time then.
-   */
-  public boolean failsRepeatedly() {
-    return failures >= DOUBTFUL_FROM_FAILURES;
-  }
-
-  /** True if it failed once and has neither completed a task nor failed elsewhere since. */
-  public boolean failedOnce() {
-    return failures > 0 && !failsRepeatedly();
-  }
-
-  /**
-   * Its tasks are not placed on the machine until then, or until many others were avoided since.
-   */
-  public void avoidMachine(String machine, long untilMicros) {
-    avoidedUntil.remove(machine);
-    avoidedUntil.put(machine, untilMicros);
-    if (avoidedUntil.size() > MAX_SUSPECTS) {
-      avoidedUntil.remove(avoidedUntil.keySet().iterator().next());
-    }
-  }
-
-  /** Nothing of it is started before the given time. */
-  public void delayUntil(long untilMicros) {
-    notBefore = Math.max(notBefore, untilMicros);
-  }
-
-  /** It got somewhere: earlier failures no longer count against it. */
-  public void recordSuccess() {
-    failures = 0;
-    notBefore = 0;
-  }
-
   /** What its user is told. */
   public JobState jobState() {
     return switch (phase) {
--- a/src/main/java/org/dewreach/model/Machine.java
+++ b/src/main/java/org/dewreach/model/Machine.java
@@ -10,18 +10,13 @@
 
 /** A machine, with the tasks that are bound to it. */
 public final class Machine {
-  /**
-   * Answers in a row that did not arrive, from which a machine is taken to miss replies. A default
-   * of this project.
-   */
-  private static final int MAX_MISSED_REPLIES = 2;
-
   private final String name;
   private final MachineType type;
   private final String zone;
   private final boolean spot;
   private final Map<TaskName, Task> tasks = new LinkedHashMap<>();
   private final FailureHistory failures = new FailureHistory();
+  private final HeartbeatState heartbeats;
   private final DirectCommands directCommands = new DirectCommands();
   private final ImageCache images;
   private final ResourceUsage used = new ResourceUsage();
@@ -29,21 +24,14 @@
   private MachinePhase phase;
   private String address;
   private boolean recorded;
-  private long incarnation = -1;
-  private long sequence = -1;
-  private long lastHeartbeat;
-  private long lastLeaseRenewal;
   private long knownSince;
   private long idleSince;
   private long reclaimAt = -1;
   private boolean cordoned;
   private boolean everUp;
   private long refusedAt = Long.MIN_VALUE / 2;
-  private boolean unreachable;
   private boolean reconciled;
   private boolean requireToken;
-  private int missedReplies;
-  private RestartCheck restartCheck = RestartCheck.NONE;
 
   /**
    * A machine that nothing is bound to.
@@ -68,7 +56,7 @@
     this.commandedByEarlierTerm = phase == MachinePhase.UNKNOWN;
     this.knownSince = nowMicros;
     this.idleSince = nowMicros;
-    this.lastHeartbeat = nowMicros;
+    this.heartbeats = new HeartbeatState(nowMicros);
   }
 
   /** The one function for every change of state. */
@@ -150,26 +138,6 @@
     reconciled = true;
   }
 
-  /** Whether its worker may have restarted. */
-  public RestartCheck restartCheck() {
-    return restartCheck;
-  }
-
-  /** Sets whether its worker may have restarted. */
-  public void restartCheck(RestartCheck now) {
-    restartCheck = now;
-  }
-
-  /** Counts reports in a row that show that our last answer did not arrive; 0 if it did. */
-  public void recordReplyDelivery(boolean arrived) {
-    missedReplies = arrived ? 0 : missedReplies + 1;
-  }
-
-  /** Its reports arrive, but answers and commands do not reach it: it is given nothing new. */
-  public boolean missesReplies() {
-    return missedReplies >= MAX_MISSED_REPLIES;
-  }
-
   /** True if it is recorded durably: it may be given commands. */
   public boolean recorded() {
     return recorded;
@@ -180,65 +148,20 @@
     recorded = now;
   }
 
-  /** The incarnation of the last report taken, or -1. */
-  public long incarnation() {
-    return incarnation;
-  }
-
-  /** The sequence of the last report taken, or -1. */
-  public long sequence() {
-    return sequence;
-  }
-
-  /** When it last reported by itself. */
-  public long lastHeartbeat() {
-    return lastHeartbeat;
-  }
-
-  /** True if a report is newer than the last one taken. */
-  public boolean isNewer(long heartbeatIncarnation, long heartbeatSequence) {
-    return heartbeatIncarnation > incarnation
-        || heartbeatIncarnation == incarnation && heartbeatSequence > sequence;
-  }
-
-  /** What it has told, in a report or in the answer to a direct command. */
-  public void recordSequence(long heartbeatIncarnation, long heartbeatSequence) {
-    if (heartbeatIncarnation != incarnation) {
-      directCommands.onNewIncarnation();
-    }
-    incarnation = heartbeatIncarnation;
-    sequence = heartbeatSequence;
-  }
-
-  /**
-   * It reported by itself.
-   *
-   * <p>Answers to direct commands do not count. Guards against a machine that reaches no controller
-   * while commands reach it: it would be given tasks again and again that end with each lease.
-   */
-  public void recordHeartbeat(long nowMicros) {
-    lastHeartbeat = nowMicros;
-    unreachable = false;
+  /** What its worker's heartbeats have told. */
+  public HeartbeatState heartbeats() {
+    return heartbeats;
   }
 
   /**
-   * A command had no answer, and nothing was heard since: it may be cut off or hang.
-   *
-   * <p>Guards against tasks that are given to a cut-off zone, where they are bound until its leases
-   * are over, in the seconds before its silence shows.
+   * Records how far the worker's heartbeats have been taken, whether they came by themselves or
+   * answered a direct command. A new incarnation knows nothing of earlier direct commands.
    */
-  public void markUnreachable() {
-    unreachable = true;
-  }
-
-  /** When a report was last answered with 200 under our term: the worker's lease runs from it. */
-  public long lastLeaseRenewal() {
-    return lastLeaseRenewal;
-  }
-
-  /** A report was answered under our term. */
-  public void recordLeaseRenewal(long nowMicros) {
-    lastLeaseRenewal = nowMicros;
+  public void recordSequence(long incarnation, long sequence) {
+    if (incarnation != heartbeats.incarnation()) {
+      directCommands.onNewIncarnation();
+    }
+    heartbeats.recordSequence(incarnation, sequence);
   }
 
   /** Since when it is known of. */
@@ -386,8 +309,8 @@
         && recorded
         && !quarantined()
         && reclaimAt < 0
-        && !unreachable
-        && !missesReplies()
-        && restartCheck != RestartCheck.CONFIRMED;
+        && !heartbeats.unreachable()
+        && !heartbeats.missesReplies()
+        && heartbeats.restartCheck() != RestartCheck.CONFIRMED;
   }
 }
--- /dev/null
+++ b/src/main/java/org/dewreach/model/StoredRecord.java
@@ -0,0 +1,53 @@
+package org.dewreach.model;
+
+import java.util.BitSet;
+
+/** What the key-value store holds of a job, and the write that is on its way there. */
+public final class StoredRecord {
+  private long revision;
+  private boolean writeInFlight;
+  private long progressWrittenAt;
+  private BitSet done = new BitSet();
+
+  StoredRecord() {}
+
+  /** The record's revision, the precondition of the next write. */
+  public long revision() {
+    return revision;
+  }
+
+  /** Sets the record's revision. */
+  public void revision(long newRevision) {
+    revision = newRevision;
+  }
+
+  /** True while a write of the record has no outcome. */
+  public boolean writeInFlight() {
+    return writeInFlight;
+  }
+
+  /** Sets whether a write of the record has no outcome. */
+  public void writeInFlight(boolean now) {
+    writeInFlight = now;
+  }
+
+  /** When progress was last written. */
+  public long progressWrittenAt() {
+    return progressWrittenAt;
+  }
+
+  /** Sets when progress was last written. */
+  public void progressWrittenAt(long micros) {
+    progressWrittenAt = micros;
+  }
+
+  /** The completed tasks that the record tells of, and so a new leader would know of. */
+  public BitSet done() {
+    return done;
+  }
+
+  /** Sets the completed tasks that the record tells of. */
+  public void done(BitSet written) {
+    done = written;
+  }
+}
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -100,7 +100,7 @@
           && SortFirstFit.permitted(spec, machine)
           && (machine.spot() || !spotOnly)
           && !TaskPlacer.refusedLately(machine, nowMicros)
-          && !job.avoidedMachines(nowMicros).contains(machine.name())
+          && !job.backoff().avoidedMachines(nowMicros).contains(machine.name())
           && !machine.directCommands().hasStartedTask(next)) {
         FreeCapacity freeCapacity = freeCapacities.computeIfAbsent(machine, Preemption::withFreed);
         if (freeCapacity.covers(spec)) {
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -110,7 +110,7 @@
         ordinaryFree = clusterState.freeCpus(false);
         measured = true;
       }
-      if (job.notBefore() > nowMicros || onTrial(job, nowMicros)) {
+      if (job.backoff().notBefore() > nowMicros || onTrial(job, nowMicros)) {
         continue;
       }
       int freeCapacity = clusterState.quotas().freeCapacity(job.spec(), job.pending());
@@ -124,7 +124,8 @@
         int most = gang ? freeCapacity : Math.min(freeCapacity, MAX_PLACED - placed);
         // Guards against replicas that need each other's zone and lost it late: never one alone.
         boolean one =
-            job.failsRepeatedly() || QueueOrder.toBegin(job, nowMicros + wallOffsetMicros);
+            job.backoff().failsRepeatedly()
+                || QueueOrder.toBegin(job, nowMicros + wallOffsetMicros);
         if (one && !whole(job)) {
           most = 1;
         }
@@ -132,7 +133,7 @@
         placed += started;
       }
       // Nothing is rented, and nobody stopped, for a job that fails everywhere.
-      if (started < freeCapacity && !job.failsRepeatedly()) {
+      if (started < freeCapacity && !job.backoff().failsRepeatedly()) {
         if (started == 0 && !barred) {
           full.add(likeness(job, nowMicros));
         }
@@ -154,7 +155,7 @@
    * that met two faulty machines: its other tasks do not wait until one of them has completed.
    */
   private static boolean onTrial(Job job, long nowMicros) {
-    return job.failsRepeatedly()
+    return job.backoff().failsRepeatedly()
         && job.bound().values().stream()
             .anyMatch(task -> nowMicros - task.boundAt() < TRIAL_MICROS);
   }
@@ -163,7 +164,9 @@
   private String likeness(Job job, long nowMicros) {
     JobSpec spec = job.spec();
     boolean special = spec.sameZone() || spec.spreadZones() || spec.jobKind() == JobKind.GANG;
-    if (special || !job.avoidedMachines(nowMicros).isEmpty() || keptFrom(job, nowMicros)) {
+    if (special
+        || !job.backoff().avoidedMachines(nowMicros).isEmpty()
+        || keptFrom(job, nowMicros)) {
       return job.id();
     }
     return SortFirstFit.likeness(spec) + yields(spec);
@@ -295,7 +298,7 @@
   }
 
   private Predicate<Machine> allowed(Job job, long nowMicros) {
-    Set<String> suspects = job.avoidedMachines(nowMicros);
+    Set<String> suspects = job.backoff().avoidedMachines(nowMicros);
     return machine ->
         SortFirstFit.permitted(job.spec(), machine)
             && !refusedLately(machine, nowMicros)
--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -152,7 +152,7 @@
   /** A task has completed, wherever that was. */
   public void markDone(Job job, int index) {
     if (job.markDone(index)) {
-      job.recordSuccess();
+      job.backoff().recordSuccess();
       changed = true;
     }
   }
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -147,7 +147,7 @@
             saved.acceptedWallMicros(),
             false,
             saved.cancelled() ? JobPhase.CANCELLED : JobPhase.ACTIVE);
-    job.revision(entry.revision());
+    job.record().revision(entry.revision());
     job.restoreProgress(saved.done());
     clusterState.jobs().put(job.id(), job);
   }
--- a/src/main/java/org/dewreach/state/JobRecordWriter.java
+++ b/src/main/java/org/dewreach/state/JobRecordWriter.java
@@ -89,7 +89,7 @@
    * @param stamp of the record as read: if it changed since, the job is looked at again
    */
   boolean adopt(Job job, long stamp, boolean cancelled, long nowMicros, Runnable onChanged) {
-    job.writeInFlight(true);
+    job.record().writeInFlight(true);
     Mutation put =
         new Mutation(
             Keys.job(job.id()),
@@ -104,10 +104,10 @@
             List.of(put, new Mutation(Keys.leaderlessJob(job.id()), null)),
             true,
             (now, outcome, revision) -> {
-              job.writeInFlight(false);
+              job.record().writeInFlight(false);
               switch (outcome) {
                 case WRITTEN -> {
-                  job.revision(revision);
+                  job.record().revision(revision);
                   job.become(cancelled ? JobPhase.CANCELLED : JobPhase.ACTIVE);
                   listener.onAccepted(job, now);
                   pump(job, now);
@@ -122,7 +122,7 @@
 
   /** Writes a new job; false if the queue is full. */
   public boolean accept(Job job, long nowMicros, Runnable onKnownAlready) {
-    job.writeInFlight(true);
+    job.record().writeInFlight(true);
     List<Precondition> conditions =
         List.of(
             new Precondition(Keys.leaderlessJob(job.id()), 0),
@@ -139,10 +139,10 @@
             List.of(put),
             true,
             (now, outcome, revision) -> {
-              job.writeInFlight(false);
+              job.record().writeInFlight(false);
               switch (outcome) {
                 case WRITTEN -> {
-                  job.revision(revision);
+                  job.record().revision(revision);
                   job.become(JobPhase.ACTIVE);
                   listener.onAccepted(job, now);
                   pump(job, now);
@@ -157,7 +157,7 @@
 
   /** Writes what is due for the job, if anything. */
   public void pump(Job job, long nowMicros) {
-    if (job.writeInFlight()) {
+    if (job.record().writeInFlight()) {
       return;
     }
     switch (job.phase()) {
@@ -179,8 +179,8 @@
       case ACTIVE -> {
         if (job.complete()) {
           finish(job, nowMicros);
-        } else if (nowMicros - job.progressWrittenAt() >= PROGRESS_INTERVAL_MICROS
-            && !job.done().equals(job.durableDone())
+        } else if (nowMicros - job.record().progressWrittenAt() >= PROGRESS_INTERVAL_MICROS
+            && !job.done().equals(job.record().done())
             && queue.waiting() < MAX_WAITING_FOR_PROGRESS) {
           write(job, false, false, nowMicros);
         }
@@ -197,19 +197,19 @@
         new Mutation(
             Keys.job(job.id()),
             JobRecord.encode(job.spec(), job.acceptedWallMicros(), cancelled, snapshot));
-    job.writeInFlight(true);
-    job.progressWrittenAt(nowMicros);
+    job.record().writeInFlight(true);
+    job.record().progressWrittenAt(nowMicros);
     ConditionalWrite write =
         new ConditionalWrite(
-            List.of(new Precondition(Keys.job(job.id()), job.revision())),
+            List.of(new Precondition(Keys.job(job.id()), job.record().revision())),
             List.of(put),
             urgent,
             (now, outcome, revision) -> {
               decided(job);
               switch (outcome) {
                 case WRITTEN -> {
-                  job.revision(revision);
-                  job.durableDone(JobRecord.kept(snapshot));
+                  job.record().revision(revision);
+                  job.record().done(JobRecord.kept(snapshot));
                   if (cancelled) {
                     job.become(JobPhase.CANCELLED);
                     listener.onCancelled(job, now);
@@ -232,7 +232,7 @@
 
   /** The write of the job's record has an outcome, or was not taken. */
   private void decided(Job job) {
-    job.writeInFlight(false);
+    job.record().writeInFlight(false);
     ends.remove(job.id());
   }
 
@@ -246,7 +246,7 @@
     ConditionalWrite write =
         new ConditionalWrite(
             List.of(
-                new Precondition(Keys.job(job.id()), job.revision()),
+                new Precondition(Keys.job(job.id()), job.record().revision()),
                 new Precondition(Keys.finalState(job.id()), 0)),
             changes,
             !cancelled,
@@ -263,7 +263,7 @@
                 }
               }
             });
-    job.writeInFlight(true);
+    job.record().writeInFlight(true);
     job.become(JobPhase.FINALIZING);
     ends.put(job.id(), write);
     if (!queue.add(nowMicros, write)) {
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -98,7 +98,7 @@
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 4, TERM), 9 * S);
     assertTrue(machine.schedulable(), "once may be chance");
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 5, TERM), 14 * S);
-    assertTrue(machine.missesReplies());
+    assertTrue(machine.heartbeats().missesReplies());
     assertFalse(machine.schedulable());
     assertEquals(1, job.bound().size(), "the start may still come, so the task stays bound");
     reconciler.onHeartbeat(machine, heartbeat(machine, 2, 1, TERM), 20 * S);
@@ -134,7 +134,7 @@
       reconciler.onHeartbeat(
           machine, heartbeat(machine, 1, 2 + i, TERM, started(i)), (2 + i) * S + 1);
     }
-    assertFalse(machine.missesReplies());
+    assertFalse(machine.heartbeats().missesReplies());
   }
 
   /**
@@ -217,9 +217,9 @@
     Machine machine = machine("m1", MachinePhase.BOOTING);
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM), 2 * S);
-    machine.markUnreachable();
+    machine.heartbeats().markUnreachable();
     reconciler.onDirectReply(machine, heartbeat(machine, 1, 3, TERM), 9 * S);
-    assertEquals(2 * S, machine.lastHeartbeat());
+    assertEquals(2 * S, machine.heartbeats().lastHeartbeat());
     assertFalse(machine.schedulable());
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 4, TERM), 10 * S);
     assertTrue(machine.schedulable());
@@ -231,7 +231,7 @@
     long attempt = cluster.bind(failing, index, machine, TaskPhase.STARTING, atMicros).attempt();
     TaskStatus failed =
         new TaskStatus(new TaskName(failing.id(), index), attempt, TaskState.EXITED, Cause.ERROR);
-    long next = machine.sequence() + 1;
+    long next = machine.heartbeats().sequence() + 1;
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, next, TERM, failed), atMicros);
   }
 
@@ -256,7 +256,8 @@
         assertFalse(each.quarantined(), each.name() + " in round " + round);
       }
     }
-    assertTrue(job.notBefore() - 9 * 65 * S >= 60 * S, "it rests for as long as it ever does");
+    assertTrue(
+        job.backoff().notBefore() - 9 * 65 * S >= 60 * S, "it rests for as long as it ever does");
   }
 
   /**
@@ -299,7 +300,7 @@
     fail(job, sick, S);
     reconciler.onHeartbeat(
         well, heartbeat(well, 1, 1, TERM, shown(3, TaskState.EXITED, Cause.DONE)), 2 * S);
-    assertFalse(job.failsRepeatedly());
+    assertFalse(job.backoff().failsRepeatedly());
     fail(job, sick, 3 * S);
     fail(job, sick, 4 * S);
     assertTrue(sick.quarantined());
--- a/src/test/java/org/dewreach/membership/FleetManagerTest.java
+++ b/src/test/java/org/dewreach/membership/FleetManagerTest.java
@@ -87,13 +87,16 @@
   private void play(long fromMicros, long untilMicros) {
     for (long at = fromMicros; at <= untilMicros; at += S) {
       long now = at;
-      clusterState.machines().values().forEach(machine -> machine.recordHeartbeat(now));
+      clusterState
+          .machines()
+          .values()
+          .forEach(machine -> machine.heartbeats().recordHeartbeat(now));
       desk.tick(now, List.of(), false);
     }
   }
 
   private void failed(Machine machine, Job job, long atMicros) {
-    job.recordFailure(machine.name(), atMicros);
+    job.backoff().recordFailure(machine.name(), atMicros);
     machine.failures().recordFailure(job.id());
   }
 
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -186,7 +186,7 @@
   void aSuspectIsForgivenAfterAWhile() {
     box("m1", true);
     Job job = job("req-1", 1, true);
-    job.recordFailure("m1", S);
+    job.backoff().recordFailure("m1", S);
     placer.pass(30 * S, each -> true, 5 * S);
     assertEquals(0, job.bound().size());
     placer.pass(62 * S, each -> true, 5 * S);
@@ -198,11 +198,11 @@
   void aJobThatFailsEverywhereIsTriedWithOneTask() {
     box("m1", true);
     Job job = job("req-1", 50, true);
-    job.recordFailure("m8", S);
+    job.backoff().recordFailure("m8", S);
     placer.pass(2 * S, each -> true, 5 * S);
     assertEquals(10, job.bound().size(), "one machine says little");
     List.copyOf(job.bound().values()).forEach(task -> clusterState.unbind(task, "test", 3 * S));
-    job.recordFailure("m9", 3 * S);
+    job.backoff().recordFailure("m9", 3 * S);
     assertEquals(List.of(), placer.pass(4 * S, each -> true, 5 * S));
     assertEquals(0, job.bound().size(), "it rests");
     assertEquals(List.of(), placer.pass(6 * S, each -> true, 5 * S));
@@ -220,8 +220,8 @@
   void aTaskThatRunsOnDoesNotKeepADoubtfulJobFromTheNext() {
     box("m1", true);
     Job job = job("req-1", 50, true);
-    job.recordFailure("m8", S);
-    job.recordFailure("m9", S);
+    job.backoff().recordFailure("m8", S);
+    job.backoff().recordFailure("m9", S);
     placer.pass(5 * S, each -> true, 5 * S);
     assertEquals(1, job.bound().size());
     placer.pass(34 * S, each -> true, 5 * S);
--- a/src/test/java/org/dewreach/sim/StaleMessageTest.java
+++ b/src/test/java/org/dewreach/sim/StaleMessageTest.java
@@ -44,8 +44,8 @@
     },
 
     /**
-     * Guards: the sureness in {@code HeartbeatReconciler.take}, {@code Machine.isNewer}, {@code
-     * RecoveryTracker.allTasksKnown}.
+     * Guards: the sureness in {@code HeartbeatReconciler.take}, {@code HeartbeatState.isNewer},
+     * {@code RecoveryTracker.allTasksKnown}.
      */
     REPORTS_KEPT_FOR_THE_NEXT_LEADER {
       @Override
--- a/src/test/java/org/dewreach/sim/WorkerFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/WorkerFaultCombination.java
@@ -78,7 +78,7 @@
     }
   },
 
-  /** Guards: {@code Machine.isNewer}, {@code RecoveryTracker.allTasksKnown}. */
+  /** Guards: {@code HeartbeatState.isNewer}, {@code RecoveryTracker.allTasksKnown}. */
   OLD_REPORTS {
     @Override
     public void bring(FaultScenario day) {
@@ -105,7 +105,7 @@
     }
   },
 
-  /** Guards: {@code Machine.isNewer}, {@code FailureDetector.leaseExpired}. */
+  /** Guards: {@code HeartbeatState.isNewer}, {@code FailureDetector.leaseExpired}. */
   MORE_WORK_THAN_ROOM {
     @Override
     public void bring(FaultScenario day) {
