--- a/src/main/java/org/dewreach/history/FinalStateWatcher.java
+++ b/src/main/java/org/dewreach/history/FinalStateWatcher.java
@@ -140,7 +140,7 @@
     try {
       return FinalStateRecord.decode(entry.value());
     } catch (MalformedException e) {
-      LOG.error("record malformed, left alone: key={} cause={}", entry.key(), e.getMessage());
+      LOG.error("record malformed, left alone: key={} cause=\"{}\"", entry.key(), e.getMessage());
       return null;
     }
   }
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -116,7 +116,7 @@
         loadJob(entry);
       }
     } catch (MalformedException e) {
-      LOG.error("record malformed, left alone: key={} cause={}", entry.key(), e.getMessage());
+      LOG.error("record malformed, left alone: key={} cause=\"{}\"", entry.key(), e.getMessage());
     }
   }
 
@@ -168,7 +168,7 @@
             stored.acceptedWallMicros(),
             false,
             stored.cancelled() ? JobPhase.CANCELLED : JobPhase.ACTIVE);
-    job.revision(entry.revision());
+    job.record().revision(entry.revision());
     job.restoreProgress(stored.done());
     clusterState.jobs().put(job.id(), job);
   }
--- a/src/main/java/org/dewreach/state/JobRecordWriter.java
+++ b/src/main/java/org/dewreach/state/JobRecordWriter.java
@@ -155,7 +155,7 @@
             onOutcome(
                 job,
                 (now, revision) -> {
-                  job.revision(revision);
+                  job.record().revision(revision);
                   job.become(phaseOnceWritten);
                   listener.onAccepted(job, now);
                   writeIfDue(job, now);
@@ -199,14 +199,14 @@
   }
 
   private boolean progressDue(Job job, long nowMicros) {
-    return nowMicros - job.progressWrittenAt() >= PROGRESS_INTERVAL_MICROS
-        && !job.done().equals(job.durableDone())
+    return nowMicros - job.record().progressWrittenAt() >= PROGRESS_INTERVAL_MICROS
+        && !job.done().equals(job.record().done())
         && queue.pendingWrites() < MAX_PENDING_FOR_PROGRESS;
   }
 
   private void writeProgress(Job job, long nowMicros) {
     ConditionalWrite write = overwrite(job, false, Urgency.DEFERRABLE, now -> writeIfDue(job, now));
-    job.progressWrittenAt(nowMicros);
+    job.record().progressWrittenAt(nowMicros);
     offer(job, new PendingWrite(write, false), nowMicros);
   }
 
@@ -221,7 +221,7 @@
               listener.onCancelled(job, now);
               writeIfDue(job, now);
             });
-    job.progressWrittenAt(nowMicros);
+    job.record().progressWrittenAt(nowMicros);
     offer(job, new PendingWrite(write, true), nowMicros);
   }
 
@@ -230,14 +230,14 @@
       Job job, boolean cancelled, Urgency urgency, LongConsumer onWritten) {
     BitSet done = (BitSet) job.done().clone();
     return new ConditionalWrite(
-        List.of(Precondition.unchanged(Keys.job(job.id()), job.revision())),
+        List.of(Precondition.unchanged(Keys.job(job.id()), job.record().revision())),
         List.of(putRecord(job, done, cancelled)),
         urgency,
         onOutcome(
             job,
             (now, revision) -> {
-              job.revision(revision);
-              job.durableDone(JobRecord.storedPart(done));
+              job.record().revision(revision);
+              job.record().done(JobRecord.storedPart(done));
               onWritten.accept(now);
             },
             now -> reportConflict(job, now)));
@@ -251,7 +251,9 @@
     FinalState finalState = new FinalState(jobState, job.doneCount());
     ConditionalWrite write =
         new ConditionalWrite(
-            List.of(Precondition.unchanged(jobKey, job.revision()), Precondition.absent(finalKey)),
+            List.of(
+                Precondition.unchanged(jobKey, job.record().revision()),
+                Precondition.absent(finalKey)),
             List.of(
                 Mutation.put(finalKey, FinalStateRecord.encode(finalState)),
                 Mutation.delete(jobKey)),
--- a/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
+++ b/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
@@ -142,7 +142,7 @@
     try {
       stored = LeaderlessJobRecord.decode(entry.value());
     } catch (MalformedException e) {
-      LOG.error("record malformed, left alone: key={} cause={}", entry.key(), e.getMessage());
+      LOG.error("record malformed, left alone: key={} cause=\"{}\"", entry.key(), e.getMessage());
       return;
     }
     String id = stored.spec().id();
--- a/src/main/java/org/dewreach/state/MachineTypeCatalog.java
+++ b/src/main/java/org/dewreach/state/MachineTypeCatalog.java
@@ -1,8 +1,9 @@
 package org.dewreach.state;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
+import org.dewreach.cloud.CatalogResult;
 import org.dewreach.cloud.CloudClient;
+import org.dewreach.cloud.CloudFailure;
 import org.dewreach.store.CommitQueue;
 import org.dewreach.store.ConditionalWrite;
 import org.dewreach.store.KeyValue;
@@ -10,7 +11,6 @@
 import org.dewreach.store.Keys;
 import org.dewreach.store.Mutation;
 import org.dewreach.store.ReadResult;
-import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.MachineType;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
@@ -92,14 +92,14 @@
       store.get(Keys.CATALOG, (now, result) -> onStoredCopy(now, result, leading));
     } else {
       storeTried = false;
-      cloud.catalog(nowMicros, this::onProviderReply);
+      cloud.readCatalog(nowMicros, this::onProviderResult);
     }
   }
 
   private void onStoredCopy(long nowMicros, ReadResult result, boolean leading) {
     requesting = false;
     if (result instanceof KeyValue entry) {
-      replaceTypes(() -> CatalogRecord.decode(entry.value()));
+      decodeStoredCopy(entry);
       nextRequestAt = nowMicros + (leading ? STORE_RETRY_MICROS : REFRESH_INTERVAL_MICROS);
     } else if (result instanceof ReadResult.Absent) {
       nextRequestAt = nowMicros;
@@ -109,28 +109,25 @@
     }
   }
 
-  private void onProviderReply(long nowMicros, int status, JsonNode body) {
+  private void decodeStoredCopy(KeyValue entry) {
+    try {
+      types = CatalogRecord.decode(entry.value());
+    } catch (MalformedException e) {
+      LOG.error("catalog malformed: source=store cause=\"{}\"", e.getMessage());
+    }
+  }
+
+  private void onProviderResult(long nowMicros, CatalogResult result) {
     requesting = false;
-    if (status == HttpStatus.OK && replaceTypes(() -> MachineType.parseCatalog(body))) {
+    if (result instanceof CatalogResult.Catalog catalog) {
+      types = catalog.types();
       storedCopyOutdated = true;
       nextRequestAt = nowMicros + REFRESH_INTERVAL_MICROS;
-    } else {
-      nextRequestAt = nowMicros + PROVIDER_RETRY_MICROS;
+      return;
     }
-  }
-
-  private interface Source {
-    List<MachineType> read() throws MalformedException;
-  }
-
-  /** Replaces the types; false if the new ones are malformed. */
-  private boolean replaceTypes(Source source) {
-    try {
-      types = source.read();
-      return true;
-    } catch (MalformedException e) {
-      LOG.error("catalog malformed: cause={}", e.getMessage());
-      return false;
+    if (result instanceof CloudFailure failure && failure.decodingFailed()) {
+      LOG.error("catalog malformed: source=provider cause=\"{}\"", failure.decodingError());
     }
+    nextRequestAt = nowMicros + PROVIDER_RETRY_MICROS;
   }
 }
--- a/src/test/java/org/dewreach/membership/FleetManagerTest.java
+++ b/src/test/java/org/dewreach/membership/FleetManagerTest.java
@@ -87,19 +87,22 @@
   private void play(long fromMicros, long untilMicros) {
     for (long at = fromMicros; at <= untilMicros; at += S) {
       long now = at;
-      clusterState.machines().values().forEach(machine -> machine.recordHeartbeat(now));
+      clusterState
+          .machines()
+          .values()
+          .forEach(machine -> machine.heartbeats().recordHeartbeat(now));
       desk.tick(now, List.of(), false);
     }
   }
 
   private void failed(Machine machine, Job job, long atMicros) {
-    job.recordFailure(machine.name(), atMicros);
+    job.backoff().recordFailure(machine.name(), atMicros);
     machine.failures().recordFailure(job.id());
   }
 
   /**
-   * Red without {@code MachineDrainer.MAX_SUSPECT_MACHINE_TRIAL_MICROS}: a job whose tasks take 20
-   * s to fail cannot have failed elsewhere within 8 s, and the healthy machine was returned.
+   * Red without {@code MachineDrainer.MAX_QUARANTINE_MICROS}: a job whose tasks take 20 s to fail
+   * cannot have failed elsewhere within 8 s, and the healthy machine was returned.
    */
   @Test
   void aMachineIsKeptWhileItsJobsAreTriedElsewhere() {
--- a/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
+++ b/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
@@ -27,6 +27,7 @@
 import org.dewreach.testing.KeyValueStoreFixture;
 import org.dewreach.wire.Codec;
 import org.dewreach.wire.JobSpec;
+import org.dewreach.wire.JobSubmission;
 import org.junit.jupiter.api.Test;
 
 /** Jobs that are accepted while the leader is reading what else there is. */
@@ -85,20 +86,21 @@
   }
 
   /**
-   * Guard: the cluster state is looked at again in {@code JobRequestHandler.unlessKnown}. A
+   * Guard: the cluster state is looked at again in {@code SubmissionHandler.refuseUnlessKnown}. A
    * submission that lacks a field is not called malformed once the job of that name has been
    * accepted meanwhile.
    */
   @Test
   void aSubmissionIsNotRefusedIfItsJobIsAcceptedWhileItIsLookedUp() {
-    UserRequest submit = new UserRequest.Submit("req-1", Codec.map().put("uid", "req-1"));
-    requestHandler.handle(submit, (status, body, retry) -> statuses.add(status), S);
+    UserRequest submit =
+        new UserRequest.Submit("req-1", new JobSubmission(Codec.map().put("uid", "req-1")));
+    requestHandler.handle(submit, response -> statuses.add(response.status()), S);
     reply(fixture.onlyRequest("/keys/" + Keys.leaderlessJob("req-1")), 404, Codec.map());
     Effect.Call lastLook = fixture.onlyRequest("/keys/" + Keys.finalState("req-1"));
     clusterState.jobs().put("req-1", new Job(spec("req-1"), 0, true, JobPhase.ACTIVE));
     reply(lastLook, 404, Codec.map());
     assertEquals(List.of(503), statuses, "to be retried");
-    requestHandler.handle(submit, (status, body, retry) -> statuses.add(status), 3 * S);
+    requestHandler.handle(submit, response -> statuses.add(response.status()), 3 * S);
     assertEquals(List.of(503, 200), statuses);
   }
 }
