--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -25,6 +25,7 @@
 import org.dewreach.request.UserRequest;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.ClusterStateLoader;
+import org.dewreach.state.DurabilityListener;
 import org.dewreach.state.JobRecordWriter;
 import org.dewreach.state.LeaderlessJobImporter;
 import org.dewreach.state.MachineRegistry;
@@ -40,7 +41,7 @@
 import org.slf4j.LoggerFactory;
 
 /** One term of this node as leader, from the winning of the key to its loss. */
-final class LeadershipTerm implements JobRecordWriter.Listener {
+final class LeadershipTerm implements DurabilityListener {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipTerm.class);
 
   /** Share of the write rate; the rest is left to the election and to other nodes' writes. */
@@ -355,7 +356,7 @@
   @Override
   public void onEnded(Job job, long nowMicros) {
     LOG.info("job {} over: {}", job.id(), job.finalState().word());
-    clusterState.jobs().remove(job.id());
+    clusterState.removeJob(job);
     users.onEnded(job);
   }
 
--- a/src/main/java/org/dewreach/request/SubmissionHandler.java
+++ b/src/main/java/org/dewreach/request/SubmissionHandler.java
@@ -80,10 +80,10 @@
   private void accept(JobSpec spec, Responder responder, long nowMicros) {
     String jobId = spec.id();
     Job job = new Job(spec, nowMicros + wallOffsetMicros, true, JobPhase.PERSISTING);
-    clusterState.jobs().put(jobId, job);
+    clusterState.addJob(job);
     awaitingAcceptance.add(jobId, responder);
     if (!recordWriter.writeNewJob(job, nowMicros, () -> onRecordExists(job, nowMicros))) {
-      clusterState.jobs().remove(jobId);
+      clusterState.removeJob(job);
       awaitingAcceptance.respondRetry(jobId, RetryReason.WRITE_QUEUE_FULL);
     }
   }
@@ -114,7 +114,7 @@
    * this leader.
    */
   private void onRecordExists(Job job, long nowMicros) {
-    clusterState.jobs().remove(job.id());
+    clusterState.removeJob(job);
     List<Responder> responders = awaitingAcceptance.remove(job.id());
     if (responders.isEmpty()) {
       return;
--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -1,6 +1,7 @@
 package org.dewreach.state;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -43,14 +44,14 @@
     this.quotas = new Quotas(teams);
   }
 
-  /** The jobs that have not ended, by id. */
+  /** The jobs that have not ended, by id, for reading. */
   public Map<String, Job> jobs() {
-    return jobs;
+    return Collections.unmodifiableMap(jobs);
   }
 
-  /** All machines by name; {@link #addMachine} and {@link #removeMachine} change them. */
+  /** All machines by name, for reading. */
   public Map<String, Machine> machines() {
-    return machines;
+    return Collections.unmodifiableMap(machines);
   }
 
   /** All machines in the order in which placement walks them. */
@@ -101,6 +102,16 @@
     return (term << ATTEMPT_NUMBER_BITS) + ++lastAttemptNumber;
   }
 
+  /** Adds a job. */
+  public void addJob(Job job) {
+    jobs.put(job.id(), job);
+  }
+
+  /** Removes a job that has ended, or that was not accepted after all. */
+  public void removeJob(Job job) {
+    jobs.remove(job.id(), job);
+  }
+
   /** Adds a machine. */
   public void addMachine(Machine machine) {
     machines.put(machine.name(), machine);
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -170,6 +170,6 @@
             stored.cancelled() ? JobPhase.CANCELLED : JobPhase.ACTIVE);
     job.record().revision(entry.revision());
     job.restoreProgress(stored.done());
-    clusterState.jobs().put(job.id(), job);
+    clusterState.addJob(job);
   }
 }
--- a/src/main/java/org/dewreach/state/JobRecordWriter.java
+++ b/src/main/java/org/dewreach/state/JobRecordWriter.java
@@ -25,26 +25,8 @@
   /** Progress is only saved work: it is gathered so that it leaves the rate to users' writes. */
   private static final long PROGRESS_INTERVAL_MICROS = 4_000_000;
 
-  /** With more writes pending than this, progress is not written. */
-  private static final int MAX_PENDING_FOR_PROGRESS = 12;
-
-  /** Told when something became durable. */
-  public interface Listener {
-    /** A new or imported job is durable. */
-    void onAccepted(Job job, long nowMicros);
-
-    /** A job's cancellation is durable. */
-    void onCancelled(Job job, long nowMicros);
-
-    /** A job's final state is durable. */
-    void onEnded(Job job, long nowMicros);
-
-    /** Machines are durably registered for commands. */
-    void onMachinesRegistered(long nowMicros);
-
-    /** A write failed in a way that only an outdated revision here explains: the term must end. */
-    void onRecordConflict(String reason, long nowMicros);
-  }
+  /** From this many pending writes on, progress is not written. */
+  private static final int PROGRESS_PENDING_LIMIT = 12;
 
   /** Decides when a cancellation may be made durable. */
   public interface CancellationCheck {
@@ -66,13 +48,13 @@
 
   private final CommitQueue queue;
   private final CancellationCheck cancellationCheck;
-  private final Listener listener;
+  private final DurabilityListener listener;
   private final Map<Job, PendingWrite> pendingWrites = new HashMap<>();
   private boolean mayFinalizeCancelled;
 
   /** A writer that puts its writes into the given queue. */
   public JobRecordWriter(
-      CommitQueue queue, CancellationCheck cancellationCheck, Listener listener) {
+      CommitQueue queue, CancellationCheck cancellationCheck, DurabilityListener listener) {
     this.queue = queue;
     this.cancellationCheck = cancellationCheck;
     this.listener = listener;
@@ -201,7 +183,7 @@
   private boolean progressDue(Job job, long nowMicros) {
     return nowMicros - job.record().progressWrittenAt() >= PROGRESS_INTERVAL_MICROS
         && !job.done().equals(job.record().done())
-        && queue.pendingWrites() < MAX_PENDING_FOR_PROGRESS;
+        && queue.pendingWrites() < PROGRESS_PENDING_LIMIT;
   }
 
   private void writeProgress(Job job, long nowMicros) {
--- a/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
+++ b/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
@@ -151,7 +151,7 @@
       return;
     }
     Job job = new Job(stored.spec(), stored.acceptedWallMicros(), true, JobPhase.PERSISTING);
-    clusterState.jobs().put(id, job);
+    clusterState.addJob(job);
     boolean accepted =
         recordWriter.writeImportedJob(
             job,
@@ -166,7 +166,7 @@
 
   /** The record was changed meanwhile, or the write queue is full: all are read again. */
   private void abandonImport(Job job, long rereadAtMicros) {
-    clusterState.jobs().remove(job.id(), job);
+    clusterState.removeJob(job);
     onNotImported.accept(job.id());
     requestReread(rereadAtMicros);
   }
--- a/src/main/java/org/dewreach/state/MachineRegistry.java
+++ b/src/main/java/org/dewreach/state/MachineRegistry.java
@@ -70,7 +70,7 @@
   private final CommitQueue queue;
   private final int pageBytes;
   private final long wallOffsetMicros;
-  private final JobRecordWriter.Listener listener;
+  private final DurabilityListener listener;
   private final Map<Integer, Page> pages = new TreeMap<>();
   private final Map<Machine, Page> pageOf = new HashMap<>();
 
@@ -81,7 +81,7 @@
    * @param wallOffsetMicros time of day minus event time
    */
   public MachineRegistry(
-      CommitQueue queue, int valueBytes, long wallOffsetMicros, JobRecordWriter.Listener listener) {
+      CommitQueue queue, int valueBytes, long wallOffsetMicros, DurabilityListener listener) {
     this.queue = queue;
     this.pageBytes = (int) (valueBytes * MAX_FILL_SHARE);
     this.wallOffsetMicros = wallOffsetMicros;
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -205,7 +205,7 @@
     HeartbeatResponse response =
         reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM, done), 2 * S);
     assertEquals(List.of(), response.commands(), "not removed yet");
-    clusterState.jobs().remove(job.id());
+    clusterState.removeJob(job);
     response = reconciler.onHeartbeat(machine, heartbeat(machine, 1, 3, TERM, done), 3 * S);
     assertEquals(
         List.of(new WorkerCommand.Remove(new TaskName(job.id(), 3), 7)), response.commands());
--- a/src/test/java/org/dewreach/membership/FleetManagerTest.java
+++ b/src/test/java/org/dewreach/membership/FleetManagerTest.java
@@ -79,7 +79,7 @@
             0,
             -1);
     Job job = new Job(spec, 0, true, JobPhase.ACTIVE);
-    clusterState.jobs().put(id, job);
+    clusterState.addJob(job);
     return job;
   }
 
--- a/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
@@ -68,7 +68,7 @@
             3 * S,
             -1);
     Job job = new Job(spec, 0, true, JobPhase.ACTIVE);
-    clusterState.jobs().put(id, job);
+    clusterState.addJob(job);
     Task task =
         clusterState.bind(job, 0, clusterState.nextAttempt(), machine, TaskPhase.ASSIGNED, 0);
     task.become(TaskPhase.RUNNING, 0);
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -57,7 +57,7 @@
             0,
             submittedThisTerm,
             JobPhase.ACTIVE);
-    clusterState.jobs().put(id, job);
+    clusterState.addJob(job);
     return job;
   }
 
@@ -176,7 +176,7 @@
             0,
             true,
             JobPhase.ACTIVE);
-    clusterState.jobs().put("req-9", service);
+    clusterState.addJob(service);
     placer.pass(700 * S, each -> true, 5 * S);
     assertEquals(3, service.bound().size());
   }
--- a/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
+++ b/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
@@ -97,7 +97,7 @@
     requestHandler.handle(submit, response -> statuses.add(response.status()), S);
     reply(fixture.onlyRequest("/keys/" + Keys.leaderlessJob("req-1")), 404, Codec.map());
     Effect.Call lastLook = fixture.onlyRequest("/keys/" + Keys.finalState("req-1"));
-    clusterState.jobs().put("req-1", new Job(spec("req-1"), 0, true, JobPhase.ACTIVE));
+    clusterState.addJob(new Job(spec("req-1"), 0, true, JobPhase.ACTIVE));
     reply(lastLook, 404, Codec.map());
     assertEquals(List.of(503), statuses, "to be retried");
     requestHandler.handle(submit, response -> statuses.add(response.status()), 3 * S);
--- a/src/test/java/org/dewreach/state/RecordingListener.java
+++ b/src/test/java/org/dewreach/state/RecordingListener.java
@@ -5,7 +5,7 @@
 import org.dewreach.model.Job;
 
 /** Remembers what became durable, and which conflicts ended the term. */
-final class RecordingListener implements JobRecordWriter.Listener {
+final class RecordingListener implements DurabilityListener {
   final List<String> durable = new ArrayList<>();
   final List<String> conflicts = new ArrayList<>();
 
--- a/src/test/java/org/dewreach/testing/ClusterFixture.java
+++ b/src/test/java/org/dewreach/testing/ClusterFixture.java
@@ -82,7 +82,7 @@
 
   private Job add(JobSpec spec, boolean submittedThisTerm) {
     Job job = new Job(spec, 0, submittedThisTerm, JobPhase.ACTIVE);
-    state.jobs().put(job.id(), job);
+    state.addJob(job);
     return job;
   }
 
