--- a/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
@@ -10,7 +10,7 @@
 import org.dewreach.model.MachinePhase;
 import org.dewreach.model.Task;
 import org.dewreach.placement.QueueOrder;
-import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobSpec;
@@ -46,9 +46,9 @@
   }
 
   /** The waiting tasks that are worth machines of their own. */
-  List<Need> needs(List<TaskPlacer.Waiting> waiting, long nowMicros) {
+  List<Need> needs(List<UnplacedTasks> waiting, long nowMicros) {
     List<Need> needs = new ArrayList<>();
-    for (TaskPlacer.Waiting item : waiting) {
+    for (UnplacedTasks item : waiting) {
       int tasks = worthRenting(item, nowMicros);
       if (tasks > 0) {
         Job job = item.job();
@@ -59,10 +59,10 @@
   }
 
   /** True if the machines that are there would work on the waiting batch tasks for too long. */
-  boolean longBacklog(List<TaskPlacer.Waiting> waiting, long nowMicros) {
+  boolean longBacklog(List<UnplacedTasks> waiting, long nowMicros) {
     double backlog = 0;
     double patience = 0;
-    for (TaskPlacer.Waiting item : waiting) {
+    for (UnplacedTasks item : waiting) {
       JobSpec spec = item.job().spec();
       if (spec.spot()) {
         double work =
@@ -95,14 +95,14 @@
   }
 
   /** How many of the waiting tasks are worth a machine of their own, rather than a wait. */
-  private int worthRenting(TaskPlacer.Waiting item, long nowMicros) {
+  private int worthRenting(UnplacedTasks item, long nowMicros) {
     Job job = item.job();
     JobSpec spec = job.spec();
     if (spec.jobKind() == JobKind.SERVICE) {
       return item.tasks();
     }
     long horizon = tuning.workOffMicros();
-    long allowed = order.allowedMicros(spec);
+    long allowed = order.completionTargetMicros(spec);
     if (allowed >= 0) {
       long dueAt = job.acceptedWallMicros() - wallOffsetMicros + allowed;
       horizon = Math.max(spec.expectedMicros(), (dueAt - nowMicros) / 2);
@@ -115,7 +115,7 @@
   }
 
   private long slackMicros(Job job, long nowMicros) {
-    long allowed = order.allowedMicros(job.spec());
+    long allowed = order.completionTargetMicros(job.spec());
     long dueAt = job.acceptedWallMicros() - wallOffsetMicros + allowed;
     return allowed < 0 ? UNLIMITED_SLACK_MICROS : dueAt - nowMicros - job.spec().expectedMicros();
   }
@@ -123,7 +123,7 @@
   /** How long work can wait for machines that are there: half of the time that it has left. */
   private double patienceS(Job job, long nowMicros) {
     double longWaitS = tuning.longWaitMicros() / MICROS_PER_SECOND;
-    long allowed = order.allowedMicros(job.spec());
+    long allowed = order.completionTargetMicros(job.spec());
     if (allowed < 0) {
       return longWaitS;
     }
--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -5,7 +5,7 @@
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.model.Task;
-import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.wire.MachineType;
@@ -71,7 +71,7 @@
    * Lets a few machines at a time run empty when the others have had room enough for their tasks
    * for a while. The dearest goes first, among equals the last of the list, which fills last.
    */
-  public void retire(long nowMicros, List<TaskPlacer.Waiting> waiting) {
+  public void retire(long nowMicros, List<UnplacedTasks> waiting) {
     if (!waiting.isEmpty()) {
       spareCapacitySince = nowMicros;
       uncordonAll();
--- a/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
@@ -12,7 +12,7 @@
 import org.dewreach.cloud.CloudClient;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
@@ -77,7 +77,7 @@
   }
 
   /** Repeats requests that are due, then rents for what waits. Called once a round. */
-  public void rent(long nowMicros, List<TaskPlacer.Waiting> waiting) {
+  public void rent(long nowMicros, List<UnplacedTasks> waiting) {
     retry(nowMicros);
     if (catalog.types().isEmpty() || rentalRequests.size() >= MAX_RENTAL_REQUESTS) {
       return;
--- a/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
+++ b/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
@@ -79,7 +79,7 @@
 
     /** Needs with the same key fit on the same machines and are planned as one. */
     private String groupKey() {
-      String likeness = SortFirstFit.likeness(spec);
+      String likeness = SortFirstFit.equivalenceKey(spec);
       // Which zones are left depends on the job's own tasks.
       return sharesZone() || spreadsOverZones() ? likeness + "|" + spec.id() : likeness;
     }
--- a/src/main/java/org/dewreach/config/Settings.java
+++ b/src/main/java/org/dewreach/config/Settings.java
@@ -53,9 +53,27 @@
   /** A team's guarantee and limit; infinite where the file says "none" (0). */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
-  /** An aim as the file repeats it; fields that its kind lacks are 0 or null. */
+  /** What an objective is about. */
+  public enum ObjectiveKind {
+    /** Tasks of a class start within some time of their submission. */
+    START_WITHIN,
+    /** Jobs of a class finish within some time of their submission. */
+    FINISH_WITHIN,
+    /** Something that the scheduler does not act on. */
+    OTHER
+  }
+
+  /**
+   * A service-level objective of the operators; fields that its kind lacks are 0 or null.
+   *
+   * @param kind what it is about
+   * @param jobClass the class of the jobs that it holds for, or null
+   * @param withinMicros the time to start or to finish within
+   * @param share the share of the jobs for which that is to hold
+   * @param times a factor, for kinds that have one
+   */
   public record Objective(
-      String kind, String lane, long withinMicros, double share, double times) {}
+      ObjectiveKind kind, String jobClass, long withinMicros, double share, double times) {}
 
   /** Times that concern the workers. */
   public record Workers(long reportMicros, long leaseMicros, long cancelMicros) {
--- a/src/main/java/org/dewreach/controller/PlacementLoop.java
+++ b/src/main/java/org/dewreach/controller/PlacementLoop.java
@@ -9,6 +9,7 @@
 import org.dewreach.placement.QueueOrder;
 import org.dewreach.scheduling.Preemption;
 import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 
 /** Decides when a placement pass is made, and makes it. */
@@ -29,7 +30,7 @@
   private final TaskPlacer placer;
   private final Preemption preemption;
   private long lastPass;
-  private List<TaskPlacer.Waiting> waiting = List.of();
+  private List<UnplacedTasks> waiting = List.of();
 
   PlacementLoop(
       ClusterState clusterState,
@@ -54,7 +55,7 @@
   }
 
   /** The jobs whose tasks found no place in the last pass. */
-  List<TaskPlacer.Waiting> waiting() {
+  List<UnplacedTasks> waiting() {
     return waiting;
   }
 
@@ -70,9 +71,9 @@
       return;
     }
     lastPass = nowMicros;
-    waiting = placer.pass(nowMicros, recovery::allSeen, fleet.bootMicros());
+    waiting = placer.placeTasks(nowMicros, recovery::allSeen, fleet.bootMicros());
     if (mayPreempt) {
-      preemption.evictIdleConnection(waiting, nowMicros);
+      preemption.preempt(waiting, nowMicros);
     }
     direct.sendPending(nowMicros);
   }
--- a/src/main/java/org/dewreach/controller/TermSummary.java
+++ b/src/main/java/org/dewreach/controller/TermSummary.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 import org.dewreach.store.CommitQueue;
 import org.slf4j.Logger;
@@ -30,7 +30,7 @@
   }
 
   /** Logs a summary if it is time. */
-  void tick(List<TaskPlacer.Waiting> waiting, long nowMicros) {
+  void tick(List<UnplacedTasks> waiting, long nowMicros) {
     if (nowMicros < nextSummary) {
       return;
     }
@@ -63,7 +63,7 @@
   }
 
   /** Numbers for operators. */
-  void fill(ObjectNode node, List<TaskPlacer.Waiting> waiting) {
+  void fill(ObjectNode node, List<UnplacedTasks> waiting) {
     int tasks = 0;
     for (Machine machine : clusterState.machines().values()) {
       tasks += machine.tasks().size();
@@ -73,7 +73,7 @@
     node.put("tasks_waiting", waitingTasks(waiting)).put("writes_queued", queue.waiting());
   }
 
-  private static int waitingTasks(List<TaskPlacer.Waiting> waiting) {
-    return waiting.stream().mapToInt(TaskPlacer.Waiting::tasks).sum();
+  private static int waitingTasks(List<UnplacedTasks> waiting) {
+    return waiting.stream().mapToInt(UnplacedTasks::tasks).sum();
   }
 }
--- a/src/main/java/org/dewreach/membership/FleetManager.java
+++ b/src/main/java/org/dewreach/membership/FleetManager.java
@@ -12,7 +12,7 @@
 import org.dewreach.model.Machine;
 import org.dewreach.scheduling.ServiceMigrator;
 import org.dewreach.scheduling.TaskConsolidator;
-import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
@@ -74,7 +74,7 @@
   }
 
   /** Runs a round if one is due. */
-  public void tick(long nowMicros, List<TaskPlacer.Waiting> waiting, boolean mayRent) {
+  public void tick(long nowMicros, List<UnplacedTasks> waiting, boolean mayRent) {
     if (nowMicros < nextRoundAt) {
       return;
     }
@@ -84,8 +84,8 @@
     if (mayRent) {
       // Before all machines are accounted for, what looks idle may be needed in a moment.
       scaleInPolicy.retire(nowMicros, waiting);
-      serviceMigrator.move(nowMicros);
-      consolidation.move(nowMicros);
+      serviceMigrator.migrate(nowMicros);
+      consolidation.consolidate(nowMicros);
       scaleInPolicy.returnIdle(nowMicros);
       scaleOut.rent(nowMicros, waiting);
     }
--- a/src/main/java/org/dewreach/placement/QueueOrder.java
+++ b/src/main/java/org/dewreach/placement/QueueOrder.java
@@ -69,8 +69,9 @@
   public QueueOrder(Map<String, Settings.Team> teams, List<Settings.Objective> objectives) {
     this.teams = teams;
     for (Settings.Objective objective : objectives) {
-      if (objective.kind().equals("finished") && objective.lane() != null) {
-        finishWithin.merge(objective.lane(), objective.withinMicros(), Math::min);
+      if (objective.kind() == Settings.ObjectiveKind.FINISH_WITHIN
+          && objective.jobClass() != null) {
+        finishWithin.merge(objective.jobClass(), objective.withinMicros(), Math::min);
       }
     }
   }
@@ -94,7 +95,7 @@
    *
    * <p>Guards against jobs that always have others before them: large ones under a flood of small
    * ones, late ones, those of a team without a guarantee. A job that has waited too long for its
-   * first task comes first within its urgency, {@linkplain #toBegin for one task}. And once some
+   * first task comes first within its urgency, {@linkplain #isStarved for one task}. And once some
    * job has waited long, every other order goes by age alone; so each gets room in the end, and
    * most of the room still goes to what can be in time.
    */
@@ -112,7 +113,7 @@
       places.replaceAll(place -> new Place(place.job(), FIRST, 0, 0));
     }
     places.replaceAll(
-        place -> toBegin(place.job(), wallMicros) ? new Place(place.job(), FIRST, -1, 0) : place);
+        place -> isStarved(place.job(), wallMicros) ? new Place(place.job(), FIRST, -1, 0) : place);
     places.sort(BY_PLACE);
     List<Job> order = new ArrayList<>(places.size());
     places.forEach(place -> order.add(place.job()));
@@ -124,14 +125,14 @@
   }
 
   /** True for a job that has waited so long for its first task that it is to be given one now. */
-  public static boolean toBegin(Job job, long wallMicros) {
+  public static boolean isStarved(Job job, long wallMicros) {
     return wallMicros - job.acceptedWallMicros() > MAX_UNSTARTED_MICROS
         && job.doneCount() == 0
         && !job.hasBound();
   }
 
   private Place place(Job job, int guarantee, long wallMicros) {
-    long allowed = allowedMicros(job.spec());
+    long allowed = completionTargetMicros(job.spec());
     if (allowed < 0) {
       return new Place(job, guarantee, 1, 0);
     }
@@ -149,7 +150,7 @@
   }
 
   /** When the job is to be done, from its acceptance, by its owner or its class; or -1. */
-  public long allowedMicros(JobSpec spec) {
+  public long completionTargetMicros(JobSpec spec) {
     return spec.dueMicros() >= 0
         ? spec.dueMicros()
         : finishWithin.getOrDefault(spec.jobClass(), -1L);
--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -54,7 +54,7 @@
    * Machines may have become usable in ways that the list is not told of, so whoever is about to
    * place tasks calls this first. Until then only what {@link #changed} tells is known.
    */
-  public void lookAgain() {
+  public void invalidateIndex() {
     stale = true;
   }
 
@@ -187,7 +187,7 @@
   }
 
   /** Tasks with the same likeness fit on the same machines. */
-  public static String likeness(JobSpec spec) {
+  public static String equivalenceKey(JobSpec spec) {
     return spec.cpus()
         + "|"
         + spec.gpus()
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -40,7 +40,7 @@
     this.clusterState = clusterState;
   }
 
-  public void evictIdleConnection(List<TaskPlacer.Waiting> waiting, long nowMicros) {
+  public void preempt(List<UnplacedTasks> waiting, long nowMicros) {
     if (waiting.isEmpty() || nowMicros < nextAt) {
       return;
     }
@@ -50,13 +50,13 @@
     Set<Task> chosen = new LinkedHashSet<>();
     // What found no room will find none for another task of the same size and places either.
     Set<String> hopeless = new HashSet<>();
-    for (TaskPlacer.Waiting item : waiting) {
+    for (UnplacedTasks item : waiting) {
       JobSpec spec = item.job().spec();
       boolean alone = spec.jobKind() != JobKind.GANG && !spec.sameZone() && !spec.spreadZones();
       if (!alone || least == null || !spec.priority().above(least)) {
         continue;
       }
-      String likeness = SortFirstFit.likeness(spec);
+      String likeness = SortFirstFit.equivalenceKey(spec);
       if (hopeless.contains(likeness)) {
         continue;
       }
--- a/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
@@ -34,13 +34,13 @@
   }
 
   /** Stops services to be placed elsewhere, as far as the budget goes. Called once a round. */
-  public void move(long nowMicros) {
+  public void migrate(long nowMicros) {
     moveBudget =
         Math.min(
             MAX_MOVES_SAVED,
             moveBudget
                 + replicas() * tuning.movedShare() * roundIntervalMicros / MICROS_PER_SECOND);
-    clusterState.list().lookAgain();
+    clusterState.list().invalidateIndex();
     for (Machine machine : clusterState.machines().values()) {
       if (moveBudget < 1) {
         return;
--- a/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -41,8 +41,8 @@
   }
 
   /** Stops at most one task of each machine that runs empty; the next passes place it again. */
-  public void move(long nowMicros) {
-    clusterState.list().lookAgain();
+  public void consolidate(long nowMicros) {
+    clusterState.list().invalidateIndex();
     Set<Machine> targets = new HashSet<>();
     for (Machine machine : emptiestFirst()) {
       Task movable = movable(machine, nowMicros);
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -40,14 +40,6 @@
   /** Bounds the work of one pass; what is left is placed in the next. */
   private static final int MAX_PLACED = 400;
 
-  /**
-   * What is waiting after a pass.
-   *
-   * @param job the job
-   * @param tasks tasks that its team may start now and that fit nowhere
-   */
-  public record Waiting(Job job, int tasks) {}
-
   private final ClusterState clusterState;
   private final QueueOrder order;
   private final long wallOffsetMicros;
@@ -68,8 +60,8 @@
     this.clusterState = clusterState;
     this.order = order;
     for (Settings.Objective objective : objectives) {
-      if (objective.kind().equals("wait") && objective.lane() != null) {
-        startWithin.merge(objective.lane(), objective.withinMicros(), Math::min);
+      if (objective.kind() == Settings.ObjectiveKind.START_WITHIN && objective.jobClass() != null) {
+        startWithin.merge(objective.jobClass(), objective.withinMicros(), Math::min);
       }
     }
     startWithin.putAll(tuning.startWithinMicros());
@@ -82,8 +74,8 @@
    * @param allSeen false for jobs of which tasks may run unseen, as long as some machine of an
    *     earlier term is not accounted for: of these nothing is started, and all of it counts
    */
-  public List<Waiting> pass(long nowMicros, Predicate<Job> allSeen, long bootMicros) {
-    List<Waiting> waiting = new ArrayList<>();
+  public List<UnplacedTasks> placeTasks(long nowMicros, Predicate<Job> allSeen, long bootMicros) {
+    List<UnplacedTasks> waiting = new ArrayList<>();
     Map<Job, Integer> reserved = new HashMap<>();
     for (Job job : clusterState.jobs().values()) {
       if (!allSeen.test(job)) {
@@ -99,7 +91,7 @@
             clusterState.jobs().values(),
             job -> job.startable() && job.pending() > 0 && !reserved.containsKey(job),
             nowMicros + wallOffsetMicros);
-    clusterState.list().lookAgain();
+    clusterState.list().invalidateIndex();
     headroom = clusterState.services().headroomCpus(bootMicros, nowMicros);
     boolean measured = false;
     Set<String> full = new HashSet<>();
@@ -124,7 +116,7 @@
         int most = gang ? freeCapacity : Math.min(freeCapacity, MAX_PLACED - placed);
         // Guards against replicas that need each other's zone and lost it late: never one alone.
         boolean one =
-            job.failsRepeatedly() || QueueOrder.toBegin(job, nowMicros + wallOffsetMicros);
+            job.failsRepeatedly() || QueueOrder.isStarved(job, nowMicros + wallOffsetMicros);
         if (one && !whole(job)) {
           most = 1;
         }
@@ -136,7 +128,7 @@
         if (started == 0 && !barred) {
           full.add(likeness(job, nowMicros));
         }
-        waiting.add(new Waiting(job, freeCapacity - started));
+        waiting.add(new UnplacedTasks(job, freeCapacity - started));
       }
     }
     reserved.forEach((job, unseen) -> clusterState.quotas().add(job.spec(), -unseen));
@@ -166,7 +158,7 @@
     if (special || !job.avoidedMachines(nowMicros).isEmpty() || keptFrom(job, nowMicros)) {
       return job.id();
     }
-    return SortFirstFit.likeness(spec) + yields(spec);
+    return SortFirstFit.equivalenceKey(spec) + yields(spec);
   }
 
   /**
--- a/src/test/java/org/dewreach/config/SettingsReaderTest.java
+++ b/src/test/java/org/dewreach/config/SettingsReaderTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -59,6 +60,33 @@
     assertTrue(Double.isInfinite(settings.teams().get("red").cpusMax()), "0 means none");
   }
 
+  @Test
+  void readsObjectivesOfKnownAndUnknownKinds() throws Exception {
+    Settings settings =
+        SettingsReader.parse(
+            GOOD
+                + """
+                [[cluster.objectives]]
+                kind = "wait"
+                class = "live"
+                within_s = 8.0
+                share = 0.95
+                [[cluster.objectives]]
+                kind = "finished"
+                class = "scan"
+                within_s = 100.0
+                [[cluster.objectives]]
+                kind = "anything"
+                times = 1.5
+                """);
+    assertEquals(
+        List.of(
+            new Settings.Objective(Settings.ObjectiveKind.START_WITHIN, "live", 8_000_000, 0.95, 0),
+            new Settings.Objective(Settings.ObjectiveKind.FINISH_WITHIN, "scan", 100_000_000, 0, 0),
+            new Settings.Objective(Settings.ObjectiveKind.OTHER, null, 0, 0, 1.5)),
+        settings.objectives());
+  }
+
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
--- a/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
+++ b/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
@@ -122,7 +122,7 @@
               machines.remove(machine);
             } else {
               machine.cordoned(random.nextBoolean());
-              list.lookAgain();
+              list.invalidateIndex();
             }
           }
         }
--- a/src/test/java/org/dewreach/placement/QueueOrderTest.java
+++ b/src/test/java/org/dewreach/placement/QueueOrderTest.java
@@ -22,7 +22,9 @@
           Map.of(
               "red", new Settings.Team("red", 10, 100, 0, 0),
               "none", new Settings.Team("none", 0, 100, 0, 0)),
-          List.of(new Settings.Objective("finished", "scan", 100 * S, 0.9, 0)));
+          List.of(
+              new Settings.Objective(
+                  Settings.ObjectiveKind.FINISH_WITHIN, "scan", 100 * S, 0.9, 0)));
 
   private static Job job(
       String id, String team, Priority priority, int tasks, long dueS, long acceptedS) {
@@ -106,9 +108,9 @@
     Job old = job("req-1", "none", Priority.NORMAL, 500, 900, 0);
     Job small = job("req-2", "red", Priority.NORMAL, 1, 200, 150);
     assertEquals(List.of(old, small), order.order(List.of(small, old), 150 * S));
-    assertEquals(true, QueueOrder.toBegin(old, 150 * S));
+    assertEquals(true, QueueOrder.isStarved(old, 150 * S));
     old.markDone(3);
-    assertEquals(false, QueueOrder.toBegin(old, 150 * S));
+    assertEquals(false, QueueOrder.isStarved(old, 150 * S));
   }
 
   @Test
--- a/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
@@ -80,7 +80,7 @@
   void aTaskThatSavesMovesOffAMachineThatRunsEmpty() {
     machine("m0", true, false);
     Task task = saving("req-1", machine("m1", true, true));
-    consolidation.move(S);
+    consolidation.consolidate(S);
     assertEquals(TaskPhase.STOPPING, task.phase());
   }
 
@@ -90,7 +90,7 @@
     machine("m0", true, false);
     Task loses = task("req-1", machine("m1", true, true), 0, LONG_RUN);
     Task endsSoon = task("req-2", machine("m2", true, true), CHECKPOINTS, 60 * S);
-    consolidation.move(S);
+    consolidation.consolidate(S);
     assertEquals(TaskPhase.RUNNING, loses.phase());
     assertEquals(TaskPhase.RUNNING, endsSoon.phase());
   }
@@ -100,7 +100,7 @@
   void roomOnOrdinaryMachinesIsNotCountedOn() {
     machine("m0", false, false);
     Task task = saving("req-1", machine("m1", true, true));
-    consolidation.move(S);
+    consolidation.consolidate(S);
     assertEquals(TaskPhase.RUNNING, task.phase());
   }
 
@@ -114,7 +114,7 @@
     saving("req-1", fuller);
     saving("req-2", fuller);
     Task alone = saving("req-3", machine("m1", true, true));
-    consolidation.move(S);
+    consolidation.consolidate(S);
     assertEquals(TaskPhase.STOPPING, alone.phase());
     assertTrue(fuller.schedulable(), "it is where the task goes");
     assertTrue(fuller.tasks().stream().allMatch(task -> task.phase() == TaskPhase.RUNNING));
@@ -127,7 +127,7 @@
     Machine other = machine("m2", true, true);
     Task first = saving("req-1", one);
     Task second = saving("req-2", other);
-    consolidation.move(S);
+    consolidation.consolidate(S);
     assertTrue(one.cordoned() != other.cordoned());
     assertTrue(first.phase() != second.phase(), "only the task of the other one is moved");
   }
@@ -141,7 +141,7 @@
     Task one = saving("req-1", fuller);
     Task two = saving("req-2", fuller);
     Task alone = saving("req-3", machine("m2", true, true));
-    consolidation.move(S);
+    consolidation.consolidate(S);
     assertEquals(TaskPhase.STOPPING, alone.phase());
     assertEquals(TaskPhase.RUNNING, one.phase());
     assertEquals(TaskPhase.RUNNING, two.phase());
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -76,10 +76,10 @@
     box("m1", true);
     Job unseen = job("req-1", 7, false);
     Job seen = job("req-2", 6, false);
-    placer.pass(S, job -> job != unseen, 5 * S);
+    placer.placeTasks(S, job -> job != unseen, 5 * S);
     assertEquals(0, unseen.bound().size());
     assertEquals(3, seen.bound().size(), "10 CPUs at most, of which 7 may be in use unseen");
-    placer.pass(2 * S, job -> true, 5 * S);
+    placer.placeTasks(2 * S, job -> true, 5 * S);
     assertEquals(10, unseen.bound().size() + seen.bound().size());
   }
 
@@ -91,7 +91,7 @@
     for (int i = 0; i < 8; i++) {
       job("req-1" + i, 1, true);
     }
-    placer.pass(200 * S, job -> true, 5 * S);
+    placer.placeTasks(200 * S, job -> true, 5 * S);
     assertTrue(large.hasBound());
     assertEquals(1, large.bound().size(), "the others of this pass begin too");
   }
@@ -105,7 +105,7 @@
     Job first = job("req-1", 3, true);
     job("req-2", 1, true);
     machine.directCommands().recordStart(new TaskName("req-1", 0), 7);
-    placer.pass(S, job -> true, 5 * S);
+    placer.placeTasks(S, job -> true, 5 * S);
     assertEquals(Set.of(1, 2), Set.copyOf(first.bound().keySet()));
     assertTrue(clusterState.jobs().get("req-2").hasBound());
   }
@@ -140,9 +140,9 @@
       clusterState.services().arrived(service, S);
     }
     Job job = job("req-1", 4, true);
-    placer.pass(30 * S, each -> true, 60 * S);
+    placer.placeTasks(30 * S, each -> true, 60 * S);
     assertEquals(0, job.bound().size());
-    placer.pass(61 * S, each -> true, 60 * S);
+    placer.placeTasks(61 * S, each -> true, 60 * S);
     assertEquals(1, job.bound().size(), "a first task, no more");
   }
 
@@ -177,7 +177,7 @@
             true,
             JobPhase.ACTIVE);
     clusterState.jobs().put("req-9", service);
-    placer.pass(700 * S, each -> true, 5 * S);
+    placer.placeTasks(700 * S, each -> true, 5 * S);
     assertEquals(3, service.bound().size());
   }
 
@@ -187,9 +187,9 @@
     box("m1", true);
     Job job = job("req-1", 1, true);
     job.recordFailure("m1", S);
-    placer.pass(30 * S, each -> true, 5 * S);
+    placer.placeTasks(30 * S, each -> true, 5 * S);
     assertEquals(0, job.bound().size());
-    placer.pass(62 * S, each -> true, 5 * S);
+    placer.placeTasks(62 * S, each -> true, 5 * S);
     assertEquals(1, job.bound().size());
   }
 
@@ -199,19 +199,19 @@
     box("m1", true);
     Job job = job("req-1", 50, true);
     job.recordFailure("m8", S);
-    placer.pass(2 * S, each -> true, 5 * S);
+    placer.placeTasks(2 * S, each -> true, 5 * S);
     assertEquals(10, job.bound().size(), "one machine says little");
     List.copyOf(job.bound().values()).forEach(task -> clusterState.unbind(task, "test", 3 * S));
     job.recordFailure("m9", 3 * S);
-    assertEquals(List.of(), placer.pass(4 * S, each -> true, 5 * S));
+    assertEquals(List.of(), placer.placeTasks(4 * S, each -> true, 5 * S));
     assertEquals(0, job.bound().size(), "it rests");
-    assertEquals(List.of(), placer.pass(6 * S, each -> true, 5 * S));
+    assertEquals(List.of(), placer.placeTasks(6 * S, each -> true, 5 * S));
     assertEquals(1, job.bound().size());
     // Guards against one more task in each pass while the first has not failed yet.
-    assertEquals(List.of(), placer.pass(6_500_000, each -> true, 5 * S));
+    assertEquals(List.of(), placer.placeTasks(6_500_000, each -> true, 5 * S));
     assertEquals(1, job.bound().size(), "one at a time");
     clusterState.markDone(job, 7);
-    placer.pass(7 * S, each -> true, 5 * S);
+    placer.placeTasks(7 * S, each -> true, 5 * S);
     assertEquals(10, job.bound().size(), "it got somewhere");
   }
 
@@ -222,11 +222,11 @@
     Job job = job("req-1", 50, true);
     job.recordFailure("m8", S);
     job.recordFailure("m9", S);
-    placer.pass(5 * S, each -> true, 5 * S);
+    placer.placeTasks(5 * S, each -> true, 5 * S);
     assertEquals(1, job.bound().size());
-    placer.pass(34 * S, each -> true, 5 * S);
+    placer.placeTasks(34 * S, each -> true, 5 * S);
     assertEquals(1, job.bound().size(), "it may still fail");
-    placer.pass(36 * S, each -> true, 5 * S);
+    placer.placeTasks(36 * S, each -> true, 5 * S);
     assertEquals(2, job.bound().size(), "it runs on");
   }
 }
