--- a/src/main/java/org/dewreach/controller/PlacementLoop.java
+++ b/src/main/java/org/dewreach/controller/PlacementLoop.java
@@ -71,7 +71,7 @@
       return;
     }
     lastPass = nowMicros;
-    waiting = placer.placeTasks(nowMicros, recovery::allSeen, fleet.bootMicros());
+    waiting = placer.placeTasks(nowMicros, recovery::allTasksKnown, fleet.typicalBootMicros());
     if (mayPreempt) {
       preemption.preempt(waiting, nowMicros);
     }
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -152,7 +152,7 @@
    */
   private Machine addUnexpectedMachine(Heartbeat heartbeat, long nowMicros) {
     MachineType type = catalog.type(heartbeat.type());
-    if (type == null || fleet.isGone(heartbeat.machine())) {
+    if (type == null || fleet.isReleased(heartbeat.machine())) {
       return null;
     }
     LOG.info("unexpected machine found by its heartbeat: machine={}", heartbeat.machine());
