--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Predicate;
 import org.dewreach.model.Job;
 import org.dewreach.model.Machine;
 import org.dewreach.model.Task;
@@ -21,14 +22,14 @@
 import org.dewreach.wire.TaskName;
 
 /**
- * Makes room for more urgent work that fits nowhere by stopping less urgent tasks.
+ * Makes room for tasks that fit nowhere by stopping tasks of lower priority.
  *
  * <p>Machines are walked in the order of the list. Room that is being freed already is counted, so
  * that one need does not stop tasks twice.
  */
 public final class Preemption {
   /** Bounds what one pass may stop; the next pass goes on. */
-  private static final int MAX_STOPPED = 24;
+  private static final int MAX_VICTIMS = 24;
 
   /** It looks at all machines, so not in each pass. */
   private static final long INTERVAL_MICROS = 200_000;
@@ -36,126 +37,152 @@
   private final ClusterState clusterState;
   private long nextAt;
 
+  /** The preemption of one term. */
   public Preemption(ClusterState clusterState) {
     this.clusterState = clusterState;
   }
 
-  public void preempt(List<UnplacedTasks> waiting, long nowMicros) {
-    if (waiting.isEmpty() || nowMicros < nextAt) {
+  /** Stops tasks of lower priority for what the last placement pass could not place. */
+  public void preempt(List<UnplacedTasks> unplaced, long nowMicros) {
+    if (unplaced.isEmpty() || nowMicros < nextAt) {
       return;
     }
     nextAt = nowMicros + INTERVAL_MICROS;
-    Priority least = leastBound();
-    Map<Machine, FreeCapacity> freeCapacities = new HashMap<>();
-    Set<Task> chosen = new LinkedHashSet<>();
-    // What found no room will find none for another task of the same size and places either.
-    Set<String> hopeless = new HashSet<>();
-    for (UnplacedTasks item : waiting) {
-      JobSpec spec = item.job().spec();
-      boolean alone = spec.jobKind() != JobKind.GANG && !spec.sameZone() && !spec.spreadZones();
-      if (!alone || least == null || !spec.priority().above(least)) {
-        continue;
-      }
-      String likeness = SortFirstFit.equivalenceKey(spec);
-      if (hopeless.contains(likeness)) {
-        continue;
-      }
-      for (int i = 0; i < item.tasks() && chosen.size() < MAX_STOPPED; i++) {
-        if (!find(item.job(), freeCapacities, chosen, nowMicros)) {
-          hopeless.add(likeness);
-          break;
-        }
-      }
+    Set<Task> victims = new Search(nowMicros).victimsFor(unplaced);
+    for (Task task : victims) {
+      clusterState.stop(task, "preempted", nowMicros);
     }
-    for (Task task : chosen) {
-      clusterState.stop(task, "room for more urgent work", nowMicros);
-    }
-    if (!chosen.isEmpty()) {
+    if (!victims.isEmpty()) {
       clusterState.requestPlacement();
     }
   }
 
-  /** The least urgency that has tasks on machines, or null. */
-  private Priority leastBound() {
-    Priority least = null;
+  /** The lowest priority that has tasks on machines, or null. */
+  private Priority lowestBoundPriority() {
+    Priority lowest = null;
     for (Job job : clusterState.jobs().values()) {
-      if (!job.bound().isEmpty() && (least == null || least.above(job.spec().priority()))) {
-        least = job.spec().priority();
+      if (!job.bound().isEmpty() && (lowest == null || lowest.above(job.spec().priority()))) {
+        lowest = job.spec().priority();
       }
     }
-    return least;
+    return lowest;
   }
 
-  /** Sets room for one task aside, choosing tasks to stop where it needs them. */
-  private boolean find(
-      Job job, Map<Machine, FreeCapacity> freeCapacities, Set<Task> chosen, long nowMicros) {
-    JobSpec spec = job.spec();
-    // Machines that placement would pass over must not lose tasks for nothing, pass after pass.
-    TaskName next = new TaskName(job.id(), Math.max(0, job.nextPending()));
-    // On ordinary machines such work also leaves room for services, which stopping does not make.
-    boolean spotOnly = TaskPlacer.yields(spec);
-    List<Machine> candidates = new ArrayList<>();
-    for (Machine machine : clusterState.list().machines()) {
-      if (machine.schedulable()
-          && SortFirstFit.permitted(spec, machine)
-          && (machine.spot() || !spotOnly)
-          && !TaskPlacer.refusedLately(machine, nowMicros)
-          && !job.avoidedMachines(nowMicros).contains(machine.name())
-          && !machine.directCommands().hasStartedTask(next)) {
-        FreeCapacity freeCapacity = freeCapacities.computeIfAbsent(machine, Preemption::withFreed);
-        if (freeCapacity.covers(spec)) {
-          freeCapacity.take(spec);
-          return true;
+  /** The search for victims, with the room that each machine has once those found are stopped. */
+  private final class Search {
+    private final long nowMicros;
+    private final Priority lowest = lowestBoundPriority();
+    private final Map<Machine, FreeCapacity> freeCapacities = new HashMap<>();
+    private final Set<Task> victims = new LinkedHashSet<>();
+
+    /** What found no room will find none for another task with the same requirements either. */
+    private final Set<String> unplaceable = new HashSet<>();
+
+    Search(long nowMicros) {
+      this.nowMicros = nowMicros;
+    }
+
+    Set<Task> victimsFor(List<UnplacedTasks> unplaced) {
+      for (UnplacedTasks item : unplaced) {
+        if (mayPreempt(item.job().spec())) {
+          makeRoom(item);
+        }
+      }
+      return victims;
+    }
+
+    private boolean mayPreempt(JobSpec spec) {
+      boolean independent =
+          spec.jobKind() != JobKind.GANG && !spec.sameZone() && !spec.spreadZones();
+      return independent && lowest != null && spec.priority().above(lowest);
+    }
+
+    private void makeRoom(UnplacedTasks item) {
+      String equivalenceKey = SortFirstFit.equivalenceKey(item.job().spec());
+      if (unplaceable.contains(equivalenceKey)) {
+        return;
+      }
+      for (int i = 0; i < item.tasks() && victims.size() < MAX_VICTIMS; i++) {
+        if (!makeRoomForTask(item.job())) {
+          unplaceable.add(equivalenceKey);
+          return;
         }
-        if (machine.hasTaskBelow(spec.priority())) {
-          candidates.add(machine);
+      }
+    }
+
+    /** Sets room for one task aside, choosing victims where it needs them. */
+    private boolean makeRoomForTask(Job job) {
+      JobSpec spec = job.spec();
+      Predicate<Machine> eligible = eligibleMachines(job);
+      List<Machine> candidates = new ArrayList<>();
+      for (Machine machine : clusterState.list().machines()) {
+        if (eligible.test(machine)) {
+          FreeCapacity free = freeCapacities.computeIfAbsent(machine, Preemption::beingFreed);
+          if (free.covers(spec)) {
+            free.take(spec);
+            return true;
+          }
+          if (machine.hasTaskBelow(spec.priority())) {
+            candidates.add(machine);
+          }
         }
       }
+      return candidates.stream().anyMatch(machine -> chooseVictims(machine, spec));
     }
-    for (Machine machine : candidates) {
-      List<Task> victims = victims(machine, spec, freeCapacities.get(machine), chosen);
-      if (!victims.isEmpty()) {
-        FreeCapacity freeCapacity = freeCapacities.get(machine);
-        victims.forEach(task -> freeCapacity.add(task.spec()));
-        freeCapacity.take(spec);
-        chosen.addAll(victims);
-        return true;
+
+    /** Machines that placement would pass over must not lose tasks for nothing, pass after pass. */
+    private Predicate<Machine> eligibleMachines(Job job) {
+      TaskName next = new TaskName(job.id(), Math.max(0, job.nextPending()));
+      // On ordinary machines such work also leaves room for services, which stopping does not make.
+      boolean spotOnly = ServiceHeadroom.appliesTo(job.spec());
+      Predicate<Machine> allowed = MachineFilter.forJob(job, nowMicros);
+      return machine ->
+          machine.schedulable()
+              && (machine.spot() || !spotOnly)
+              && allowed.test(machine)
+              && !machine.directCommands().hasStartedTask(next);
+    }
+
+    /** Chooses the fewest, latest started tasks of lower priority that make room, or none. */
+    private boolean chooseVictims(Machine machine, JobSpec spec) {
+      FreeCapacity freed = freeCapacities.get(machine).copy();
+      List<Task> chosen = new ArrayList<>();
+      for (Task task : preemptible(machine, spec.priority())) {
+        chosen.add(task);
+        freed.add(task.spec());
+        if (freed.covers(spec)) {
+          freed.take(spec);
+          freeCapacities.put(machine, freed);
+          victims.addAll(chosen);
+          return true;
+        }
       }
+      return false;
     }
-    return false;
-  }
 
-  private static FreeCapacity withFreed(Machine machine) {
-    FreeCapacity freeCapacity = FreeCapacity.free(machine);
-    for (Task task : machine.tasks()) {
-      if (task.phase() == TaskPhase.STOPPING) {
-        freeCapacity.add(task.spec());
+    /** The machine's tasks of lower priority that are not stopped yet, latest started first. */
+    private List<Task> preemptible(Machine machine, Priority priority) {
+      List<Task> tasks = new ArrayList<>();
+      for (Task task : machine.tasks()) {
+        if (priority.above(task.spec().priority())
+            && task.phase() != TaskPhase.STOPPING
+            && !victims.contains(task)) {
+          tasks.add(task);
+        }
       }
+      tasks.sort(Comparator.comparingLong(Task::boundAt).reversed());
+      return tasks;
     }
-    return freeCapacity;
   }
 
-  /** The fewest, latest started of the machine's less urgent tasks that make room, or none. */
-  private static List<Task> victims(
-      Machine machine, JobSpec spec, FreeCapacity freeCapacity, Set<Task> chosen) {
-    List<Task> less = new ArrayList<>();
+  /** What the machine has free once the tasks that are being stopped are gone. */
+  private static FreeCapacity beingFreed(Machine machine) {
+    FreeCapacity free = FreeCapacity.free(machine);
     for (Task task : machine.tasks()) {
-      if (spec.priority().above(task.spec().priority())
-          && task.phase() != TaskPhase.STOPPING
-          && !chosen.contains(task)) {
-        less.add(task);
-      }
-    }
-    less.sort(Comparator.comparingLong(Task::boundAt).reversed());
-    FreeCapacity freed = freeCapacity.copy();
-    List<Task> victims = new ArrayList<>();
-    for (Task task : less) {
-      victims.add(task);
-      freed.add(task.spec());
-      if (freed.covers(spec)) {
-        return victims;
+      if (task.phase() == TaskPhase.STOPPING) {
+        free.add(task.spec());
       }
     }
-    return List.of();
+    return free;
   }
 }
--- a/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
@@ -11,11 +11,13 @@
 import org.dewreach.wire.JobSpec;
 
 /**
- * Moves services off machines that would otherwise be kept for one or two of them. Each move costs
- * about a second of a replica's time, so only a small share of all replicas' time is spent.
+ * Moves services off cordoned machines that would otherwise be kept for one or two of them. Each
+ * move costs about a second of a replica's time, so only a small share of all replicas' time is
+ * spent.
  */
 public final class ServiceMigrator {
-  private static final double MAX_MOVES_SAVED = 2;
+  /** Moves that may be saved up. */
+  private static final double MAX_SAVED_MOVES = 2;
 
   /** A service that began lately is not moved. A default of this project. */
   private static final long SETTLED_AFTER_MICROS = 45_000_000;
@@ -27,6 +29,7 @@
   private final long roundIntervalMicros;
   private double moveBudget;
 
+  /** A migrator of one term, which is called at this interval. */
   public ServiceMigrator(ClusterState clusterState, Tuning tuning, long roundIntervalMicros) {
     this.clusterState = clusterState;
     this.tuning = tuning;
@@ -35,11 +38,8 @@
 
   /** Stops services to be placed elsewhere, as far as the budget goes. Called once a round. */
   public void migrate(long nowMicros) {
-    moveBudget =
-        Math.min(
-            MAX_MOVES_SAVED,
-            moveBudget
-                + replicas() * tuning.movedShare() * roundIntervalMicros / MICROS_PER_SECOND);
+    double earned = replicas() * tuning.movedShare() * roundIntervalMicros / MICROS_PER_SECOND;
+    moveBudget = Math.min(MAX_SAVED_MOVES, moveBudget + earned);
     clusterState.list().invalidateIndex();
     for (Machine machine : clusterState.machines().values()) {
       if (moveBudget < 1) {
@@ -48,7 +48,7 @@
       if (!machine.cordoned() || machine.phase() != MachinePhase.UP) {
         continue;
       }
-      Task movable = movable(machine, nowMicros);
+      Task movable = movableService(machine, nowMicros);
       if (movable != null) {
         moveBudget -= 1;
         clusterState.stop(movable, "moved, so that its machine can be returned", nowMicros);
@@ -68,25 +68,30 @@
   }
 
   /** A service of a machine that has nothing else, and that could start at once elsewhere. */
-  private Task movable(Machine machine, long nowMicros) {
+  private Task movableService(Machine machine, long nowMicros) {
     Task found = null;
     for (Task task : machine.tasks()) {
-      boolean settled =
-          task.phase() == TaskPhase.RUNNING && nowMicros - task.startedAt() > SETTLED_AFTER_MICROS;
-      if (task.spec().jobKind() != JobKind.SERVICE || task.spec().tasks() > 1 || !settled) {
+      if (!isSettledService(task, nowMicros)) {
         return null;
       }
       found = task;
     }
-    if (found == null) {
-      return null;
-    }
-    JobSpec spec = found.spec();
-    Machine target =
-        clusterState
+    return found != null && canStartAtOnce(found.spec()) ? found : null;
+  }
+
+  private static boolean isSettledService(Task task, long nowMicros) {
+    return task.spec().jobKind() == JobKind.SERVICE
+        && task.spec().tasks() <= 1
+        && task.phase() == TaskPhase.RUNNING
+        && nowMicros - task.startedAt() > SETTLED_AFTER_MICROS;
+  }
+
+  private boolean canStartAtOnce(JobSpec spec) {
+    return clusterState
             .list()
             .firstFit(
-                spec, other -> SortFirstFit.permitted(spec, other) && other.fetchMicros(spec) == 0);
-    return target == null ? null : found;
+                spec,
+                machine -> SortFirstFit.permitted(spec, machine) && machine.fetchMicros(spec) == 0)
+        != null;
   }
 }
--- a/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -18,8 +18,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Moves tasks that save their progress off machines that run empty and would otherwise be kept for
- * a few long ones. A move costs the saving and a start, so it is made only for tasks with far more
+ * Moves tasks with checkpoints off cordoned machines that would otherwise be kept for a few long
+ * ones. A move costs saving a checkpoint and a start, so it is made only for tasks with far more
  * than that left to run.
  */
 public final class TaskConsolidator {
@@ -36,20 +36,21 @@
 
   private final ClusterState clusterState;
 
+  /** A consolidator of one term. */
   public TaskConsolidator(ClusterState clusterState) {
     this.clusterState = clusterState;
   }
 
-  /** Stops at most one task of each machine that runs empty; the next passes place it again. */
+  /** Stops at most one task of each cordoned machine; the next passes place it again. */
   public void consolidate(long nowMicros) {
     clusterState.list().invalidateIndex();
     Set<Machine> targets = new HashSet<>();
-    for (Machine machine : emptiestFirst()) {
-      Task movable = movable(machine, nowMicros);
+    for (Machine machine : cordonedEmptiestFirst()) {
+      Task movable = movableTask(machine, nowMicros);
       if (movable == null || targets.contains(machine)) {
         continue;
       }
-      Machine target = target(movable, targets);
+      Machine target = findTarget(movable, targets);
       if (target != null) {
         targets.add(target);
         clusterState.stop(
@@ -59,8 +60,8 @@
     }
   }
 
-  /** Machines that run empty, fewest tasks first: so each move frees the most machines. */
-  private List<Machine> emptiestFirst() {
+  /** Cordoned machines, fewest tasks first: so the moves free the most machines. */
+  private List<Machine> cordonedEmptiestFirst() {
     List<Machine> cordoned = new ArrayList<>();
     for (Machine machine : clusterState.machines().values()) {
       if (machine.cordoned() && machine.phase() == MachinePhase.UP) {
@@ -72,7 +73,7 @@
   }
 
   /** A task worth moving, of a machine that has only such tasks and services; or null. */
-  private static Task movable(Machine machine, long nowMicros) {
+  private static Task movableTask(Machine machine, long nowMicros) {
     Task found = null;
     for (Task task : machine.tasks()) {
       if (worthMoving(task, nowMicros)) {
@@ -94,13 +95,13 @@
   }
 
   /** Where the task could start at once, or null. */
-  private Machine target(Task task, Set<Machine> taken) {
+  private Machine findTarget(Task task, Set<Machine> taken) {
     JobSpec spec = task.spec();
     Machine machine =
         clusterState
             .list()
             .firstFit(spec, other -> !taken.contains(other) && startsAtOnce(spec, other));
-    return machine != null ? machine : keepOneFor(task);
+    return machine != null ? machine : uncordonOneFor(task);
   }
 
   /**
@@ -109,18 +110,18 @@
   private static boolean startsAtOnce(JobSpec spec, Machine machine) {
     return SortFirstFit.permitted(spec, machine)
         && machine.fetchMicros(spec) == 0
-        && (machine.spot() || !TaskPlacer.yields(spec));
+        && (machine.spot() || !ServiceHeadroom.appliesTo(spec));
   }
 
   /**
-   * Keeps the fullest of the machines that run empty on which the task could start at once.
+   * Uncordons the fullest of the cordoned machines on which the task could start at once.
    *
-   * <p>Guards against all machines running empty side by side while demand falls, each kept for a
+   * <p>Guards against all machines being cordoned side by side while demand falls, each kept for a
    * few tasks that have no room anywhere else.
    */
-  private Machine keepOneFor(Task task) {
+  private Machine uncordonOneFor(Task task) {
     JobSpec spec = task.spec();
-    List<Machine> cordoned = emptiestFirst();
+    List<Machine> cordoned = cordonedEmptiestFirst();
     Collections.reverse(cordoned);
     for (Machine machine : cordoned) {
       if (machine.tasks().size() < task.machine().tasks().size()) {
@@ -130,7 +131,7 @@
           && machine.schedulableOnceUncordoned()
           && SortFirstFit.covers(machine, spec)
           && startsAtOnce(spec, machine)) {
-        LOG.info("machine {} is kept for tasks of others", machine.name());
+        LOG.info("machine uncordoned: machine={} forTask={}", machine.name(), task.name());
         machine.cordoned(false);
         clusterState.list().changed(machine);
         return machine;
--- a/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
@@ -1,43 +1,32 @@
 package org.dewreach.scheduling;
 
+import static org.dewreach.testing.ClusterFixture.S;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
-import java.util.Map;
-import org.dewreach.config.Settings;
-import org.dewreach.config.Tuning;
 import org.dewreach.model.Job;
-import org.dewreach.model.JobPhase;
 import org.dewreach.model.Machine;
-import org.dewreach.model.MachinePhase;
 import org.dewreach.model.Task;
 import org.dewreach.model.TaskPhase;
-import org.dewreach.state.ClusterState;
-import org.dewreach.wire.JobKind;
-import org.dewreach.wire.JobSpec;
+import org.dewreach.testing.ClusterFixture;
+import org.dewreach.testing.JobSpecBuilder;
 import org.dewreach.wire.MachineType;
 import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
+/** Which tasks leave cordoned machines: {@link TaskConsolidator}. */
 class TaskConsolidatorTest {
-  private static final long S = 1_000_000;
   private static final long CHECKPOINTS = 30 * S;
   private static final long LONG_RUN = 300 * S;
-  private static final MachineType BOX =
-      new MachineType("box", 4, 0, 64, 50, 1, 1, 0.3, 5 * S, List.of("a"));
+  private static final MachineType BOX = ClusterFixture.type("box", 4, 64, 0);
 
-  private final ClusterState clusterState =
-      new ClusterState(90, Map.of("red", new Settings.Team("red", 99, 99, 0, 0)), Tuning.DEFAULT);
-  private final TaskConsolidator consolidation = new TaskConsolidator(clusterState);
+  private final ClusterFixture cluster = new ClusterFixture(99, 99);
+  private final TaskConsolidator consolidator = new TaskConsolidator(cluster.state());
 
   private Machine machine(String name, boolean spot, boolean cordoned) {
-    Machine machine = new Machine(name, "", BOX, "a", spot, MachinePhase.BOOTING, 0);
-    machine.recorded(true);
-    machine.become(MachinePhase.UP, 0);
+    Machine machine = ClusterFixture.newUpMachine(name, BOX, spot);
     machine.cordoned(cordoned);
-    clusterState.add(machine);
-    return machine;
+    return cluster.add(machine);
   }
 
   private Task saving(String id, Machine machine) {
@@ -45,76 +34,60 @@
   }
 
   private Task task(String id, Machine machine, long checkpoints, long expected) {
-    JobSpec spec =
-        new JobSpec(
-            id,
-            "backfill",
-            "red",
-            JobKind.ARRAY,
-            Priority.LOW,
-            1,
-            1,
-            0,
-            1,
-            "img",
-            0,
-            null,
-            null,
-            false,
-            false,
-            true,
-            expected,
-            checkpoints,
-            3 * S,
-            -1);
-    Job job = new Job(spec, 0, true, JobPhase.ACTIVE);
-    clusterState.jobs().put(id, job);
-    Task task =
-        clusterState.bind(job, 0, clusterState.nextAttempt(), machine, TaskPhase.ASSIGNED, 0);
+    Job job =
+        cluster.submitted(
+            JobSpecBuilder.array(id)
+                .jobClass("backfill")
+                .priority(Priority.LOW)
+                .image("img", 0)
+                .expectedMicros(expected)
+                .checkpoints(checkpoints, 3 * S)
+                .build());
+    Task task = cluster.bind(job, 0, machine, TaskPhase.ASSIGNED, 0);
     task.become(TaskPhase.RUNNING, 0);
     return task;
   }
 
   /** Guards against machines kept for one long task each: without the move none is returned. */
   @Test
-  void aTaskThatSavesMovesOffAMachineThatRunsEmpty() {
+  void aTaskWithCheckpointsMovesOffACordonedMachine() {
     machine("m0", true, false);
     Task task = saving("req-1", machine("m1", true, true));
-    consolidation.consolidate(S);
+    consolidator.consolidate(S);
     assertEquals(TaskPhase.STOPPING, task.phase());
   }
 
   /** Guards against work that is lost by a move, or costs more to move than it has left. */
   @Test
-  void whatDoesNotSaveOrEndsSoonStays() {
+  void aTaskWithoutCheckpointsOrSoonDoneStays() {
     machine("m0", true, false);
     Task loses = task("req-1", machine("m1", true, true), 0, LONG_RUN);
     Task endsSoon = task("req-2", machine("m2", true, true), CHECKPOINTS, 60 * S);
-    consolidation.consolidate(S);
+    consolidator.consolidate(S);
     assertEquals(TaskPhase.RUNNING, loses.phase());
     assertEquals(TaskPhase.RUNNING, endsSoon.phase());
   }
 
   /** Guards against a task that is stopped and then kept out by the room for services. */
   @Test
-  void roomOnOrdinaryMachinesIsNotCountedOn() {
+  void roomOnOrdinaryMachinesIsNoTarget() {
     machine("m0", false, false);
     Task task = saving("req-1", machine("m1", true, true));
-    consolidation.consolidate(S);
+    consolidator.consolidate(S);
     assertEquals(TaskPhase.RUNNING, task.phase());
   }
 
   /**
-   * Guards against machines that all run empty side by side: without {@code keepOneFor} nothing
-   * moves here.
+   * Guards against machines that are all cordoned side by side: without {@code uncordonOneFor}
+   * nothing moves here.
    */
   @Test
-  void theFullestMachineThatRunsEmptyTakesInTheOthersTasks() {
+  void theFullestCordonedMachineIsUncordonedForTheOthersTasks() {
     Machine fuller = machine("m2", true, true);
     saving("req-1", fuller);
     saving("req-2", fuller);
     Task alone = saving("req-3", machine("m1", true, true));
-    consolidation.consolidate(S);
+    consolidator.consolidate(S);
     assertEquals(TaskPhase.STOPPING, alone.phase());
     assertTrue(fuller.schedulable(), "it is where the task goes");
     assertTrue(fuller.tasks().stream().allMatch(task -> task.phase() == TaskPhase.RUNNING));
@@ -122,26 +95,26 @@
 
   /** Guards against two machines that are kept for each other's task, or neither is. */
   @Test
-  void ofTwoEquallyFullMachinesOneIsKept() {
+  void ofTwoEquallyFullCordonedMachinesOneIsUncordoned() {
     Machine one = machine("m1", true, true);
     Machine other = machine("m2", true, true);
     Task first = saving("req-1", one);
     Task second = saving("req-2", other);
-    consolidation.consolidate(S);
+    consolidator.consolidate(S);
     assertTrue(one.cordoned() != other.cordoned());
     assertTrue(first.phase() != second.phase(), "only the task of the other one is moved");
   }
 
   /** Guards against moves that free no machine: without the order the fuller one loses a task. */
   @Test
-  void theEmptiestMachineIsClearedFirst() {
+  void theEmptiestMachineIsEmptiedFirst() {
     Machine target = machine("m0", true, false);
     saving("req-0", target);
     Machine fuller = machine("m1", true, true);
     Task one = saving("req-1", fuller);
     Task two = saving("req-2", fuller);
     Task alone = saving("req-3", machine("m2", true, true));
-    consolidation.consolidate(S);
+    consolidator.consolidate(S);
     assertEquals(TaskPhase.STOPPING, alone.phase());
     assertEquals(TaskPhase.RUNNING, one.phase());
     assertEquals(TaskPhase.RUNNING, two.phase());
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -1,5 +1,6 @@
 package org.dewreach.scheduling;
 
+import static org.dewreach.testing.ClusterFixture.S;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,73 +10,44 @@
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
 import org.dewreach.model.Job;
-import org.dewreach.model.JobPhase;
 import org.dewreach.model.Machine;
-import org.dewreach.model.MachinePhase;
 import org.dewreach.placement.QueueOrder;
 import org.dewreach.state.ClusterState;
-import org.dewreach.wire.JobKind;
+import org.dewreach.testing.ClusterFixture;
+import org.dewreach.testing.JobSpecBuilder;
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MachineType;
-import org.dewreach.wire.Priority;
 import org.dewreach.wire.TaskName;
 import org.junit.jupiter.api.Test;
 
+/** What one pass places: {@link TaskPlacer}. */
 class TaskPlacerTest {
-  private static final long S = 1_000_000;
-  private static final Map<String, Settings.Team> TEAMS =
-      Map.of("red", new Settings.Team("red", 4, 10, 0, 0));
+  private static final MachineType BOX = ClusterFixture.type("box", 16, 64, 0);
+  private static final Map<String, Settings.Team> TEAMS = ClusterFixture.teams(4, 10);
 
-  private final ClusterState clusterState = new ClusterState(90, TEAMS, Tuning.DEFAULT);
+  private final ClusterFixture cluster = new ClusterFixture(TEAMS);
+  private final ClusterState clusterState = cluster.state();
   private final TaskPlacer placer =
       new TaskPlacer(clusterState, new QueueOrder(TEAMS, List.of()), List.of(), Tuning.DEFAULT, 0);
 
-  private Job job(String id, int tasks, boolean submittedThisTerm) {
-    Job job =
-        new Job(
-            new JobSpec(
-                id,
-                "scan",
-                "red",
-                JobKind.ARRAY,
-                Priority.NORMAL,
-                tasks,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                10 * S,
-                0,
-                0,
-                -1),
-            0,
-            submittedThisTerm,
-            JobPhase.ACTIVE);
-    clusterState.jobs().put(id, job);
-    return job;
+  private Job submitted(String id, int tasks) {
+    return cluster.submitted(JobSpecBuilder.array(id).tasks(tasks).build());
+  }
+
+  private Job loaded(String id, int tasks) {
+    return cluster.loaded(JobSpecBuilder.array(id).tasks(tasks).build());
   }
 
   private Machine box(String name, boolean spot) {
-    MachineType type = new MachineType("box", 16, 0, 64, 50, 1, 1, 0.3, 5 * S, List.of("a"));
-    Machine machine = new Machine(name, "", type, "a", spot, MachinePhase.BOOTING, 0);
-    machine.recorded(true);
-    machine.become(MachinePhase.UP, 0);
-    clusterState.add(machine);
-    return machine;
+    return cluster.add(ClusterFixture.newUpMachine(name, BOX, spot));
   }
 
   /** Guards against starting what may run on a machine that is not heard, and against its quota. */
   @Test
-  void whatMayRunUnseenIsNotStartedAndCounts() {
+  void tasksThatMayRunUnseenAreNotStartedAndCountAgainstTheQuota() {
     box("m1", true);
-    Job unseen = job("req-1", 7, false);
-    Job seen = job("req-2", 6, false);
+    Job unseen = loaded("req-1", 7);
+    Job seen = loaded("req-2", 6);
     placer.placeTasks(S, job -> job != unseen, 5 * S);
     assertEquals(0, unseen.bound().size());
     assertEquals(3, seen.bound().size(), "10 CPUs at most, of which 7 may be in use unseen");
@@ -85,11 +57,11 @@
 
   /** Guards against a job that others always go before: it gets a first task after a while. */
   @Test
-  void aJobThatWaitedTooLongBegins() {
+  void aStarvedJobGetsItsFirstTask() {
     box("m1", true);
-    Job large = job("req-1", 500, true);
+    Job large = submitted("req-1", 500);
     for (int i = 0; i < 8; i++) {
-      job("req-1" + i, 1, true);
+      submitted("req-1" + i, 1);
     }
     placer.placeTasks(200 * S, job -> true, 5 * S);
     assertTrue(large.hasBound());
@@ -100,10 +72,10 @@
    * Guards against a task that may not return to a machine and keeps all like it away from there.
    */
   @Test
-  void oneTaskThatIsBarredKeepsNoOtherAway() {
+  void aTaskThatMayNotReturnToAMachineKeepsNoOtherAway() {
     Machine machine = box("m1", true);
-    Job first = job("req-1", 3, true);
-    job("req-2", 1, true);
+    Job first = submitted("req-1", 3);
+    submitted("req-2", 1);
     machine.directCommands().recordStart(new TaskName("req-1", 0), 7);
     placer.placeTasks(S, job -> true, 5 * S);
     assertEquals(Set.of(1, 2), Set.copyOf(first.bound().keySet()));
@@ -112,34 +84,13 @@
 
   /** Guards against a job that waits for ever beside room that is kept for services. */
   @Test
-  void aJobThatWaitedGetsCapacityKeptForServices() {
+  void aJobThatWaitedLongGetsRoomKeptForServices() {
     box("m1", false);
-    JobSpec service =
-        new JobSpec(
-            "req-9",
-            "live",
-            "red",
-            JobKind.SERVICE,
-            Priority.HIGH,
-            1,
-            8,
-            0,
-            1,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            false,
-            0,
-            0,
-            0,
-            -1);
+    JobSpec service = JobSpecBuilder.service("req-9").cpus(8).build();
     for (int i = 0; i < 100; i++) {
       clusterState.services().arrived(service, S);
     }
-    Job job = job("req-1", 4, true);
+    Job job = submitted("req-1", 4);
     placer.placeTasks(30 * S, each -> true, 60 * S);
     assertEquals(0, job.bound().size());
     placer.placeTasks(61 * S, each -> true, 60 * S);
@@ -148,44 +99,19 @@
 
   /** Guards against replicas that need each other's zone, lost when they are old, for ever. */
   @Test
-  void replicasThatGoTogetherAreReplacedTogether() {
+  void replicasOfOneZoneAreReplacedTogether() {
     box("m1", false);
     Job service =
-        new Job(
-            new JobSpec(
-                "req-9",
-                "live",
-                "red",
-                JobKind.SERVICE,
-                Priority.HIGH,
-                3,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                true,
-                false,
-                false,
-                0,
-                0,
-                0,
-                -1),
-            0,
-            true,
-            JobPhase.ACTIVE);
-    clusterState.jobs().put("req-9", service);
+        cluster.submitted(JobSpecBuilder.service("req-9").tasks(3).sameZone(true).build());
     placer.placeTasks(700 * S, each -> true, 5 * S);
     assertEquals(3, service.bound().size());
   }
 
   /** Guards against a job that waits beside the only machine, where a task of it failed once. */
   @Test
-  void aSuspectIsForgivenAfterAWhile() {
+  void aJobReturnsToAMachineWhereItFailedAfterAWhile() {
     box("m1", true);
-    Job job = job("req-1", 1, true);
+    Job job = submitted("req-1", 1);
     job.recordFailure("m1", S);
     placer.placeTasks(30 * S, each -> true, 5 * S);
     assertEquals(0, job.bound().size());
@@ -197,7 +123,7 @@
   @Test
   void aJobThatFailsEverywhereIsTriedWithOneTask() {
     box("m1", true);
-    Job job = job("req-1", 50, true);
+    Job job = submitted("req-1", 50);
     job.recordFailure("m8", S);
     placer.placeTasks(2 * S, each -> true, 5 * S);
     assertEquals(10, job.bound().size(), "one machine says little");
@@ -217,9 +143,9 @@
 
   /** Guards against long tasks that wait for each other, since two faulty machines were met. */
   @Test
-  void aTaskThatRunsOnDoesNotKeepADoubtfulJobFromTheNext() {
+  void aTaskThatRunsOnLetsAFailingJobStartTheNext() {
     box("m1", true);
-    Job job = job("req-1", 50, true);
+    Job job = submitted("req-1", 50);
     job.recordFailure("m8", S);
     job.recordFailure("m9", S);
     placer.placeTasks(5 * S, each -> true, 5 * S);
