--- a/src/main/java/org/dewreach/scheduling/MachineFilter.java
+++ b/src/main/java/org/dewreach/scheduling/MachineFilter.java
@@ -17,7 +17,7 @@
    * Machines that the owner allows, that refused no task lately, and where the job did not fail.
    */
   static Predicate<Machine> forJob(Job job, long nowMicros) {
-    Set<String> avoided = job.avoidedMachines(nowMicros);
+    Set<String> avoided = job.backoff().avoidedMachines(nowMicros);
     return machine ->
         SortFirstFit.permitted(job.spec(), machine)
             && nowMicros - machine.refusedAt() > REFUSAL_PAUSE_MICROS
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -101,7 +101,7 @@
    * that met two faulty machines: its other tasks do not wait until one of them has completed.
    */
   private static boolean isOnTrial(Job job, long nowMicros) {
-    return job.failsRepeatedly()
+    return job.backoff().failsRepeatedly()
         && job.bound().values().stream()
             .anyMatch(task -> nowMicros - task.boundAt() < TRIAL_MICROS);
   }
@@ -129,7 +129,7 @@
 
     void place(Job job) {
       headroom.beforePlacing(job.spec());
-      if (job.notBefore() > nowMicros || isOnTrial(job, nowMicros)) {
+      if (job.backoff().notBefore() > nowMicros || isOnTrial(job, nowMicros)) {
         return;
       }
       int withinQuota = clusterState.quotas().freeCapacity(job.spec(), job.pending());
@@ -139,7 +139,7 @@
       int started = isFull() ? 0 : tryToPlace(job, withinQuota);
       placed += started;
       // Nothing is rented, and nobody stopped, for a job that fails everywhere.
-      if (started < withinQuota && !job.failsRepeatedly()) {
+      if (started < withinQuota && !job.backoff().failsRepeatedly()) {
         unplaced.add(new UnplacedTasks(job, withinQuota - started));
       }
     }
@@ -154,7 +154,7 @@
       JobPlacement placement =
           new JobPlacement(clusterState, headroom, job, exempt, startWithinMicros, nowMicros);
       int started = placement.place(limit(job, withinQuota));
-      if (started == 0 && !placement.blockedByDirectStart() && !job.failsRepeatedly()) {
+      if (started == 0 && !placement.blockedByDirectStart() && !job.backoff().failsRepeatedly()) {
         unplaceable.add(equivalenceKey);
       }
       return started;
@@ -165,7 +165,7 @@
       JobSpec spec = job.spec();
       boolean gang = spec.jobKind() == JobKind.GANG;
       boolean placedTogether = spec.sameZone() || spec.spreadZones() || gang;
-      if (placedTogether || exempt || !job.avoidedMachines(nowMicros).isEmpty()) {
+      if (placedTogether || exempt || !job.backoff().avoidedMachines(nowMicros).isEmpty()) {
         return job.id();
       }
       return SortFirstFit.equivalenceKey(spec) + ServiceHeadroom.appliesTo(spec);
@@ -173,7 +173,7 @@
 
     /** How many tasks of the job to place in this pass. */
     private int limit(Job job, int withinQuota) {
-      boolean single = job.failsRepeatedly() || QueueOrder.isStarved(job, wallMicros);
+      boolean single = job.backoff().failsRepeatedly() || QueueOrder.isStarved(job, wallMicros);
       // Guards against replicas that need each other's zone and lost it late: never one alone.
       if (single && !JobPlacement.isAllOrNothing(job)) {
         return 1;
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -112,7 +112,7 @@
   void aJobReturnsToAMachineWhereItFailedAfterAWhile() {
     box("m1", true);
     Job job = submitted("req-1", 1);
-    job.recordFailure("m1", S);
+    job.backoff().recordFailure("m1", S);
     placer.placeTasks(30 * S, each -> true, 5 * S);
     assertEquals(0, job.bound().size());
     placer.placeTasks(62 * S, each -> true, 5 * S);
@@ -124,11 +124,11 @@
   void aJobThatFailsEverywhereIsTriedWithOneTask() {
     box("m1", true);
     Job job = submitted("req-1", 50);
-    job.recordFailure("m8", S);
+    job.backoff().recordFailure("m8", S);
     placer.placeTasks(2 * S, each -> true, 5 * S);
     assertEquals(10, job.bound().size(), "one machine says little");
     List.copyOf(job.bound().values()).forEach(task -> clusterState.unbind(task, "test", 3 * S));
-    job.recordFailure("m9", 3 * S);
+    job.backoff().recordFailure("m9", 3 * S);
     assertEquals(List.of(), placer.placeTasks(4 * S, each -> true, 5 * S));
     assertEquals(0, job.bound().size(), "it rests");
     assertEquals(List.of(), placer.placeTasks(6 * S, each -> true, 5 * S));
@@ -146,8 +146,8 @@
   void aTaskThatRunsOnLetsAFailingJobStartTheNext() {
     box("m1", true);
     Job job = submitted("req-1", 50);
-    job.recordFailure("m8", S);
-    job.recordFailure("m9", S);
+    job.backoff().recordFailure("m8", S);
+    job.backoff().recordFailure("m9", S);
     placer.placeTasks(5 * S, each -> true, 5 * S);
     assertEquals(1, job.bound().size());
     placer.placeTasks(34 * S, each -> true, 5 * S);
