--- a/src/main/java/org/dewreach/placement/FreeCapacity.java
+++ b/src/main/java/org/dewreach/placement/FreeCapacity.java
@@ -5,11 +5,10 @@
 import org.dewreach.wire.MachineType;
 
 /**
- * Room for tasks, reckoned with apart from the cluster state: of machines to come, or to be freed.
+ * Room for tasks that is counted apart from the cluster state: of machines to come, or of machines
+ * some of whose tasks are being stopped.
  */
 public final class FreeCapacity {
-  private static final double EPS = 1e-9;
-
   private double cpus;
   private double gpus;
   private double memoryGb;
@@ -37,9 +36,9 @@
 
   /** True if there is room for one task of the job. */
   public boolean covers(JobSpec spec) {
-    return spec.cpus() <= cpus + EPS
-        && spec.gpus() <= gpus + EPS
-        && spec.memoryGb() <= memoryGb + EPS;
+    return Rounding.covers(cpus, spec.cpus())
+        && Rounding.covers(gpus, spec.gpus())
+        && Rounding.covers(memoryGb, spec.memoryGb());
   }
 
   /** Gives back the room of one task. */
--- a/src/main/java/org/dewreach/placement/FreeCapacityIndex.java
+++ b/src/main/java/org/dewreach/placement/FreeCapacityIndex.java
@@ -3,19 +3,18 @@
 import java.util.Arrays;
 
 /**
- * The largest free amounts in ranges of the list, so that a walk skips ranges without room.
+ * A segment tree of the largest free amounts in ranges of the list, so that a walk skips ranges
+ * without room.
  *
- * <p>A tree over the list's positions: each node has the largest free CPUs, memory and GPUs below
- * it, taken apart. A range whose largest amounts do not cover a task has no machine that does; one
- * whose amounts do may still have none, so a leaf is what decides. The walk over the index
- * therefore meets the very machines that the plain walk would, in the same order.
+ * <p>Each node has the largest free CPUs, memory and GPUs below it, each by itself. A range whose
+ * largest amounts do not cover a task has no machine that does; one whose amounts do may still have
+ * none, so a leaf is what decides. The walk over the index therefore meets the very machines that
+ * the plain walk would, in the same order.
  */
 final class FreeCapacityIndex {
   /** Amounts of a position that offers nothing. */
   private static final double NONE = -1;
 
-  private static final double EPS = 1e-9;
-
   private int leaves = 1;
   private double[] cpus = new double[2];
   private double[] memory = new double[2];
@@ -43,12 +42,14 @@
     gpus[node] = freeGpus;
   }
 
+  /** Computes all ranges from their positions. */
   void build() {
     for (int node = leaves - 1; node > 0; node--) {
-      pull(node);
+      updateFromChildren(node);
     }
   }
 
+  /** Takes everything from a position. */
   void remove(int position) {
     set(position, NONE, NONE, NONE);
   }
@@ -57,11 +58,11 @@
   void set(int position, double freeCpus, double freeMemory, double freeGpus) {
     put(position, freeCpus, freeMemory, freeGpus);
     for (int node = (leaves + position) / 2; node > 0; node /= 2) {
-      pull(node);
+      updateFromChildren(node);
     }
   }
 
-  private void pull(int node) {
+  private void updateFromChildren(int node) {
     cpus[node] = Math.max(cpus[2 * node], cpus[2 * node + 1]);
     memory[node] = Math.max(memory[2 * node], memory[2 * node + 1]);
     gpus[node] = Math.max(gpus[2 * node], gpus[2 * node + 1]);
@@ -96,8 +97,8 @@
   }
 
   private boolean covers(int node, double needCpus, double needMemory, double needGpus) {
-    return needCpus <= cpus[node] + EPS
-        && needMemory <= memory[node] + EPS
-        && needGpus <= gpus[node] + EPS;
+    return Rounding.covers(cpus[node], needCpus)
+        && Rounding.covers(memory[node], needMemory)
+        && Rounding.covers(gpus[node], needGpus);
   }
 }
--- a/src/main/java/org/dewreach/placement/ServiceRate.java
+++ b/src/main/java/org/dewreach/placement/ServiceRate.java
@@ -3,11 +3,11 @@
 import org.dewreach.wire.JobSpec;
 
 /**
- * How much room to keep for services that are still to come.
+ * The rate at which services arrive, and how much room to keep for those to come.
  *
- * <p>Departures make room for arrivals on average; what has to be kept is for their unevenness over
- * the time that a new machine takes. With n arrivals expected in that time, that is a little more
- * than the root of n.
+ * <p>On average, departures make room for arrivals; what has to be kept is for their unevenness
+ * over the time that a new machine takes. With n arrivals expected in that time, that is a little
+ * more than the root of n.
  */
 public final class ServiceRate {
   /** Arrivals are forgotten over about this long. A default of this project. */
@@ -16,14 +16,14 @@
   /** With fewer arrivals expected no room is kept. */
   private static final double MIN_EXPECTED_ARRIVALS = 0.2;
 
-  private final double spreads;
+  private final double standardDeviations;
   private double perMicro;
   private double largestCpus;
   private long lastMicros;
 
   /** Keeps room for so many standard deviations of the arrivals. */
-  public ServiceRate(double spreads) {
-    this.spreads = spreads;
+  public ServiceRate(double standardDeviations) {
+    this.standardDeviations = standardDeviations;
   }
 
   /** A service was accepted. */
@@ -46,6 +46,6 @@
     double expected = perMicro * bootMicros;
     return expected < MIN_EXPECTED_ARRIVALS
         ? 0
-        : Math.ceil(spreads * Math.sqrt(expected)) * largestCpus;
+        : Math.ceil(standardDeviations * Math.sqrt(expected)) * largestCpus;
   }
 }
--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -15,8 +15,6 @@
  * memory stands in for the paper's bandwidth.
  */
 public final class SortFirstFit {
-  private static final double EPS = 1e-9;
-
   /** A start is looked for within at most this many times the time given. */
   private static final int MAX_WITHIN_FACTOR = 4;
 
@@ -28,8 +26,8 @@
           .thenComparing(Machine::name);
 
   private final List<Machine> machines = new ArrayList<>();
-  private final FreeCapacityIndex spotCapacity = new FreeCapacityIndex();
-  private final FreeCapacityIndex onDemandCapacity = new FreeCapacityIndex();
+  private final FreeCapacityIndex spotIndex = new FreeCapacityIndex();
+  private final FreeCapacityIndex onDemandIndex = new FreeCapacityIndex();
   private boolean stale = true;
 
   /** Adds a machine, unless it is in the list already. */
@@ -51,46 +49,45 @@
   }
 
   /**
-   * Machines may have become usable in ways that the list is not told of, so whoever is about to
-   * place tasks calls this first. Until then only what {@link #changed} tells is known.
+   * Has the free capacity of all machines read again before the next walk.
+   *
+   * <p>Machines may have become schedulable in ways that the list is not told of, so whoever is
+   * about to place tasks calls this first. Until then only what {@link #updateCapacity} tells is
+   * known.
    */
   public void invalidateIndex() {
     stale = true;
   }
 
-  /** A task was bound to the machine or unbound from it. */
-  public void changed(Machine machine) {
-    if (!stale) {
-      int at = Collections.binarySearch(machines, machine, ORDER);
-      if (at < 0) {
-        return;
-      }
-      if (machine.schedulable()) {
-        freeCapacity(machine)
-            .set(at, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
-      } else {
-        freeCapacity(machine).remove(at);
-      }
+  /** A task was bound to the machine or unbound from it, or the machine was uncordoned. */
+  public void updateCapacity(Machine machine) {
+    int at = stale ? -1 : Collections.binarySearch(machines, machine, ORDER);
+    if (at < 0) {
+      return;
+    }
+    if (machine.schedulable()) {
+      index(machine).set(at, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
+    } else {
+      index(machine).remove(at);
     }
   }
 
-  private FreeCapacityIndex freeCapacity(Machine machine) {
-    return machine.spot() ? spotCapacity : onDemandCapacity;
+  private FreeCapacityIndex index(Machine machine) {
+    return machine.spot() ? spotIndex : onDemandIndex;
   }
 
-  private void refresh() {
+  private void rebuildIndexes() {
     stale = false;
-    spotCapacity.clear(machines.size());
-    onDemandCapacity.clear(machines.size());
+    spotIndex.clear(machines.size());
+    onDemandIndex.clear(machines.size());
     for (int i = 0; i < machines.size(); i++) {
       Machine machine = machines.get(i);
       if (machine.schedulable()) {
-        freeCapacity(machine)
-            .put(i, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
+        index(machine).put(i, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
       }
     }
-    spotCapacity.build();
-    onDemandCapacity.build();
+    spotIndex.build();
+    onDemandIndex.build();
   }
 
   /** The list, in its order; not to be changed. */
@@ -102,17 +99,17 @@
    * The first machine of the list that is allowed and covers one task of the job, or null.
    *
    * <p>Work that may run on spot machines walks the list over those first, and then over the
-   * ordinary ones: only these can take the work that may not. Among machines that the rule ranks
-   * equal (same CPU and memory) an image that is there already goes before the name.
+   * ordinary ones: only these can take the work that may not. Among machines of equal rank (same
+   * CPU and memory) one that has the image already goes before the others.
    */
   public Machine firstFit(JobSpec spec, Predicate<Machine> allowed) {
     if (spec.spot()) {
-      Machine machine = walk(spec, spotCapacity, allowed);
+      Machine machine = walk(spec, spotIndex, allowed);
       if (machine != null) {
         return machine;
       }
     }
-    return walk(spec, onDemandCapacity, allowed);
+    return walk(spec, onDemandIndex, allowed);
   }
 
   /**
@@ -136,12 +133,12 @@
   }
 
   /** The walk along the list; the index only leaves out machines that cannot cover the task. */
-  private Machine walk(JobSpec spec, FreeCapacityIndex freeCapacity, Predicate<Machine> allowed) {
+  private Machine walk(JobSpec spec, FreeCapacityIndex index, Predicate<Machine> allowed) {
     if (stale) {
-      refresh();
+      rebuildIndexes();
     }
     Machine best = null;
-    for (int at = next(freeCapacity, 0, spec); at >= 0; at = next(freeCapacity, at + 1, spec)) {
+    for (int at = next(index, 0, spec); at >= 0; at = next(index, at + 1, spec)) {
       Machine machine = machines.get(at);
       if (best != null && !ranksEqual(best, machine)) {
         break;
@@ -158,8 +155,8 @@
     return best;
   }
 
-  private static int next(FreeCapacityIndex freeCapacity, int from, JobSpec spec) {
-    return freeCapacity.next(from, spec.cpus(), spec.memoryGb(), spec.gpus());
+  private static int next(FreeCapacityIndex index, int from, JobSpec spec) {
+    return index.next(from, spec.cpus(), spec.memoryGb(), spec.gpus());
   }
 
   private static boolean ranksEqual(Machine one, Machine other) {
@@ -169,9 +166,9 @@
 
   /** True if the machine has room for one task of the job. */
   public static boolean covers(Machine machine, JobSpec spec) {
-    return spec.cpus() <= machine.freeCpus() + EPS
-        && spec.memoryGb() <= machine.freeMemoryGb() + EPS
-        && spec.gpus() <= machine.freeGpus() + EPS;
+    return Rounding.covers(machine.freeCpus(), spec.cpus())
+        && Rounding.covers(machine.freeMemoryGb(), spec.memoryGb())
+        && Rounding.covers(machine.freeGpus(), spec.gpus());
   }
 
   /** True if the job's owner allows the machine. */
@@ -186,7 +183,7 @@
         && (spec.spot() || !spot);
   }
 
-  /** Tasks with the same likeness fit on the same machines. */
+  /** Tasks with the same key fit on the same machines. */
   public static String equivalenceKey(JobSpec spec) {
     return spec.cpus()
         + "|"
--- a/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -133,7 +133,7 @@
           && startsAtOnce(spec, machine)) {
         LOG.info("machine uncordoned: machine={} forTask={}", machine.name(), task.name());
         machine.cordoned(false);
-        clusterState.list().changed(machine);
+        clusterState.list().updateCapacity(machine);
         return machine;
       }
     }
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -132,7 +132,7 @@
       if (job.backoff().notBefore() > nowMicros || isOnTrial(job, nowMicros)) {
         return;
       }
-      int withinQuota = clusterState.quotas().freeCapacity(job.spec(), job.pending());
+      int withinQuota = clusterState.quotas().startableTasks(job.spec(), job.pending());
       if (withinQuota == 0) {
         return;
       }
--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -103,7 +103,7 @@
     Task task = new Task(job, index, attempt, machine, phase, nowMicros);
     job.bind(task);
     machine.bind(task);
-    list.changed(machine);
+    list.updateCapacity(machine);
     if (phase == TaskPhase.ASSIGNED) {
       machinesToCommand.add(machine);
     }
@@ -124,7 +124,7 @@
     task.machine().unbind(task, nowMicros);
     Job job = task.job();
     job.unbind(task);
-    list.changed(task.machine());
+    list.updateCapacity(task.machine());
     quotas.add(job.spec(), -1);
     changed = true;
   }
--- a/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
+++ b/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
@@ -13,10 +13,10 @@
 import org.dewreach.model.MachinePhase;
 import org.dewreach.model.Task;
 import org.dewreach.model.TaskPhase;
-import org.dewreach.wire.JobKind;
+import org.dewreach.testing.ClusterFixture;
+import org.dewreach.testing.JobSpecBuilder;
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MachineType;
-import org.dewreach.wire.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -24,10 +24,10 @@
 class FreeCapacityIndexTest {
   private static final List<MachineType> TYPES =
       List.of(
-          new MachineType("l", 32, 4, 64, 60, 1, 1, 0.3, 1, List.of("a")),
-          new MachineType("m", 16, 0, 128, 60, 1, 1, 0.3, 1, List.of("a")),
-          new MachineType("n", 16, 0, 32, 60, 1, 1, 0.3, 1, List.of("a")),
-          new MachineType("s", 8, 1, 32, 60, 1, 1, 0.3, 1, List.of("a")));
+          ClusterFixture.type("l", 32, 64, 4),
+          ClusterFixture.type("m", 16, 128, 0),
+          ClusterFixture.type("n", 16, 32, 0),
+          ClusterFixture.type("s", 8, 32, 1));
 
   /** The paper's walk with our tie-breaks, written out without any index. */
   private static Machine plainWalk(
@@ -64,27 +64,15 @@
   }
 
   private static JobSpec draw(Random random, int number) {
-    return new JobSpec(
-        "req-" + number,
-        "l",
-        "t",
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        5,
-        0.5 + random.nextInt(6),
-        random.nextInt(8) == 0 ? 1 : 0,
-        0.3 * (1 + random.nextInt(60)),
-        "i" + random.nextInt(9),
-        1 + random.nextInt(3),
-        null,
-        null,
-        false,
-        false,
-        random.nextBoolean(),
-        1,
-        0,
-        0,
-        -1);
+    double cpus = 0.5 + random.nextInt(6);
+    double gpus = random.nextInt(8) == 0 ? 1 : 0;
+    double memoryGb = 0.3 * (1 + random.nextInt(60));
+    return JobSpecBuilder.array("req-" + number)
+        .tasks(5)
+        .resources(cpus, memoryGb, gpus)
+        .image("i" + random.nextInt(9), 1 + random.nextInt(3))
+        .spot(random.nextBoolean())
+        .build();
   }
 
   @ParameterizedTest(name = "seed {0}")
@@ -132,7 +120,7 @@
             task.become(TaskPhase.GONE, step);
             task.machine().unbind(task, step);
             task.job().unbind(task);
-            list.changed(task.machine());
+            list.updateCapacity(task.machine());
           }
         }
         default -> {
@@ -152,7 +140,7 @@
                     step);
             task.job().bind(task);
             found.bind(task);
-            list.changed(found);
+            list.updateCapacity(found);
             bound.add(task);
             placed++;
           }
--- a/src/test/java/org/dewreach/placement/QueueOrderTest.java
+++ b/src/test/java/org/dewreach/placement/QueueOrderTest.java
@@ -1,5 +1,6 @@
 package org.dewreach.placement;
 
+import static org.dewreach.testing.ClusterFixture.S;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
@@ -8,15 +9,13 @@
 import org.dewreach.config.Settings;
 import org.dewreach.model.Job;
 import org.dewreach.model.JobPhase;
-import org.dewreach.wire.JobKind;
+import org.dewreach.testing.JobSpecBuilder;
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
 /** The order in which waiting jobs are placed: {@link QueueOrder}. */
 class QueueOrderTest {
-  private static final long S = 1_000_000;
-
   private final QueueOrder order =
       new QueueOrder(
           Map.of(
@@ -29,55 +28,45 @@
   private static Job job(
       String id, String team, Priority priority, int tasks, long dueS, long acceptedS) {
     JobSpec spec =
-        new JobSpec(
-            id,
-            "lane",
-            team,
-            JobKind.ARRAY,
-            priority,
-            tasks,
-            1,
-            0,
-            1,
-            "i",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            10 * S,
-            0,
-            0,
-            dueS < 0 ? -1 : dueS * S);
+        JobSpecBuilder.array(id)
+            .jobClass("class")
+            .team(team)
+            .priority(priority)
+            .tasks(tasks)
+            .dueMicros(dueS < 0 ? -1 : dueS * S)
+            .build();
     return new Job(spec, acceptedS * S, true, JobPhase.ACTIVE);
   }
 
+  private List<Job> ordered(List<Job> jobs, long wallMicros) {
+    return order.order(jobs, job -> true, wallMicros);
+  }
+
   @Test
-  void urgencyThenGuaranteeThenAge() {
+  void priorityThenGuaranteeThenAge() {
     Job old = job("req-1", "none", Priority.NORMAL, 5, -1, 0);
     Job young = job("req-2", "none", Priority.NORMAL, 5, -1, 1);
     Job guaranteed = job("req-3", "red", Priority.NORMAL, 5, -1, 2);
     Job urgent = job("req-4", "none", Priority.HIGH, 5, -1, 3);
     assertEquals(
         List.of(urgent, guaranteed, old, young),
-        order.order(List.of(young, old, guaranteed, urgent), 5 * S));
+        ordered(List.of(young, old, guaranteed, urgent), 5 * S));
   }
 
   /** Guards against a burst making every job late by a little. */
   @Test
-  void whatCanBeInTimeGoesBeforeWhatCannot() {
+  void jobsThatCanBeInTimeGoBeforeThoseThatCannot() {
     Job lost = job("req-1", "none", Priority.NORMAL, 1, 20, 0);
     Job large = job("req-2", "none", Priority.NORMAL, 50, 200, 1);
     Job small = job("req-3", "none", Priority.NORMAL, 5, 200, 2);
     Job pressing = job("req-4", "none", Priority.NORMAL, 60, 80, 3);
     assertEquals(
         List.of(pressing, small, large, lost),
-        order.order(List.of(lost, large, small, pressing), 60 * S));
+        ordered(List.of(lost, large, small, pressing), 60 * S));
   }
 
   @Test
-  void theGuaranteeCountsEarlierUnfinishedJobs() {
+  void theGuaranteeCountsEarlierUnfinishedJobsOfTheTeam() {
     Job first = job("req-1", "red", Priority.NORMAL, 6, -1, 0);
     Job second = job("req-2", "red", Priority.NORMAL, 6, -1, 1);
     assertEquals(Set.of(first), order.guaranteed(List.of(second, first)));
@@ -85,7 +74,7 @@
 
   /** Guards against a large or late job that always has newer, smaller ones before it. */
   @Test
-  void whatHasWaitedLongGetsATurn() {
+  void everyOtherOrderGoesByAgeOnceAJobHasWaitedLong() {
     Job old = job("req-1", "none", Priority.NORMAL, 500, 900, -30);
     old.markDone(0);
     Job begun = job("req-2", "none", Priority.NORMAL, 500, 900, -50);
@@ -95,8 +84,8 @@
     List<Job> jobs = List.of(small, begun, old, urgent);
     int turns = 0;
     for (int pass = 0; pass < 30; pass++) {
-      List<Job> now = order.order(jobs, 130 * S);
-      assertEquals(urgent, now.get(0), "urgency comes first all the same");
+      List<Job> now = ordered(jobs, 130 * S);
+      assertEquals(urgent, now.get(0), "priority comes first all the same");
       turns += now.equals(List.of(urgent, begun, old, small)) ? 1 : 0;
     }
     assertEquals(15, turns);
@@ -104,21 +93,21 @@
 
   /** Guards against a job that is never begun at all. */
   @Test
-  void whatHasNotBegunForTooLongComesFirst() {
+  void aStarvedJobComesFirst() {
     Job old = job("req-1", "none", Priority.NORMAL, 500, 900, 0);
     Job small = job("req-2", "red", Priority.NORMAL, 1, 200, 150);
-    assertEquals(List.of(old, small), order.order(List.of(small, old), 150 * S));
+    assertEquals(List.of(old, small), ordered(List.of(small, old), 150 * S));
     assertEquals(true, QueueOrder.isStarved(old, 150 * S));
     old.markDone(3);
     assertEquals(false, QueueOrder.isStarved(old, 150 * S));
   }
 
   @Test
-  void nobodyTakesTurnsWhileNobodyWaitsLong() {
+  void noOrderGoesByAgeWhileNoJobHasWaitedLong() {
     Job large = job("req-1", "none", Priority.NORMAL, 500, 900, 50);
     Job small = job("req-2", "red", Priority.NORMAL, 1, 200, 119);
     for (int pass = 0; pass < 40; pass++) {
-      assertEquals(small, order.order(List.of(large, small), 120 * S).get(0));
+      assertEquals(small, ordered(List.of(large, small), 120 * S).get(0));
     }
   }
 }
--- a/src/test/java/org/dewreach/placement/SortFirstFitTest.java
+++ b/src/test/java/org/dewreach/placement/SortFirstFitTest.java
@@ -6,44 +6,19 @@
 import java.util.List;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.wire.JobKind;
+import org.dewreach.testing.ClusterFixture;
+import org.dewreach.testing.JobSpecBuilder;
 import org.dewreach.wire.JobSpec;
-import org.dewreach.wire.MachineType;
-import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
 /** Which machine the list gives to a task: {@link SortFirstFit}. */
 class SortFirstFitTest {
   private static Machine machine(String name, double cpus, double memory, double gpus) {
-    MachineType type = new MachineType("t", cpus, gpus, memory, 10, 1, 1, 0.3, 1, List.of("a"));
-    Machine machine = new Machine(name, "", type, "a", false, MachinePhase.BOOTING, 0);
-    machine.recorded(true);
-    machine.become(MachinePhase.UP, 0);
-    return machine;
+    return ClusterFixture.newUpMachine(name, ClusterFixture.type("t", cpus, memory, gpus), false);
   }
 
   private static JobSpec task(double cpus, double memory, double gpus) {
-    return new JobSpec(
-        "req-1",
-        "l",
-        "t",
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        1,
-        cpus,
-        gpus,
-        memory,
-        "i",
-        1,
-        null,
-        null,
-        false,
-        false,
-        false,
-        1,
-        0,
-        0,
-        -1);
+    return JobSpecBuilder.array("req-1").resources(cpus, memory, gpus).spot(false).build();
   }
 
   @Test
