--- /dev/null
+++ b/src/test/java/org/dewreach/compatibility/ControllerUnderTest.java
@@ -0,0 +1,152 @@
+package org.dewreach.compatibility;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.List;
+import java.util.Random;
+import org.dewreach.config.SettingsException;
+import org.dewreach.config.SettingsReader;
+import org.dewreach.config.Tuning;
+import org.dewreach.controller.Core;
+import org.dewreach.peer.PeerCodec;
+import org.dewreach.port.Effect;
+import org.dewreach.port.Event;
+import org.dewreach.port.Target;
+import org.dewreach.wire.Codec;
+
+/** A controller behind its events and effects; the adapter to the names used in the sources. */
+final class ControllerUnderTest {
+  private static final long SEED = 7;
+
+  /** A call of the controller, its body as decoded from the encoded form. */
+  record Sent(
+      long callId, String to, String method, String path, JsonNode body, long timeoutMicros) {}
+
+  /** The controller's answer to a request, its body as decoded from the encoded form. */
+  record Answered(long requestId, int status, JsonNode body, int retryAfterS) {}
+
+  /** Takes what leaves the controller. */
+  interface Output {
+    void sent(Sent call);
+
+    void answered(Answered answer);
+  }
+
+  private final Core core;
+  private final Output output;
+
+  ControllerUnderTest(String settings, String boot, long wallOffsetMicros, Output output) {
+    this.output = output;
+    try {
+      core =
+          new Core(
+              SettingsReader.parse(settings),
+              Tuning.DEFAULT,
+              boot,
+              new Random(SEED),
+              wallOffsetMicros);
+    } catch (SettingsException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  void tick(long nowMicros) {
+    handle(nowMicros, new Event.Tick());
+  }
+
+  /** A request at the public address; a null body stands for none, or one that is not CBOR. */
+  void request(long nowMicros, long id, String method, String path, JsonNode body) {
+    JsonNode decoded = body == null ? null : overCbor(body);
+    handle(nowMicros, new Event.Request(id, Event.Source.PUBLIC, method, path, decoded));
+  }
+
+  /** A request of another controller. */
+  void peerRequest(long nowMicros, long id, String method, String path, JsonNode body) {
+    JsonNode decoded = body == null ? null : overMessagePack(body);
+    handle(nowMicros, new Event.Request(id, Event.Source.PEER, method, path, decoded));
+  }
+
+  /** The outcome of a call; status 0 stands for no response. */
+  void reply(long nowMicros, Sent call, int status, JsonNode body) {
+    JsonNode decoded = body == null ? null : overWire(isPeer(call.to()), body);
+    handle(nowMicros, new Event.Reply(call.callId(), status, decoded));
+  }
+
+  private void handle(long nowMicros, Event event) {
+    boolean ofPeer = event instanceof Event.Request r && r.source() == Event.Source.PEER;
+    List<Effect> effects = core.handle(nowMicros, event);
+    for (Effect effect : effects) {
+      if (effect instanceof Effect.Call call) {
+        String to = name(call.target());
+        output.sent(
+            new Sent(
+                call.callId(),
+                to,
+                call.method(),
+                call.path(),
+                overWire(isPeer(to), call.body()),
+                call.timeoutMicros()));
+      } else if (effect instanceof Effect.Respond respond) {
+        JsonNode body = overWire(ofPeer, respond.body());
+        output.answered(
+            new Answered(respond.requestId(), respond.status(), body, respond.retryAfterS()));
+      }
+    }
+  }
+
+  private static String name(Target target) {
+    if (target instanceof Target.Member member) {
+      return "member " + member.name();
+    }
+    if (target instanceof Target.Worker worker) {
+      return "worker " + worker.address();
+    }
+    return target instanceof Target.Cloud ? "cloud" : "state";
+  }
+
+  private static boolean isPeer(String to) {
+    return to.startsWith("member ");
+  }
+
+  private static JsonNode overWire(boolean peer, JsonNode body) {
+    if (body == null) {
+      return null;
+    }
+    return peer ? overMessagePack(body) : overCbor(body);
+  }
+
+  private static JsonNode overCbor(JsonNode body) {
+    return readCbor(writeCbor(body));
+  }
+
+  private static JsonNode overMessagePack(JsonNode body) {
+    return readMessagePack(writeMessagePack(body));
+  }
+
+  /** Bodies of users, workers, the cloud and the state service. */
+  static byte[] writeCbor(JsonNode body) {
+    return Codec.write(body);
+  }
+
+  static JsonNode readCbor(byte[] body) {
+    try {
+      return Codec.read(body);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
+  /** Bodies between controllers. */
+  static byte[] writeMessagePack(JsonNode body) {
+    return PeerCodec.write(body);
+  }
+
+  static JsonNode readMessagePack(byte[] body) {
+    try {
+      return PeerCodec.read(body);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+}
