--- a/src/test/java/org/dewreach/compatibility/ScriptedSite.java
+++ b/src/test/java/org/dewreach/compatibility/ScriptedSite.java
@@ -24,6 +24,9 @@
 
   private static final long STEP = 50_000;
 
+  /** Calls that may follow from each other without time passing. */
+  private static final int MAX_ROUNDS = 1_000;
+
   final ScriptedStateService state = new ScriptedStateService();
 
   /** Machines as the cloud lists them. */
@@ -94,7 +97,11 @@
   }
 
   private void settle() {
+    int rounds = 0;
     do {
+      if (++rounds > MAX_ROUNDS) {
+        throw new AssertionError("requests without end: " + fresh);
+      }
       while (!fresh.isEmpty()) {
         open.put(fresh.poll(), now);
       }
