--- a/src/main/java/org/dewreach/autoscaling/CapacityRequirement.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityRequirement.java
@@ -38,7 +38,7 @@
 
   /** Requirements with the same key fit on the same machines and are planned as one. */
   String groupKey() {
-    String sizeKey = SortFirstFit.likeness(spec);
+    String sizeKey = SortFirstFit.equivalenceKey(spec);
     // Which zones are left depends on the job's own tasks.
     return sharesZone() || spreadsOverZones() ? sizeKey + "|" + spec.id() : sizeKey;
   }
--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -125,7 +125,7 @@
     Task task = new Task(job, index, attempt, machine, phase, nowMicros);
     job.bind(task);
     machine.bind(task);
-    sortedMachines.changed(machine);
+    sortedMachines.updateCapacity(machine);
     if (phase == TaskPhase.ASSIGNED) {
       machinesToCommand.add(machine);
     }
@@ -151,7 +151,7 @@
     task.machine().unbind(task, nowMicros);
     Job job = task.job();
     job.unbind(task);
-    sortedMachines.changed(task.machine());
+    sortedMachines.updateCapacity(task.machine());
     quotas.add(job.spec(), -1);
     requestPlacement();
   }
