--- a/src/test/java/org/dewreach/compatibility/PeerApiCompatibilityTest.java
+++ b/src/test/java/org/dewreach/compatibility/PeerApiCompatibilityTest.java
@@ -90,6 +90,8 @@
   @Test
   void answersOfTheLeaderThatAreNone() {
     ScriptedSite site = ScriptedSite.following();
+    peerAnswers(site, "/peer/user", "answer with a pause");
+    check("answer with a pause to the user", site.query("req-5001"));
     peerAnswers(site, "/peer/user", "busy answer");
     check("the leader is busy", site.query("req-5001"));
     peerAnswers(site, "/peer/user", "not leading answer");
--- a/src/test/java/org/dewreach/compatibility/StateServiceCompatibilityTest.java
+++ b/src/test/java/org/dewreach/compatibility/StateServiceCompatibilityTest.java
@@ -150,6 +150,24 @@
     check("lease of a claim given up", site.last("DELETE /holds/"));
   }
 
+  /** The claim's response is lost: the key is read, and found to be its own by name and process. */
+  @Test
+  void aClaimWhoseResponseIsLost() {
+    ScriptedSite site = new ScriptedSite();
+    site.state.instead =
+        call -> {
+          if (!call.path().equals("/commit") || site.state.data("dw/leader") != null) {
+            return null;
+          }
+          site.state.put("dw/leader", call.body().at("/then/0/data"), 7);
+          return new Reply(0, null);
+        };
+    site.run(S);
+    assertEquals("LEADING", stats(site).get("election").textValue());
+    assertEquals(1, count(site, "POST /commit"));
+    assertEquals(0, count(site, "DELETE /holds/"));
+  }
+
   /** A leader key of an earlier process of the same node: its lease is ended. */
   @Test
   void aLeaderKeyOfAnEarlierProcess() {
--- a/src/test/java/org/dewreach/compatibility/WorkerApiCompatibilityTest.java
+++ b/src/test/java/org/dewreach/compatibility/WorkerApiCompatibilityTest.java
@@ -17,6 +17,10 @@
 /** Workers' heartbeats with their responses, and what is sent to a worker directly. */
 class WorkerApiCompatibilityTest {
   private static final String FILE = "worker-api.json";
+
+  /** Seconds after which a test does not wait any longer. */
+  private static final int NEVER = 20;
+
   private static final String TASK = "req-5002/0";
 
   private static ObjectNode job(String name) {
@@ -167,6 +171,32 @@
     assertEquals(running, site.query("req-5002").body().get("running").intValue());
   }
 
+  /** Why a task exited decides when a waiting task of its job is started in its place. */
+  @ParameterizedTest
+  @CsvSource({
+    "done,1",
+    "stopped,1",
+    "error,20",
+    "full,4",
+    "in_use,11",
+    "no_such,3",
+    "a cause of a later version,1"
+  })
+  void whyATaskExited(String cause, int seconds) {
+    ScriptedSite site = ScriptedSite.leading();
+    ScriptedWorker worker = workerOf(site);
+    site.submit(job("sweep").put("pieces", 5));
+    site.runWith(worker, 3 * S);
+    assertEquals(4, worker.count(), "the fifth has no room");
+    worker.becomes("req-5001/0", "exited", cause);
+    int after = 0;
+    while (after < NEVER && !worker.knows("req-5001/4")) {
+      site.runWith(worker, S);
+      after++;
+    }
+    assertEquals(seconds, after);
+  }
+
   @ParameterizedTest
   @ValueSource(
       strings = {
