--- a/src/main/java/org/dewreach/config/Settings.java
+++ b/src/main/java/org/dewreach/config/Settings.java
@@ -56,11 +56,36 @@
   /** What an objective is about. */
   public enum ObjectiveKind {
     /** Tasks of a class start within some time of their submission. */
-    START_WITHIN,
+    START_WITHIN("wait"),
     /** Jobs of a class finish within some time of their submission. */
-    FINISH_WITHIN,
-    /** Something that the scheduler does not act on. */
-    OTHER
+    FINISH_WITHIN("finished"),
+    /** Jobs of a class finish by their deadline, or a multiple of it. */
+    FINISH_BY_DEADLINE("deadline"),
+    /** Work within a team's guarantee starts within some time of its submission. */
+    GUARANTEED_START("guarantee"),
+    /** A kind that this version does not know; the scheduler does not act on it. */
+    OTHER(null);
+
+    private final String word;
+
+    ObjectiveKind(String word) {
+      this.word = word;
+    }
+
+    /** The word in the settings file, or null for a kind that is not known. */
+    public String word() {
+      return word;
+    }
+
+    /** The kind with the given word. */
+    static ObjectiveKind of(String word) {
+      for (ObjectiveKind kind : values()) {
+        if (word.equals(kind.word)) {
+          return kind;
+        }
+      }
+      return OTHER;
+    }
   }
 
   /**
--- a/src/main/java/org/dewreach/config/SettingsReader.java
+++ b/src/main/java/org/dewreach/config/SettingsReader.java
@@ -139,7 +139,7 @@
     for (Section item : cluster.sections("objectives")) {
       objectives.add(
           new Settings.Objective(
-              objectiveKind(item.text("kind")),
+              Settings.ObjectiveKind.of(item.text("kind")),
               item.has("class") ? item.text("class") : null,
               item.has("within_s") ? item.micros("within_s", 0, MAX_OBJECTIVE) : 0,
               item.has("share") ? item.number("share", 0, 1) : 0,
@@ -148,15 +148,6 @@
     return List.copyOf(objectives);
   }
 
-  /** Kinds that this version does not know are allowed: they ask nothing of the scheduler. */
-  private static Settings.ObjectiveKind objectiveKind(String word) {
-    return switch (word) {
-      case "wait" -> Settings.ObjectiveKind.START_WITHIN;
-      case "finished" -> Settings.ObjectiveKind.FINISH_WITHIN;
-      default -> Settings.ObjectiveKind.OTHER;
-    };
-  }
-
   private static Settings.Workers workers(Section section) throws SettingsException {
     Settings.Workers workers =
         new Settings.Workers(
--- a/src/test/java/org/dewreach/compatibility/SettingsCompatibilityTest.java
+++ b/src/test/java/org/dewreach/compatibility/SettingsCompatibilityTest.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.dewreach.config.Settings;
 import org.dewreach.config.SettingsReader;
 import org.dewreach.script.ScriptReader;
 import org.junit.jupiter.api.Test;
@@ -23,7 +24,7 @@
 class SettingsCompatibilityTest {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** Records as lists of their values, maps by sorted key, numbers as they are. */
+  /** Records as lists of their values, maps by sorted key, kinds by their words, numbers as is. */
   private static Object plain(Object value) throws ReflectiveOperationException {
     if (value instanceof Record) {
       List<Object> values = new ArrayList<>();
@@ -32,6 +33,9 @@
       }
       return values;
     }
+    if (value instanceof Settings.ObjectiveKind kind) {
+      return kind.word();
+    }
     if (value instanceof List<?> list) {
       List<Object> values = new ArrayList<>();
       for (Object item : list) {
