--- a/src/main/java/org/dewreach/store/KeyValueCodec.java
+++ b/src/main/java/org/dewreach/store/KeyValueCodec.java
@@ -121,10 +121,10 @@
   }
 
   private static WatchEvent decodeEvent(JsonNode event) {
-    if (!event.hasNonNull(PUT)) {
-      return new WatchEvent(WatchEvent.Type.DELETE, null);
-    }
-    return new WatchEvent(WatchEvent.Type.PUT, decodeEntry(event.path(PUT).asText(), event));
+    boolean put = event.hasNonNull(PUT);
+    String key = event.path(put ? PUT : DELETE).asText();
+    WatchEvent.Type type = put ? WatchEvent.Type.PUT : WatchEvent.Type.DELETE;
+    return new WatchEvent(type, decodeEntry(key, event));
   }
 
   private static KeyValue decodeEntry(String key, JsonNode node) {
--- a/src/main/java/org/dewreach/store/WatchEvent.java
+++ b/src/main/java/org/dewreach/store/WatchEvent.java
@@ -3,7 +3,7 @@
 /**
  * One change that a watch reports.
  *
- * @param entry the key with its new value; null for a deletion
+ * @param entry the key with its new value, which is missing for a deletion
  */
 public record WatchEvent(Type type, KeyValue entry) {
   /** Kinds of changes. */
--- a/src/test/java/org/dewreach/store/KeyValueCodecTest.java
+++ b/src/test/java/org/dewreach/store/KeyValueCodecTest.java
@@ -92,6 +92,8 @@
     assertEquals(
         List.of(WatchEvent.Type.PUT, WatchEvent.Type.DELETE, WatchEvent.Type.PUT),
         batch.events().stream().map(WatchEvent::type).toList());
+    assertEquals(
+        List.of("a", "b", "c"), batch.events().stream().map(event -> event.entry().key()).toList());
     assertEquals(List.of("a", "c"), batch.puts().stream().map(KeyValue::key).toList());
     assertEquals(44, batch.storeRevision());
     assertEquals(new WatchResult.Compacted(), KeyValueCodec.decodeWatch(410, null));
