--- /dev/null
+++ b/src/main/java/org/dewreach/controller/HeartbeatRouter.java
@@ -0,0 +1,75 @@
+package org.dewreach.controller;
+
+import org.dewreach.heartbeat.PendingHeartbeats;
+import org.dewreach.leadership.DelegateRenewer;
+import org.dewreach.port.Event;
+import org.dewreach.port.Outbox;
+import org.dewreach.wire.Heartbeat;
+import org.dewreach.wire.HeartbeatRedirect;
+import org.dewreach.wire.HttpStatus;
+import org.dewreach.wire.MalformedException;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Routes workers' heartbeats: to the term of this node, to its delegate, or to the leader by a
+ * redirect.
+ */
+final class HeartbeatRouter {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatRouter.class);
+
+  private final Outbox outbox;
+  private final Leadership leadership;
+  private final EventClock clock;
+  private final PendingHeartbeats pendingHeartbeats;
+
+  HeartbeatRouter(NodeServices services, Leadership leadership, EventClock clock) {
+    this.outbox = services.outbox();
+    this.leadership = leadership;
+    this.clock = clock;
+    this.pendingHeartbeats = new PendingHeartbeats(services.settings().limits().maxConnections());
+  }
+
+  /** Handles a heartbeat; its response may wait until it is known who leads. */
+  void onRequest(Event.Request request) {
+    Heartbeat heartbeat;
+    try {
+      heartbeat = Heartbeat.parse(request.body());
+    } catch (MalformedException e) {
+      LOG.info("heartbeat malformed: error={}", e.getMessage());
+      outbox.respond(request.requestId(), HttpStatus.BAD_REQUEST, null);
+      return;
+    }
+    if (leadership.isUndecided() && !pendingHeartbeats.full()) {
+      pendingHeartbeats.add(request.requestId(), heartbeat, clock.now());
+    } else {
+      route(request.requestId(), heartbeat);
+    }
+  }
+
+  /** Responds to heartbeats that need not or must not wait any longer. */
+  void tick() {
+    if (!pendingHeartbeats.isEmpty()) {
+      pendingHeartbeats.answerDue(leadership.isUndecided(), clock.now(), this::route);
+    }
+  }
+
+  private void route(long requestId, Heartbeat heartbeat) {
+    if (leadership.hasAuthority()) {
+      leadership.term().onHeartbeat(requestId, heartbeat, clock.now());
+      return;
+    }
+    DelegateRenewer delegate = leadership.delegateRenewer();
+    if (delegate.tryRenew(heartbeat, clock.now())) {
+      outbox.respondUntil(
+          requestId, HttpStatus.OK, delegate.heartbeatResponse(), delegate.delegatedUntil());
+      return;
+    }
+    String leader = leadership.otherLeader();
+    if (leader == null) {
+      outbox.respond(requestId, HttpStatus.UNAVAILABLE, null);
+    } else {
+      outbox.respond(requestId, HttpStatus.MISDIRECTED, new HeartbeatRedirect(leader).toNode());
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/dewreach/controller/Leadership.java
@@ -0,0 +1,151 @@
+package org.dewreach.controller;
+
+import java.util.random.RandomGenerator;
+import org.dewreach.config.Settings;
+import org.dewreach.leadership.DelegateRenewer;
+import org.dewreach.leadership.Election;
+import org.dewreach.port.ConnectionPool;
+import org.dewreach.port.Effect;
+import org.dewreach.store.KeyValueStore;
+
+/** Whether this node leads, the term that it leads, and who leads otherwise. */
+final class Leadership implements Election.Listener, LeadershipControl {
+  private static final long SELF_DELEGATION_INTERVAL_MICROS = 500_000;
+
+  private final NodeServices services;
+  private final EventClock clock;
+  private final Election election;
+  private final DelegateRenewer delegateRenewer;
+  private LeadershipTerm term;
+  private long nextSelfDelegationAt;
+  private long selfDelegatedUntil;
+
+  /**
+   * A node that does not know who leads.
+   *
+   * @param boot a text that no other process has, also not an earlier one of this node
+   */
+  Leadership(NodeServices services, EventClock clock, String boot, RandomGenerator random) {
+    this.services = services;
+    this.clock = clock;
+    Settings settings = services.settings();
+    this.election =
+        new Election(
+            // Guards against a renewal that waits behind users' reads and comes after the lease
+            // expired.
+            new KeyValueStore(services.outbox(), ConnectionPool.LEADERSHIP),
+            services.outbox(),
+            settings.members().stream().map(Settings.Member::name).toList(),
+            settings.name(),
+            boot,
+            random,
+            this);
+    this.delegateRenewer = new DelegateRenewer(services.outbox(), services.state(), settings);
+  }
+
+  Election election() {
+    return election;
+  }
+
+  DelegateRenewer delegateRenewer() {
+    return delegateRenewer;
+  }
+
+  /** The term for which this node was elected and whose end it has not noticed, or null. */
+  LeadershipTerm term() {
+    return term;
+  }
+
+  /** The number of {@link #term}, or 0. */
+  long termNumber() {
+    return term == null ? 0 : term.number();
+  }
+
+  /** True if this node may act as leader. */
+  boolean hasAuthority() {
+    return term != null && hasAuthority(clock.now());
+  }
+
+  /** True if this node may act as leader and has loaded the cluster state. */
+  boolean canServe() {
+    return term != null && term.loaded() && hasAuthority(clock.now());
+  }
+
+  /** True if this node may still act in the given term. */
+  boolean hasAuthorityIn(LeadershipTerm earlier) {
+    return term == earlier && hasAuthority(clock.now());
+  }
+
+  /** The name of another node that leads as far as this one knows, or null. */
+  String otherLeader() {
+    String leader = election.leader();
+    return leader == null || leader.equals(services.settings().name()) ? null : leader;
+  }
+
+  /**
+   * True for a moment: until it is known who leads, and until a new leader has loaded the cluster
+   * state.
+   */
+  boolean isUndecided() {
+    return election.undecided() || term != null && !term.loaded();
+  }
+
+  /** Until when effects that are decided now may be carried out. */
+  long effectsValidUntil() {
+    return hasAuthority() ? election.authorityEndsAt() : Effect.ANY_TIME;
+  }
+
+  /** Renews what this node may answer workers should it lose contact with the others. */
+  void renewDelegations() {
+    long nowMicros = clock.now();
+    if (!hasAuthority()) {
+      delegateRenewer.onTermKnown(election.leaderAbsent() ? Long.MAX_VALUE : election.latestTerm());
+      delegateRenewer.tick(election.leader(), nowMicros);
+      return;
+    }
+    if (nowMicros >= nextSelfDelegationAt) {
+      nextSelfDelegationAt = nowMicros + SELF_DELEGATION_INTERVAL_MICROS;
+      selfDelegatedUntil = term.delegateToSelf(services.settings().zone(), nowMicros);
+    }
+    delegateRenewer.onLeading(
+        term.number(), Math.max(0, selfDelegatedUntil - nowMicros), nowMicros);
+  }
+
+  @Override
+  public void onElected(long nowMicros, long number) {
+    // The cluster state of this term does not know what an earlier term of this node delegated to
+    // it.
+    selfDelegatedUntil = 0;
+    nextSelfDelegationAt = nowMicros;
+    term = new LeadershipTerm(number, services, this, nowMicros);
+  }
+
+  @Override
+  public void onDeposed(long nowMicros, long number) {
+    LeadershipTerm ended = term;
+    term = null;
+    if (ended != null) {
+      ended.close(nowMicros);
+    }
+  }
+
+  @Override
+  public boolean hasAuthority(long nowMicros) {
+    return election.hasAuthority(nowMicros);
+  }
+
+  @Override
+  public void onKeyLost() {
+    election.onKeyLost(clock.now(), "a write found the leader key lost");
+  }
+
+  @Override
+  public void resignUnreachable() {
+    election.resign(clock.now(), "no heartbeats reach this node");
+  }
+
+  @Override
+  public long lastRenewalAt() {
+    return delegateRenewer.lastRenewalAt();
+  }
+}
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -1,16 +1,9 @@
 package org.dewreach.controller;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.LongPredicate;
-import java.util.function.LongSupplier;
-import org.dewreach.cloud.CloudClient;
-import org.dewreach.config.Settings;
-import org.dewreach.config.Tuning;
 import org.dewreach.heartbeat.DirectCommandSender;
 import org.dewreach.heartbeat.HeartbeatHandler;
-import org.dewreach.history.FinalStates;
 import org.dewreach.leadership.LeaseDelegations;
 import org.dewreach.membership.FleetManager;
 import org.dewreach.membership.RecoveryTracker;
@@ -32,31 +25,26 @@
 import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.store.CommitQueue;
 import org.dewreach.store.ConditionalWrite;
-import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
 import org.dewreach.store.Mutation;
-import org.dewreach.store.Precondition;
-import org.dewreach.store.TokenBucket;
 import org.dewreach.wire.Heartbeat;
+import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.MachineType;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One term of this node as leader, from the winning of the key to its loss. */
+/** One term of this node as leader, from winning the leader key to losing it. */
 final class LeadershipTerm implements JobRecordWriter.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipTerm.class);
 
-  /** Share of the write rate; the rest is left to the election and to other nodes' writes. */
-  private static final double WRITE_RATE_SHARE = 0.9;
-
   private static final long PROGRESS_INTERVAL_MICROS = 250_000;
 
-  /** Named states of a term. */
-  private enum Phase {
-    /** Reading what earlier leaders left. */
+  /** Phases of a term. */
+  enum Phase {
+    /** Loading the cluster state that earlier leaders stored. */
     LOADING,
-    /** Some machine of an earlier term was not heard: old jobs are not started. */
+    /** Some machine of an earlier term has sent no heartbeat: tasks of old jobs are not started. */
     RECOVERING,
     /** Every machine of earlier terms is accounted for. */
     ACTIVE,
@@ -67,9 +55,7 @@
   private final long number;
   private final Outbox outbox;
   private final MachineTypeCatalog catalog;
-  private final LongPredicate authority;
-  private final Runnable onBroken;
-  private final Runnable onCutOff;
+  private final LeadershipControl control;
   private final ClusterState clusterState;
   private final CommitQueue queue;
   private final JobRecordWriter recordWriter;
@@ -78,114 +64,54 @@
   private final RecoveryTracker recovery;
   private final CancellationGate cancellationGate;
   private final HeartbeatHandler heartbeatHandler;
-  private final TermSummary summary;
   private final LeaderlessJobImporter jobImporter;
-  private final JobRequestHandler users;
+  private final JobRequestHandler requestHandler;
   private final LeaseDelegations delegations;
   private final FleetManager fleet;
   private final PlacementLoop placement;
-  private final DirectCommandSender direct;
+  private final DirectCommandSender commandSender;
+  private final TermReporter reporter;
   private Phase phase = Phase.LOADING;
-  private boolean acted;
-  private long nextProgress;
-
-  LeadershipTerm(
-      long number,
-      Outbox outbox,
-      KeyValueStore state,
-      CloudClient cloud,
-      FinalStates finalStates,
-      MachineTypeCatalog catalog,
-      Settings settings,
-      Tuning tuning,
-      LongPredicate authority,
-      Runnable onBroken,
-      Runnable onCutOff,
-      LongSupplier ownRenewalAt,
-      long nowMicros,
-      long wallOffsetMicros) {
-    this.onCutOff = onCutOff;
+  private boolean hadAuthority;
+  private long nextProgressAt;
+
+  /**
+   * A term that has read nothing yet.
+   *
+   * @param number the term's number, which is also its fencing token
+   */
+  LeadershipTerm(long number, NodeServices services, LeadershipControl control, long nowMicros) {
     this.number = number;
-    this.outbox = outbox;
-    this.catalog = catalog;
-    this.authority = authority;
-    this.onBroken = onBroken;
-    this.clusterState = new ClusterState(number, settings.teams(), tuning);
-    this.queue = newCommitQueue(number, state, settings, onBroken);
-    this.registry =
-        new MachineRegistry(queue, settings.stateLimits().valueBytes(), wallOffsetMicros, this);
-    this.delegations = new LeaseDelegations(number, settings, ownRenewalAt);
-    this.fleet = newFleetManager(cloud, settings, tuning, nowMicros, wallOffsetMicros);
-    this.recovery = new RecoveryTracker(clusterState, fleet);
-    this.cancellationGate = new CancellationGate(clusterState, settings, delegations, recovery);
-    this.recordWriter = new JobRecordWriter(queue, cancellationGate, this);
-    this.loader = new ClusterStateLoader(state, clusterState, registry, catalog, wallOffsetMicros);
-    this.jobImporter =
-        new LeaderlessJobImporter(state, clusterState, recordWriter, this::onNotTakenOver);
-    this.users =
-        new JobRequestHandler(
-            clusterState,
-            recordWriter,
-            jobImporter,
-            state,
-            finalStates,
-            catalog,
-            settings,
-            wallOffsetMicros);
-    this.direct =
-        new DirectCommandSender(
+    this.outbox = services.outbox();
+    this.catalog = services.catalog();
+    this.control = control;
+    TermComponents components =
+        new TermComponents(
             number,
-            outbox,
-            clusterState,
-            this::onDirectReply,
-            settings.limits().connectionsToWorkers());
-    this.heartbeatHandler = newHeartbeatHandler();
-    this.summary = new TermSummary(number, clusterState, queue);
-    this.placement =
-        new PlacementLoop(
-            clusterState, fleet, recovery, direct, settings, tuning, wallOffsetMicros);
-  }
-
-  private static CommitQueue newCommitQueue(
-      long number, KeyValueStore state, Settings settings, Runnable onBroken) {
-    double writes = settings.stateLimits().writeRps() * WRITE_RATE_SHARE;
-    return new CommitQueue(
-        state,
-        new Precondition(Keys.LEADER, number),
-        settings.stateLimits().txnOps(),
-        new TokenBucket(writes, writes),
-        onBroken);
-  }
-
-  private FleetManager newFleetManager(
-      CloudClient cloud, Settings settings, Tuning tuning, long nowMicros, long wallOffsetMicros) {
-    return new FleetManager(
-        number,
-        clusterState,
-        registry,
-        delegations,
-        cloud,
-        catalog,
-        settings,
-        tuning,
-        nowMicros,
-        wallOffsetMicros);
-  }
-
-  private HeartbeatHandler newHeartbeatHandler() {
-    return new HeartbeatHandler(
-        number,
-        outbox,
-        clusterState,
-        catalog,
-        fleet,
-        registry,
-        recordWriter,
-        () -> phase == Phase.CLOSED);
+            services,
+            control,
+            new TermComponents.Callbacks(
+                this, this::onImportFailed, this::onDirectReply, () -> phase == Phase.CLOSED),
+            nowMicros);
+    this.clusterState = components.clusterState;
+    this.queue = components.queue;
+    this.recordWriter = components.recordWriter;
+    this.registry = components.registry;
+    this.loader = components.loader;
+    this.recovery = components.recovery;
+    this.cancellationGate = components.cancellationGate;
+    this.heartbeatHandler = components.heartbeatHandler;
+    this.jobImporter = components.jobImporter;
+    this.requestHandler = components.requestHandler;
+    this.delegations = components.delegations;
+    this.fleet = components.fleet;
+    this.placement = components.placement;
+    this.commandSender = components.commandSender;
+    this.reporter = components.reporter;
   }
 
   private void become(Phase next) {
-    LOG.info("term {}: {} -> {}", number, phase, next);
+    LOG.info("term phase changed: term={} from={} to={}", number, phase, next);
     phase = next;
   }
 
@@ -193,7 +119,7 @@
     return number;
   }
 
-  /** True once it can serve. */
+  /** True once the cluster state is loaded. */
   boolean loaded() {
     return phase == Phase.RECOVERING || phase == Phase.ACTIVE;
   }
@@ -203,24 +129,24 @@
       return;
     }
     queue.tick(nowMicros);
-    users.tick(nowMicros);
-    if (phase == Phase.LOADING && !load(nowMicros)) {
+    requestHandler.tick(nowMicros);
+    if (phase == Phase.LOADING && !continueLoading(nowMicros)) {
       return;
     }
-    if (authority.test(nowMicros)) {
-      act(nowMicros);
+    if (control.hasAuthority(nowMicros)) {
+      actAsLeader(nowMicros);
     }
   }
 
-  /** Goes on reading what earlier leaders left; true once that is read. */
-  private boolean load(long nowMicros) {
+  /** Continues to load the cluster state; true once it is loaded. */
+  private boolean continueLoading(long nowMicros) {
     loader.tick(nowMicros);
     if (!loader.done()) {
       return false;
     }
     become(Phase.RECOVERING);
     LOG.info(
-        "term {}: {} jobs, {} machines",
+        "cluster state loaded: term={} jobs={} machines={}",
         number,
         clusterState.jobs().size(),
         clusterState.machines().size());
@@ -230,12 +156,12 @@
   }
 
   /** Does what only a leader with authority may do. */
-  private void act(long nowMicros) {
+  private void actAsLeader(long nowMicros) {
     delegations.onAuthorityGained(nowMicros);
-    if (!acted) {
-      acted = true;
-      // Guards against leases counted from before an earlier leader's last answer: under grants it
-      // goes on until this one may act.
+    if (!hadAuthority) {
+      hadAuthority = true;
+      // Guards against leases counted from before an earlier leader's last response: under grants
+      // it continues until this one may act.
       fleet.onAuthorityGained(nowMicros);
     }
     if (phase == Phase.RECOVERING) {
@@ -250,22 +176,22 @@
     boolean everyTaskKnown = phase == Phase.ACTIVE || clusterState.machines().isEmpty();
     fleet.tick(nowMicros, placement.waiting(), everyTaskKnown);
     if (fleet.partitionedFromWorkers()) {
-      // Guards against a leader that holds its key and hears no worker until all leases are over.
-      LOG.info("term {}: no worker is heard here, another node is to lead", number);
-      onCutOff.run();
+      // Guards against a leader that keeps its key and receives no heartbeat until all leases
+      // expire.
+      LOG.info("no heartbeats reach this node, giving up the lead: term={}", number);
+      control.resignUnreachable();
       return;
     }
-    if (nowMicros >= nextProgress) {
-      nextProgress = nowMicros + PROGRESS_INTERVAL_MICROS;
-      pumpJobs(nowMicros);
+    if (nowMicros >= nextProgressAt) {
+      nextProgressAt = nowMicros + PROGRESS_INTERVAL_MICROS;
+      advanceJobs(nowMicros);
     }
-    summary.tick(placement.waiting(), nowMicros);
+    reporter.tick(placement.waiting(), nowMicros);
   }
 
   /** Numbers for operators. */
-  void fill(ObjectNode node) {
-    node.put("phase", phase.name());
-    summary.fill(node, placement.waiting());
+  TermStats stats() {
+    return reporter.stats(phase, placement.waiting());
   }
 
   private void updateRecovery(long nowMicros) {
@@ -286,28 +212,26 @@
             (now, outcome, revision) -> {}));
   }
 
-  private void pumpJobs(long nowMicros) {
+  private void advanceJobs(long nowMicros) {
     for (Job job : new ArrayList<>(clusterState.jobs().values())) {
       recordWriter.pump(job, nowMicros);
       if (phase == Phase.CLOSED) {
         return;
       }
       if (job.phase() == JobPhase.CANCEL_REQUESTED) {
-        users.onStillStopping(job, nowMicros);
+        requestHandler.onStillStopping(job, nowMicros);
       }
     }
   }
 
-  // delegates
-
-  /** A node asks for how long it may answer its zone's workers when it loses this one. */
+  /** Responds to a node that asks for how long it may renew leases should it lose contact. */
   DelegationResponse onDelegationRequest(DelegationRequest request, long nowMicros) {
     String zone = delegations.zoneOf(request.node());
     return delegations.onRequest(
         request, zone == null ? 0 : delegableMicros(zone, nowMicros), nowMicros);
   }
 
-  /** Until when this node itself may answer its zone's workers, should it lose its authority. */
+  /** Until when this node itself may renew its zone's leases, should it lose its authority. */
   long delegateToSelf(String zone, long nowMicros) {
     long until = nowMicros + delegableMicros(zone, nowMicros);
     delegations.delegateToSelf(until);
@@ -318,61 +242,59 @@
     return loaded() ? cancellationGate.delegableMicros(zone, nowMicros) : 0;
   }
 
-  // Reports
-
-  void report(long requestId, Heartbeat report, long nowMicros) {
-    // Guards against leases kept alive without knowing which jobs were cancelled: until the cluster
-    // state is read, no worker is answered here. An outage that began in that moment would last as
-    // long as grants do, and with it the tasks of a cancelled job whose machine had hung.
-    if (!loaded() || !authority.test(nowMicros) || report.token() > number) {
-      outbox.respond(requestId, 503, null);
+  /** Handles a heartbeat that this node received as the leader. */
+  void onHeartbeat(long requestId, Heartbeat heartbeat, long nowMicros) {
+    // Guards against leases renewed without knowing which jobs were cancelled: until the cluster
+    // state is loaded, no heartbeat is answered here. An outage that began in that moment would
+    // last as long as grants do, and with it the tasks of a cancelled job whose machine had hung.
+    if (!loaded() || !control.hasAuthority(nowMicros) || heartbeat.token() > number) {
+      outbox.respond(requestId, HttpStatus.UNAVAILABLE, null);
       return;
     }
-    heartbeatHandler.onHeartbeat(requestId, report, nowMicros);
+    heartbeatHandler.onHeartbeat(requestId, heartbeat, nowMicros);
   }
 
-  /** The answer to a direct command; it carries no orders back and extends no lease. */
-  private void onDirectReply(Machine machine, Heartbeat report, long nowMicros) {
-    if (phase != Phase.CLOSED && authority.test(nowMicros)) {
-      heartbeatHandler.onDirectReply(machine, report, nowMicros);
+  /** Handles the reply to a direct command; no commands are sent back, and no lease is renewed. */
+  private void onDirectReply(Machine machine, Heartbeat heartbeat, long nowMicros) {
+    if (phase != Phase.CLOSED && control.hasAuthority(nowMicros)) {
+      heartbeatHandler.onDirectReply(machine, heartbeat, nowMicros);
     }
   }
 
-  // Users
-
-  void user(UserRequest request, Responder answer, long nowMicros) {
-    if (!loaded() || !authority.test(nowMicros)) {
-      answer.respondRetry(RetryReason.NO_AUTHORITY);
+  /** Handles a user's request as the leader. */
+  void onUserRequest(UserRequest request, Responder responder, long nowMicros) {
+    if (!loaded() || !control.hasAuthority(nowMicros)) {
+      responder.respondRetry(RetryReason.NO_AUTHORITY);
     } else {
-      users.handle(request, answer, nowMicros);
+      requestHandler.handle(request, responder, nowMicros);
     }
   }
 
   @Override
   public void onAccepted(Job job, long nowMicros) {
-    LOG.info("job {} accepted: {} tasks", job.id(), job.spec().tasks());
+    LOG.info("job accepted: job={} tasks={}", job.id(), job.spec().tasks());
     if (job.spec().jobKind() == JobKind.SERVICE) {
       clusterState.services().arrived(job.spec(), nowMicros);
     }
     clusterState.requestPlacement();
-    users.onAccepted(job);
+    requestHandler.onAccepted(job);
   }
 
-  private void onNotTakenOver(String jobId) {
-    users.onImportFailed(jobId);
+  private void onImportFailed(String jobId) {
+    requestHandler.onImportFailed(jobId);
   }
 
   @Override
   public void onCancelled(Job job, long nowMicros) {
-    LOG.info("job {} withdrawn", job.id());
-    users.onCancelled(job);
+    LOG.info("job cancelled: job={}", job.id());
+    requestHandler.onCancelled(job);
   }
 
   @Override
   public void onEnded(Job job, long nowMicros) {
-    LOG.info("job {} over: {}", job.id(), job.finalState().word());
+    LOG.info("job ended: job={} state={}", job.id(), job.finalState());
     clusterState.jobs().remove(job.id());
-    users.onEnded(job);
+    requestHandler.onEnded(job);
   }
 
   @Override
@@ -382,10 +304,11 @@
 
   @Override
   public void onBroken(String why, long nowMicros) {
-    LOG.error("term {}: records do not match, giving up the lead: {}", number, why);
-    onBroken.run();
+    LOG.error("records do not match, giving up the lead: term={} reason={}", number, why);
+    control.onKeyLost();
   }
 
+  /** Ends the term; users who wait are told to retry. */
   void close(long nowMicros) {
     if (phase == Phase.CLOSED) {
       return;
@@ -394,8 +317,8 @@
     loader.close();
     jobImporter.close();
     fleet.close();
-    direct.close();
+    commandSender.close();
     queue.close(nowMicros);
-    users.close();
+    requestHandler.close();
   }
 }
--- /dev/null
+++ b/src/main/java/org/dewreach/controller/NodeServices.java
@@ -0,0 +1,48 @@
+package org.dewreach.controller;
+
+import org.dewreach.cloud.CloudClient;
+import org.dewreach.config.Settings;
+import org.dewreach.config.Tuning;
+import org.dewreach.history.FinalStates;
+import org.dewreach.port.Outbox;
+import org.dewreach.state.MachineTypeCatalog;
+import org.dewreach.store.KeyValueStore;
+
+/**
+ * What the components of a node share for the life of the process, in whichever term.
+ *
+ * @param settings the node's settings
+ * @param tuning the site's tuning
+ * @param outbox collects effects
+ * @param state the state service, over the general connections
+ * @param cloud the cloud's machines
+ * @param catalog the machine types
+ * @param finalStates the final states known to be durable
+ * @param wallOffsetMicros time of day minus event time
+ */
+record NodeServices(
+    Settings settings,
+    Tuning tuning,
+    Outbox outbox,
+    KeyValueStore state,
+    CloudClient cloud,
+    MachineTypeCatalog catalog,
+    FinalStates finalStates,
+    long wallOffsetMicros) {
+
+  /** Services that send through the given outbox, and have read nothing yet. */
+  static NodeServices create(
+      Settings settings, Tuning tuning, Outbox outbox, long wallOffsetMicros) {
+    KeyValueStore state = new KeyValueStore(outbox);
+    CloudClient cloud = new CloudClient(outbox, settings.cloudLimits().rps());
+    return new NodeServices(
+        settings,
+        tuning,
+        outbox,
+        state,
+        cloud,
+        new MachineTypeCatalog(state, cloud),
+        new FinalStates(),
+        wallOffsetMicros);
+  }
+}
--- /dev/null
+++ b/src/main/java/org/dewreach/controller/PeerRequestRouter.java
@@ -0,0 +1,90 @@
+package org.dewreach.controller;
+
+import java.util.function.Supplier;
+import org.dewreach.peer.DelegationRequest;
+import org.dewreach.peer.DelegationResponse;
+import org.dewreach.peer.ForwardedReply;
+import org.dewreach.peer.GrantRequest;
+import org.dewreach.peer.GrantResponse;
+import org.dewreach.peer.KnownLeader;
+import org.dewreach.peer.PeerMessageCodec;
+import org.dewreach.port.Event;
+import org.dewreach.port.Outbox;
+import org.dewreach.wire.HttpStatus;
+
+/** Routes requests of other controllers, and of operators at the internal address. */
+final class PeerRequestRouter {
+  /** Numbers for operators. */
+  private static final String STATS_PATH = "/stats";
+
+  private final Outbox outbox;
+  private final Leadership leadership;
+  private final EventClock clock;
+  private final UserRequestRouter userRequests;
+  private final Supplier<NodeStats> stats;
+
+  PeerRequestRouter(
+      Outbox outbox,
+      Leadership leadership,
+      EventClock clock,
+      UserRequestRouter userRequests,
+      Supplier<NodeStats> stats) {
+    this.outbox = outbox;
+    this.leadership = leadership;
+    this.clock = clock;
+    this.userRequests = userRequests;
+    this.stats = stats;
+  }
+
+  /** Handles a request. */
+  void onRequest(Event.Request request) {
+    long requestId = request.requestId();
+    switch (request.path()) {
+      case PeerMessageCodec.LEADER_PATH -> onLeaderQuestion(requestId);
+      case STATS_PATH -> outbox.respond(requestId, HttpStatus.OK, StatsCodec.encode(stats.get()));
+      default -> {
+        if (request.body() == null) {
+          outbox.respond(requestId, HttpStatus.NOT_FOUND, null);
+        } else {
+          onMessage(request);
+        }
+      }
+    }
+  }
+
+  private void onMessage(Event.Request request) {
+    long requestId = request.requestId();
+    switch (request.path()) {
+      case GrantRequest.PATH -> onGrantRequest(requestId, GrantRequest.parse(request.body()));
+      case DelegationRequest.PATH ->
+          onDelegationRequest(requestId, DelegationRequest.parse(request.body()));
+      case PeerMessageCodec.FORWARD_PATH ->
+          userRequests.onForwarded(
+              PeerMessageCodec.decodeRequest(request.body()), reply -> respond(requestId, reply));
+      default -> outbox.respond(requestId, HttpStatus.NOT_FOUND, null);
+    }
+  }
+
+  private void onLeaderQuestion(long requestId) {
+    KnownLeader known =
+        new KnownLeader(leadership.election().leader(), leadership.election().latestTerm());
+    outbox.respond(requestId, HttpStatus.OK, PeerMessageCodec.encode(known));
+  }
+
+  private void onGrantRequest(long requestId, GrantRequest request) {
+    boolean granted = leadership.election().grantTo(request.term(), clock.now());
+    outbox.respond(requestId, HttpStatus.OK, new GrantResponse(granted).toNode());
+  }
+
+  private void onDelegationRequest(long requestId, DelegationRequest request) {
+    DelegationResponse response =
+        leadership.hasAuthority()
+            ? leadership.term().onDelegationRequest(request, clock.now())
+            : DelegationResponse.REFUSED;
+    outbox.respond(requestId, HttpStatus.OK, response.toNode());
+  }
+
+  private void respond(long requestId, ForwardedReply reply) {
+    outbox.respond(requestId, HttpStatus.OK, PeerMessageCodec.encode(reply));
+  }
+}
--- a/src/main/java/org/dewreach/controller/PlacementLoop.java
+++ b/src/main/java/org/dewreach/controller/PlacementLoop.java
@@ -11,38 +11,38 @@
 import org.dewreach.scheduling.TaskPlacer;
 import org.dewreach.state.ClusterState;
 
-/** Decides when a placement pass is made, and makes it. */
+/** Runs placement passes, at intervals that depend on the cluster's size. */
 final class PlacementLoop {
-  /** Placement looks at changes that came close together in one pass. */
-  private static final long PLACEMENT_INTERVAL_MICROS = 80_000;
+  /** Changes that come close together share a pass. */
+  private static final long MIN_INTERVAL_MICROS = 80_000;
 
   /** Jobs and machines up to which passes come that often. A default of this project. */
   private static final int FULL_RATE_MAX_ITEMS = 1_000;
 
-  /** Time-dependent pauses end unnoticed by events, so a pass is made now and then anyway. */
-  private static final long MAX_PLACEMENT_INTERVAL_MICROS = 500_000;
+  /** Time-dependent pauses end without an event, so a pass is made now and then anyway. */
+  private static final long MAX_INTERVAL_MICROS = 500_000;
 
   private final ClusterState clusterState;
   private final FleetManager fleet;
   private final RecoveryTracker recovery;
-  private final DirectCommandSender direct;
+  private final DirectCommandSender commandSender;
   private final TaskPlacer placer;
   private final Preemption preemption;
-  private long lastPass;
+  private long lastPassAt;
   private List<TaskPlacer.Waiting> waiting = List.of();
 
   PlacementLoop(
       ClusterState clusterState,
       FleetManager fleet,
       RecoveryTracker recovery,
-      DirectCommandSender direct,
+      DirectCommandSender commandSender,
       Settings settings,
       Tuning tuning,
       long wallOffsetMicros) {
     this.clusterState = clusterState;
     this.fleet = fleet;
     this.recovery = recovery;
-    this.direct = direct;
+    this.commandSender = commandSender;
     this.preemption = new Preemption(clusterState);
     this.placer =
         new TaskPlacer(
@@ -59,30 +59,29 @@
   }
 
   /**
-   * Makes a pass if it is time.
+   * Makes a pass if it is due.
    *
    * @param mayPreempt true if every machine of earlier terms is accounted for
    */
   void tick(boolean mayPreempt, long nowMicros) {
-    boolean due = nowMicros - lastPass >= MAX_PLACEMENT_INTERVAL_MICROS;
-    if (nowMicros - lastPass < intervalMicros()
+    boolean due = nowMicros - lastPassAt >= MAX_INTERVAL_MICROS;
+    if (nowMicros - lastPassAt < intervalMicros()
         || !(clusterState.pollPlacementRequested() || due)) {
       return;
     }
-    lastPass = nowMicros;
+    lastPassAt = nowMicros;
     waiting = placer.pass(nowMicros, recovery::allTasksKnown, fleet.typicalBootMicros());
     if (mayPreempt) {
       preemption.evictIdleConnection(waiting, nowMicros);
     }
-    direct.sendPending(nowMicros);
+    commandSender.sendPending(nowMicros);
   }
 
   /** A pass looks at all jobs and machines: the more there are, the more changes share one. */
   private long intervalMicros() {
-    int looked = clusterState.jobs().size() + clusterState.machines().size();
+    int items = clusterState.jobs().size() + clusterState.machines().size();
     return Math.min(
-        MAX_PLACEMENT_INTERVAL_MICROS,
-        Math.max(
-            PLACEMENT_INTERVAL_MICROS, PLACEMENT_INTERVAL_MICROS * looked / FULL_RATE_MAX_ITEMS));
+        MAX_INTERVAL_MICROS,
+        Math.max(MIN_INTERVAL_MICROS, MIN_INTERVAL_MICROS * items / FULL_RATE_MAX_ITEMS));
   }
 }
--- /dev/null
+++ b/src/main/java/org/dewreach/controller/TermComponents.java
@@ -0,0 +1,163 @@
+package org.dewreach.controller;
+
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import org.dewreach.config.Settings;
+import org.dewreach.heartbeat.DirectCommandSender;
+import org.dewreach.heartbeat.HeartbeatHandler;
+import org.dewreach.leadership.LeaseDelegations;
+import org.dewreach.membership.FleetManager;
+import org.dewreach.membership.RecoveryTracker;
+import org.dewreach.request.JobRequestHandler;
+import org.dewreach.state.ClusterState;
+import org.dewreach.state.ClusterStateLoader;
+import org.dewreach.state.JobRecordWriter;
+import org.dewreach.state.LeaderlessJobImporter;
+import org.dewreach.state.MachineRegistry;
+import org.dewreach.store.CommitQueue;
+import org.dewreach.store.Keys;
+import org.dewreach.store.Precondition;
+import org.dewreach.store.TokenBucket;
+
+/** The components of one term, wired to each other. */
+final class TermComponents {
+  /** Share of the write rate; the rest is left to the election and to other nodes' writes. */
+  private static final double WRITE_RATE_SHARE = 0.9;
+
+  /**
+   * What the term is told by its components.
+   *
+   * @param records told when something became durable
+   * @param onImportFailed told the id of a job that was not imported
+   * @param directReplies told how workers replied to direct commands
+   * @param closed tells whether the term is over
+   */
+  record Callbacks(
+      JobRecordWriter.Listener records,
+      Consumer<String> onImportFailed,
+      DirectCommandSender.ReplyListener directReplies,
+      BooleanSupplier closed) {}
+
+  private final long term;
+  private final NodeServices services;
+  private final Settings settings;
+  final ClusterState clusterState;
+  final CommitQueue queue;
+  final MachineRegistry registry;
+  final LeaseDelegations delegations;
+  final FleetManager fleet;
+  final RecoveryTracker recovery;
+  final CancellationGate cancellationGate;
+  final JobRecordWriter recordWriter;
+  final ClusterStateLoader loader;
+  final LeaderlessJobImporter jobImporter;
+  final JobRequestHandler requestHandler;
+  final DirectCommandSender commandSender;
+  final HeartbeatHandler heartbeatHandler;
+  final PlacementLoop placement;
+  final TermReporter reporter;
+
+  TermComponents(
+      long term,
+      NodeServices services,
+      LeadershipControl control,
+      Callbacks callbacks,
+      long nowMicros) {
+    this.term = term;
+    this.services = services;
+    this.settings = services.settings();
+    this.clusterState = new ClusterState(term, settings.teams(), services.tuning());
+    this.queue = newCommitQueue(control);
+    this.registry =
+        new MachineRegistry(
+            queue,
+            settings.stateLimits().valueBytes(),
+            services.wallOffsetMicros(),
+            callbacks.records());
+    this.delegations = new LeaseDelegations(term, settings, control::lastRenewalAt);
+    this.fleet = newFleetManager(nowMicros);
+    this.recovery = new RecoveryTracker(clusterState, fleet);
+    this.cancellationGate = new CancellationGate(clusterState, settings, delegations, recovery);
+    this.recordWriter = new JobRecordWriter(queue, cancellationGate, callbacks.records());
+    this.loader =
+        new ClusterStateLoader(
+            services.state(),
+            clusterState,
+            registry,
+            services.catalog(),
+            services.wallOffsetMicros());
+    this.jobImporter =
+        new LeaderlessJobImporter(
+            services.state(), clusterState, recordWriter, callbacks.onImportFailed());
+    this.requestHandler = newRequestHandler();
+    this.commandSender =
+        new DirectCommandSender(
+            term,
+            services.outbox(),
+            clusterState,
+            callbacks.directReplies(),
+            settings.limits().connectionsToWorkers());
+    this.heartbeatHandler = newHeartbeatHandler(callbacks.closed());
+    this.placement = newPlacementLoop();
+    this.reporter = new TermReporter(term, clusterState, queue);
+  }
+
+  private CommitQueue newCommitQueue(LeadershipControl control) {
+    double writeRps = settings.stateLimits().writeRps() * WRITE_RATE_SHARE;
+    return new CommitQueue(
+        services.state(),
+        new Precondition(Keys.LEADER, term),
+        settings.stateLimits().txnOps(),
+        new TokenBucket(writeRps, writeRps),
+        control::onKeyLost);
+  }
+
+  private FleetManager newFleetManager(long nowMicros) {
+    return new FleetManager(
+        term,
+        clusterState,
+        registry,
+        delegations,
+        services.cloud(),
+        services.catalog(),
+        settings,
+        services.tuning(),
+        nowMicros,
+        services.wallOffsetMicros());
+  }
+
+  private JobRequestHandler newRequestHandler() {
+    return new JobRequestHandler(
+        clusterState,
+        recordWriter,
+        jobImporter,
+        services.state(),
+        services.finalStates(),
+        services.catalog(),
+        settings,
+        services.wallOffsetMicros());
+  }
+
+  private HeartbeatHandler newHeartbeatHandler(BooleanSupplier closed) {
+    return new HeartbeatHandler(
+        term,
+        services.outbox(),
+        clusterState,
+        services.catalog(),
+        fleet,
+        registry,
+        recordWriter,
+        closed);
+  }
+
+  private PlacementLoop newPlacementLoop() {
+    return new PlacementLoop(
+        clusterState,
+        fleet,
+        recovery,
+        commandSender,
+        settings,
+        services.tuning(),
+        services.wallOffsetMicros());
+  }
+}
--- a/src/main/java/org/dewreach/controller/TermSummary.java
+++ b/src/main/java/org/dewreach/controller/TermReporter.java
@@ -1,6 +1,5 @@
 package org.dewreach.controller;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
@@ -10,9 +9,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts what a term has in hand, for the log and for operators. */
-final class TermSummary {
-  private static final Logger LOG = LoggerFactory.getLogger(TermSummary.class);
+/** Reports what a term manages, in the log and as numbers for operators. */
+final class TermReporter {
+  private static final Logger LOG = LoggerFactory.getLogger(TermReporter.class);
 
   private static final long INTERVAL_MICROS = 10_000_000;
 
@@ -21,56 +20,60 @@
   private final long term;
   private final ClusterState clusterState;
   private final CommitQueue queue;
-  private long nextSummary;
+  private long nextSummaryAt;
 
-  TermSummary(long term, ClusterState clusterState, CommitQueue queue) {
+  TermReporter(long term, ClusterState clusterState, CommitQueue queue) {
     this.term = term;
     this.clusterState = clusterState;
     this.queue = queue;
   }
 
-  /** Logs a summary if it is time. */
+  /** Logs a summary if it is due. */
   void tick(List<TaskPlacer.Waiting> waiting, long nowMicros) {
-    if (nowMicros < nextSummary) {
+    if (nowMicros < nextSummaryAt) {
       return;
     }
-    nextSummary = nowMicros + INTERVAL_MICROS;
-    int tasks = 0;
+    nextSummaryAt = nowMicros + INTERVAL_MICROS;
     int up = 0;
     double cpus = 0;
-    double free = 0;
+    double freeCpus = 0;
     for (Machine machine : clusterState.machines().values()) {
-      tasks += machine.tasks().size();
       if (machine.phase() == MachinePhase.UP) {
         up++;
         cpus += machine.type().cpus();
-        free += machine.freeCpus();
+        freeCpus += machine.freeCpus();
       }
     }
     LOG.info(
-        "term {}: {} jobs, {} machines ({} up, {} of {} CPUs free), {} tasks bound, {} waiting,"
-            + " {} writes queued, the oldest sent {} ms ago",
+        "term summary: term={} jobs={} machines={} up={} cpus={} free_cpus={} tasks_bound={}"
+            + " tasks_waiting={} writes_queued={} oldest_write_ms={}",
         term,
         clusterState.jobs().size(),
         clusterState.machines().size(),
         up,
-        free,
         cpus,
-        tasks,
+        freeCpus,
+        boundTasks(),
         waitingTasks(waiting),
         queue.waiting(),
         queue.transactionAgeMicros(nowMicros) / MICROS_PER_MS);
   }
 
   /** Numbers for operators. */
-  void fill(ObjectNode node, List<TaskPlacer.Waiting> waiting) {
-    int tasks = 0;
-    for (Machine machine : clusterState.machines().values()) {
-      tasks += machine.tasks().size();
-    }
-    node.put("jobs", clusterState.jobs().size());
-    node.put("machines", clusterState.machines().size()).put("tasks_bound", tasks);
-    node.put("tasks_waiting", waitingTasks(waiting)).put("writes_queued", queue.waiting());
+  TermStats stats(LeadershipTerm.Phase phase, List<TaskPlacer.Waiting> waiting) {
+    return new TermStats(
+        phase,
+        clusterState.jobs().size(),
+        clusterState.machines().size(),
+        boundTasks(),
+        waitingTasks(waiting),
+        queue.waiting());
+  }
+
+  private int boundTasks() {
+    return clusterState.machines().values().stream()
+        .mapToInt(machine -> machine.tasks().size())
+        .sum();
   }
 
   private static int waitingTasks(List<TaskPlacer.Waiting> waiting) {
--- /dev/null
+++ b/src/main/java/org/dewreach/controller/UserRequestRouter.java
@@ -0,0 +1,157 @@
+package org.dewreach.controller;
+
+import java.util.function.Consumer;
+import org.dewreach.history.FinalState;
+import org.dewreach.history.FinalStates;
+import org.dewreach.peer.ForwardedReply;
+import org.dewreach.peer.ForwardedRequest;
+import org.dewreach.port.Event;
+import org.dewreach.port.Outbox;
+import org.dewreach.request.ConcurrencyLimiter;
+import org.dewreach.request.LeaderForwarder;
+import org.dewreach.request.LeaderlessRequestHandler;
+import org.dewreach.request.Responder;
+import org.dewreach.request.UserRequest;
+import org.dewreach.request.UserRequestLimits;
+import org.dewreach.request.UserRequestParser;
+import org.dewreach.wire.HttpStatus;
+import org.dewreach.wire.JobSpec;
+import org.dewreach.wire.JobStatus;
+import org.dewreach.wire.UserResponse;
+import org.dewreach.wire.UserResponseCodec;
+
+/**
+ * Routes users' requests: to the final states known here, to the term of this node, to the leader,
+ * or to the handler that needs no leader.
+ */
+final class UserRequestRouter {
+  private final Outbox outbox;
+  private final FinalStates finalStates;
+  private final Leadership leadership;
+  private final EventClock clock;
+  private final UserRequestLimits limits;
+  private final LeaderForwarder forwarder;
+  private final LeaderlessRequestHandler leaderlessHandler;
+
+  UserRequestRouter(NodeServices services, Leadership leadership, EventClock clock, String boot) {
+    this.outbox = services.outbox();
+    this.finalStates = services.finalStates();
+    this.leadership = leadership;
+    this.clock = clock;
+    this.limits = new UserRequestLimits(clock);
+    this.leaderlessHandler =
+        new LeaderlessRequestHandler(
+            services.state(),
+            finalStates,
+            services.catalog(),
+            services.settings(),
+            boot,
+            clock,
+            services.wallOffsetMicros());
+    this.forwarder = new LeaderForwarder(outbox, leaderlessHandler);
+  }
+
+  UserRequestLimits limits() {
+    return limits;
+  }
+
+  /** True if the known leader did not take a request lately. */
+  boolean doubtsLeader() {
+    return forwarder.doubtsLeader(clock.now());
+  }
+
+  /** Handles a request that a user sent to this node. */
+  void onRequest(Event.Request received) {
+    Responder responder = responderTo(received.requestId());
+    UserRequest request =
+        UserRequestParser.parse(received.method(), received.path(), received.body());
+    if (request == null) {
+      responder.respond(UserResponse.empty(HttpStatus.NOT_FOUND));
+      return;
+    }
+    if (request.jobId() == null) {
+      responder.respond(UserResponse.empty(HttpStatus.BAD_REQUEST));
+      return;
+    }
+    if (!JobSpec.isId(request.jobId())) {
+      // No job with such an id can have been accepted.
+      responder.respond(UserResponse.empty(HttpStatus.NOT_FOUND));
+      return;
+    }
+    FinalState finalState = finalStates.get(request.jobId());
+    if (finalState != null) {
+      // Before the load limit, as it takes no time and waits for nothing.
+      respondFinalState(request, finalState, limits.admit(request, responder));
+      return;
+    }
+    if (limits.sheds(request)) {
+      responder.respond(UserResponse.unavailable(ConcurrencyLimiter.BUSY_RETRY_S));
+      return;
+    }
+    dispatch(received, request, limits.admit(request, responder));
+  }
+
+  /** The response to any request about a job that has ended: its final state. */
+  private static void respondFinalState(
+      UserRequest request, FinalState finalState, Responder responder) {
+    String jobId = request.jobId();
+    boolean isQuery = request instanceof UserRequest.Query;
+    JobStatus jobStatus =
+        isQuery
+            ? JobStatus.withCounts(jobId, finalState.jobState(), finalState.done(), 0)
+            : JobStatus.withoutCounts(jobId, finalState.jobState());
+    responder.respond(UserResponse.ok(jobStatus));
+  }
+
+  private void dispatch(Event.Request received, UserRequest request, Responder responder) {
+    if (leadership.term() != null) {
+      // Before a leader may act, or knows what is there, jobs are accepted and read without it.
+      if (leadership.canServe()) {
+        handleAsLeader(request, responder);
+      } else {
+        leaderlessHandler.handle(request, responder);
+      }
+      return;
+    }
+    String leader = leadership.otherLeader();
+    if (leader == null || forwarder.isPausedFor(request, clock.now())) {
+      leaderlessHandler.handle(request, responder);
+      return;
+    }
+    ForwardedRequest message =
+        new ForwardedRequest(received.method(), received.path(), received.body());
+    forwarder.forward(leader, message, request, responder, clock.now());
+  }
+
+  private void handleAsLeader(UserRequest request, Responder responder) {
+    LeadershipTerm term = leadership.term();
+    term.onUserRequest(
+        request, new AuthorityCheckedResponder(leadership, term, responder), clock.now());
+  }
+
+  /** Handles a user's request that another node forwarded to this one as the leader. */
+  void onForwarded(ForwardedRequest message, Consumer<ForwardedReply> reply) {
+    UserRequest request = UserRequestParser.parse(message.method(), message.path(), message.body());
+    Responder responder = response -> reply.accept(new ForwardedReply.Handled(response));
+    boolean valid = request != null && request.jobId() != null;
+    FinalState finalState = valid ? finalStates.get(request.jobId()) : null;
+    if (finalState != null) {
+      respondFinalState(request, finalState, responder);
+    } else if (!valid || !leadership.canServe()) {
+      reply.accept(new ForwardedReply.NotLeading());
+    } else if (limits.sheds(request)) {
+      reply.accept(new ForwardedReply.Busy());
+    } else {
+      handleAsLeader(request, limits.admit(request, responder));
+    }
+  }
+
+  private Responder responderTo(long requestId) {
+    return response ->
+        outbox.respondRetry(
+            requestId,
+            response.status(),
+            UserResponseCodec.encode(response.body()),
+            response.retryAfterSeconds());
+  }
+}
--- a/src/main/java/org/dewreach/wire/HttpStatus.java
+++ b/src/main/java/org/dewreach/wire/HttpStatus.java
@@ -20,6 +20,9 @@
   /** What the request names existed and has ended. */
   public static final int GONE = 410;
 
+  /** Another node is to be asked, which the response names. */
+  public static final int MISDIRECTED = 421;
+
   /** The request is well formed and can never be fulfilled. */
   public static final int UNPROCESSABLE = 422;
 
--- a/src/test/java/org/dewreach/controller/LeadershipTermTest.java
+++ b/src/test/java/org/dewreach/controller/LeadershipTermTest.java
@@ -4,15 +4,11 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import org.dewreach.cloud.CloudClient;
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
-import org.dewreach.history.FinalStates;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
 import org.dewreach.port.Outbox;
-import org.dewreach.state.MachineTypeCatalog;
-import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
 import org.dewreach.wire.Codec;
 import org.dewreach.wire.Heartbeat;
@@ -26,31 +22,37 @@
   private static final Settings SETTINGS = SettingsFixture.twoNodes(LEASE);
 
   private final Outbox outbox = new Outbox();
-  private final KeyValueStore state = new KeyValueStore(outbox);
-  private final CloudClient cloud = new CloudClient(outbox, 100);
-  private final MachineTypeCatalog catalog = new MachineTypeCatalog(state, cloud);
+  private final NodeServices services = NodeServices.create(SETTINGS, Tuning.DEFAULT, outbox, 0);
   private long authorityFrom;
   private boolean answersReads = true;
-  private final LeadershipTerm term =
-      new LeadershipTerm(
-          90,
-          outbox,
-          state,
-          cloud,
-          new FinalStates(),
-          catalog,
-          SETTINGS,
-          Tuning.DEFAULT,
-          now -> now >= authorityFrom,
-          () -> {},
-          () -> {},
-          () -> Long.MIN_VALUE,
-          0,
-          0);
+  private final LeadershipTerm term = new LeadershipTerm(90, services, new Control(), 0);
+
+  /** Authority from {@code authorityFrom} on, for ever. */
+  private final class Control implements LeadershipControl {
+    @Override
+    public boolean hasAuthority(long nowMicros) {
+      return nowMicros >= authorityFrom;
+    }
+
+    @Override
+    public void onKeyLost() {
+      // The term goes on.
+    }
+
+    @Override
+    public void resignUnreachable() {
+      // The term goes on.
+    }
+
+    @Override
+    public long lastRenewalAt() {
+      return Long.MIN_VALUE;
+    }
+  }
 
   /** Answers reads of the cluster state; whatever else is asked for gets no answer. */
   private void tick(long nowMicros) {
-    catalog.tick(nowMicros, true);
+    services.catalog().tick(nowMicros, true);
     term.tick(nowMicros);
     for (List<Effect> open = outbox.drain(); !open.isEmpty(); open = outbox.drain()) {
       for (Effect effect : open) {
@@ -88,12 +90,6 @@
     return answer;
   }
 
-  private String phase() {
-    ObjectNode numbers = Codec.map();
-    term.fill(numbers);
-    return numbers.path("phase").asText();
-  }
-
   private void play(long fromMicros, long untilMicros) {
     for (long at = fromMicros; at < untilMicros; at += 100_000) {
       tick(at);
@@ -108,11 +104,14 @@
   void leasesOfEarlierTermsAreCountedFromWhenTheLeaderMayAct() {
     authorityFrom = 3 * S;
     play(0, 2 * S);
-    assertEquals("RECOVERING", phase());
+    assertEquals(LeadershipTerm.Phase.RECOVERING, term.stats().phase());
     play(2 * S, 3 * S + LEASE);
-    assertEquals("RECOVERING", phase(), "answered at 3 s, it runs tasks until 13 s");
+    assertEquals(
+        LeadershipTerm.Phase.RECOVERING,
+        term.stats().phase(),
+        "answered at 3 s, it runs tasks until 13 s");
     play(3 * S + LEASE, 5 * S + LEASE);
-    assertEquals("ACTIVE", phase());
+    assertEquals(LeadershipTerm.Phase.ACTIVE, term.stats().phase());
   }
 
   /** Guards against leases renewed by a leader that does not know what was cancelled. */
@@ -121,7 +120,7 @@
     answersReads = false;
     tick(S);
     Heartbeat report = new Heartbeat("m1", "x:1", "box", "a", false, 1, 5, 60, -1, List.of());
-    term.report(7, report, S);
+    term.onHeartbeat(7, report, S);
     Effect.Respond respond = (Effect.Respond) outbox.drain().get(0);
     assertEquals(503, respond.status());
     assertEquals(null, respond.body());
--- /dev/null
+++ b/src/test/java/org/dewreach/peer/PeerMessageCodecTest.java
@@ -0,0 +1,96 @@
+package org.dewreach.peer;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Optional;
+import org.dewreach.wire.Codec;
+import org.dewreach.wire.JobState;
+import org.dewreach.wire.JobStatus;
+import org.dewreach.wire.UserResponse;
+import org.junit.jupiter.api.Test;
+
+/** The messages between controllers, with the order of their fields. */
+class PeerMessageCodecTest {
+  private static final ObjectNode JOB = Codec.map().put("uid", "req-1");
+
+  @Test
+  void forwardedRequestsAreReadAsTheyWereWritten() {
+    ForwardedRequest request = new ForwardedRequest("POST", "/work", JOB);
+    ObjectNode message = PeerMessageCodec.encode(request);
+    assertEquals(
+        "{\"method\":\"POST\",\"path\":\"/work\",\"body\":{\"uid\":\"req-1\"}}",
+        message.toString());
+    assertEquals(request, PeerMessageCodec.decodeRequest(message));
+  }
+
+  @Test
+  void aRequestWithoutFieldsNamesNoRequest() {
+    assertEquals(new ForwardedRequest("", "", null), PeerMessageCodec.decodeRequest(Codec.map()));
+  }
+
+  @Test
+  void theLeadersResponseIsReadWithItsBody() {
+    UserResponse response = UserResponse.created(JobStatus.withoutCounts("req-1", JobState.DONE));
+    ObjectNode message = PeerMessageCodec.encode(new ForwardedReply.Handled(response));
+    assertEquals(
+        "{\"status\":201,\"retry\":0,\"body\":{\"uid\":\"req-1\",\"standing\":\"done\"}}",
+        message.toString());
+    assertEquals(
+        new ForwardedReply.Handled(
+            new UserResponse(201, new UserResponse.Relayed(message.get("body")), 0)),
+        PeerMessageCodec.decodeReply(200, message));
+  }
+
+  @Test
+  void aResponseWithoutABodyIsReadWithoutOne() {
+    ForwardedReply reply = new ForwardedReply.Handled(UserResponse.unavailable(1));
+    ObjectNode message = PeerMessageCodec.encode(reply);
+    assertEquals("{\"status\":503,\"retry\":1,\"body\":null}", message.toString());
+    assertEquals(reply, PeerMessageCodec.decodeReply(200, message));
+  }
+
+  @Test
+  void busyAndNotLeadingAreToldApart() {
+    ObjectNode busy = PeerMessageCodec.encode(new ForwardedReply.Busy());
+    assertEquals("{\"status\":503,\"retry\":0,\"body\":null,\"busy\":true}", busy.toString());
+    assertEquals(new ForwardedReply.Busy(), PeerMessageCodec.decodeReply(200, busy));
+    ObjectNode notLeading = PeerMessageCodec.encode(new ForwardedReply.NotLeading());
+    assertEquals(
+        "{\"status\":503,\"retry\":1,\"body\":null,\"leads\":false}", notLeading.toString());
+    assertEquals(new ForwardedReply.NotLeading(), PeerMessageCodec.decodeReply(200, notLeading));
+  }
+
+  @Test
+  void whatIsNoReplyOfALeaderIsNone() {
+    assertEquals(new ForwardedReply.NoReply(), PeerMessageCodec.decodeReply(0, null));
+    assertEquals(new ForwardedReply.NoReply(), PeerMessageCodec.decodeReply(404, Codec.map()));
+    assertEquals(
+        new ForwardedReply.Handled(UserResponse.unavailable(0)),
+        PeerMessageCodec.decodeReply(200, null));
+  }
+
+  @Test
+  void aKnownLeaderIsReadAsItWasWritten() {
+    KnownLeader known = new KnownLeader("n1", 7);
+    ObjectNode message = PeerMessageCodec.encode(known);
+    assertEquals("{\"leader\":\"n1\",\"term\":7}", message.toString());
+    assertEquals(Optional.of(known), PeerMessageCodec.decodeKnownLeader(200, message));
+  }
+
+  @Test
+  void nodesThatKnowNoLeaderTellNone() {
+    ObjectNode message = PeerMessageCodec.encode(new KnownLeader(null, 0));
+    assertEquals("{\"leader\":null,\"term\":0}", message.toString());
+    assertEquals(Optional.empty(), PeerMessageCodec.decodeKnownLeader(200, message));
+    assertEquals(Optional.empty(), PeerMessageCodec.decodeKnownLeader(0, null));
+  }
+
+  @Test
+  void aReplyWithoutTheBodyFieldIsReadWithoutOne() {
+    ForwardedReply reply =
+        PeerMessageCodec.decodeReply(200, Codec.map().put("status", 404).put("retry", 0));
+    assertNull(((ForwardedReply.Handled) reply).response().body());
+  }
+}
--- /dev/null
+++ b/src/test/java/org/dewreach/wire/UserResponseCodecTest.java
@@ -0,0 +1,49 @@
+package org.dewreach.wire;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.junit.jupiter.api.Test;
+
+/** The bodies of responses to users, with the order of their fields. */
+class UserResponseCodecTest {
+  private static String encoded(UserResponse response) {
+    return UserResponseCodec.encode(response.body()).toString();
+  }
+
+  @Test
+  void submissionsAndCancellationsAreToldTheState() {
+    JobStatus accepted = JobStatus.withoutCounts("req-1", JobState.PENDING);
+    assertEquals(
+        "{\"uid\":\"req-1\",\"standing\":\"pending\"}", encoded(UserResponse.created(accepted)));
+    JobStatus cancelled = JobStatus.withoutCounts("req-1", JobState.CANCELLED);
+    assertEquals(
+        "{\"uid\":\"req-1\",\"standing\":\"withdrawn\"}", encoded(UserResponse.ok(cancelled)));
+  }
+
+  @Test
+  void queriesAreToldTheCountsToo() {
+    JobStatus jobStatus = JobStatus.withCounts("req-1", JobState.RUNNING, 2, 0);
+    assertEquals(
+        "{\"uid\":\"req-1\",\"standing\":\"running\",\"done\":2,\"running\":0}",
+        encoded(UserResponse.ok(jobStatus)));
+  }
+
+  @Test
+  void refusalsNameTheError() {
+    assertEquals("{\"error\":\"uid: no\"}", encoded(UserResponse.refused(422, "uid: no")));
+  }
+
+  @Test
+  void relayedBodiesStayAsTheyAre() {
+    ObjectNode body = Codec.map().put("later_field", 1);
+    assertSame(body, UserResponseCodec.encode(new UserResponse.Relayed(body)));
+  }
+
+  @Test
+  void responsesWithoutABodyHaveNone() {
+    assertNull(UserResponseCodec.encode(UserResponse.unavailable(1).body()));
+  }
+}
