--- a/src/main/java/org/dewreach/controller/HeartbeatRouter.java
+++ b/src/main/java/org/dewreach/controller/HeartbeatRouter.java
@@ -62,7 +62,10 @@
     DelegateRenewer delegate = leadership.delegateRenewer();
     if (delegate.tryRenew(heartbeat, clock.now())) {
       outbox.respondUntil(
-          requestId, HttpStatus.OK, delegate.heartbeatResponse(), delegate.delegatedUntil());
+          requestId,
+          HttpStatus.OK,
+          delegate.heartbeatResponse().toNode(),
+          delegate.delegatedUntil());
       return;
     }
     String leader = leadership.otherLeader();
