--- a/src/main/java/org/dewreach/controller/PeerRequestRouter.java
+++ b/src/main/java/org/dewreach/controller/PeerRequestRouter.java
@@ -55,12 +55,14 @@
   private void onMessage(Event.Request request) {
     long requestId = request.requestId();
     switch (request.path()) {
-      case GrantRequest.PATH -> onGrantRequest(requestId, GrantRequest.parse(request.body()));
-      case DelegationRequest.PATH ->
-          onDelegationRequest(requestId, DelegationRequest.parse(request.body()));
+      case PeerMessageCodec.GRANT_PATH ->
+          onGrantRequest(requestId, PeerMessageCodec.decodeGrantRequest(request.body()));
+      case PeerMessageCodec.DELEGATION_PATH ->
+          onDelegationRequest(requestId, PeerMessageCodec.decodeDelegationRequest(request.body()));
       case PeerMessageCodec.FORWARD_PATH ->
           userRequests.onForwarded(
-              PeerMessageCodec.decodeRequest(request.body()), reply -> respond(requestId, reply));
+              PeerMessageCodec.decodeForwardedRequest(request.body()),
+              reply -> respond(requestId, reply));
       default -> outbox.respond(requestId, HttpStatus.NOT_FOUND, null);
     }
   }
@@ -73,7 +75,7 @@
 
   private void onGrantRequest(long requestId, GrantRequest request) {
     boolean granted = leadership.election().grantTo(request.term(), clock.now());
-    outbox.respond(requestId, HttpStatus.OK, new GrantResponse(granted).toNode());
+    outbox.respond(requestId, HttpStatus.OK, PeerMessageCodec.encode(new GrantResponse(granted)));
   }
 
   private void onDelegationRequest(long requestId, DelegationRequest request) {
@@ -81,7 +83,7 @@
         leadership.hasAuthority()
             ? leadership.term().onDelegationRequest(request, clock.now())
             : DelegationResponse.REFUSED;
-    outbox.respond(requestId, HttpStatus.OK, response.toNode());
+    outbox.respond(requestId, HttpStatus.OK, PeerMessageCodec.encode(response));
   }
 
   private void respond(long requestId, ForwardedReply reply) {
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -5,6 +5,7 @@
 import org.dewreach.config.Settings;
 import org.dewreach.peer.DelegationRequest;
 import org.dewreach.peer.DelegationResponse;
+import org.dewreach.peer.PeerMessageCodec;
 import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
 import org.dewreach.store.KeyValueStore;
@@ -122,12 +123,12 @@
     outbox.call(
         new Target.Member(leader),
         "POST",
-        DelegationRequest.PATH,
-        request.toNode(),
+        PeerMessageCodec.DELEGATION_PATH,
+        PeerMessageCodec.encode(request),
         TIMEOUT_MICROS,
         (now, status, answer) -> {
           if (status == HttpStatus.OK && answer != null) {
-            onResponse(leader, DelegationResponse.parse(answer), nowMicros, now);
+            onResponse(leader, PeerMessageCodec.decodeDelegationResponse(answer), nowMicros, now);
           }
         });
   }
--- a/src/main/java/org/dewreach/leadership/LeaderAuthority.java
+++ b/src/main/java/org/dewreach/leadership/LeaderAuthority.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.LongConsumer;
 import org.dewreach.peer.GrantRequest;
-import org.dewreach.peer.GrantResponse;
+import org.dewreach.peer.PeerMessageCodec;
 import org.dewreach.port.ConnectionPool;
 import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
@@ -206,11 +206,12 @@
         new Target.Member(other),
         ConnectionPool.LEADERSHIP,
         "POST",
-        GrantRequest.PATH,
-        new GrantRequest(forTerm).toNode(),
+        PeerMessageCodec.GRANT_PATH,
+        PeerMessageCodec.encode(new GrantRequest(forTerm)),
         REQUEST_TIMEOUT_MICROS,
         (now, status, body) -> {
-          boolean granted = status == HttpStatus.OK && GrantResponse.parse(body).granted();
+          boolean granted =
+              status == HttpStatus.OK && PeerMessageCodec.decodeGrantResponse(body).granted();
           if (granted && leads(forTerm)) {
             grantedUntil.merge(other, sentAt + FollowerGrants.COUNTED_GRANT_MICROS, Math::max);
           }
--- a/src/main/java/org/dewreach/net/Bodies.java
+++ b/src/main/java/org/dewreach/net/Bodies.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
-import org.dewreach.peer.PeerCodec;
+import org.dewreach.peer.MessagePackCodec;
 import org.dewreach.wire.Codec;
 
 /** How bodies are written on a connection. */
@@ -28,12 +28,12 @@
   MESSAGE_PACK {
     @Override
     JsonNode read(byte[] body) throws IOException {
-      return PeerCodec.read(body);
+      return MessagePackCodec.read(body);
     }
 
     @Override
     byte[] write(JsonNode body) {
-      return PeerCodec.write(body);
+      return MessagePackCodec.write(body);
     }
 
     @Override
--- a/src/main/java/org/dewreach/peer/DelegationRequest.java
+++ b/src/main/java/org/dewreach/peer/DelegationRequest.java
@@ -1,9 +1,5 @@
 package org.dewreach.peer;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.dewreach.wire.Codec;
-
 /**
  * A follower asks the leader for how long it may renew the leases of its zone's workers, should it
  * lose contact.
@@ -16,27 +12,6 @@
  */
 public record DelegationRequest(
     String node, long uptimeMicros, long sinceRenewalMicros, long lastResponseMark) {
-  /** Where the leader takes such requests. */
-  public static final String PATH = "/peer/stand-in";
-
   /** No renewal, or no response, so far. */
   public static final long NONE = -1;
-
-  /** Reads the body of a request. */
-  public static DelegationRequest parse(JsonNode body) {
-    return new DelegationRequest(
-        body.path("node").asText(),
-        body.path("up").asLong(0),
-        body.path("answered_ago").asLong(NONE),
-        body.path("echo").asLong(NONE));
-  }
-
-  /** The body of the request. */
-  public ObjectNode toNode() {
-    return Codec.map()
-        .put("node", node)
-        .put("up", uptimeMicros)
-        .put("answered_ago", sinceRenewalMicros)
-        .put("echo", lastResponseMark);
-  }
 }
--- a/src/main/java/org/dewreach/peer/PeerCodec.java
+++ b/src/main/java/org/dewreach/peer/MessagePackCodec.java
@@ -6,13 +6,17 @@
 import java.io.IOException;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** MessagePack bodies to trees and back. */
-public final class PeerCodec {
+/** MessagePack bodies to trees and back, for the messages between controllers. */
+public final class MessagePackCodec {
   private static final ObjectMapper MESSAGE_PACK = new ObjectMapper(new MessagePackFactory());
 
-  private PeerCodec() {}
+  private MessagePackCodec() {}
 
-  /** Decodes a body. */
+  /**
+   * Decodes a body.
+   *
+   * @throws IOException if it is not MessagePack
+   */
   public static JsonNode read(byte[] body) throws IOException {
     return MESSAGE_PACK.readTree(body);
   }
--- a/src/main/java/org/dewreach/peer/PeerMessageCodec.java
+++ b/src/main/java/org/dewreach/peer/PeerMessageCodec.java
@@ -16,6 +16,12 @@
   /** Where a node tells whom it takes for the leader. */
   public static final String LEADER_PATH = "/peer/leader";
 
+  /** Where a controller takes requests for grants. */
+  public static final String GRANT_PATH = "/peer/promise";
+
+  /** Where the leader takes requests for delegations. */
+  public static final String DELEGATION_PATH = "/peer/stand-in";
+
   private PeerMessageCodec() {}
 
   /** Encodes a user's request. */
@@ -26,7 +32,7 @@
   }
 
   /** Decodes a user's request; absent fields are empty texts, which name no request. */
-  public static ForwardedRequest decodeRequest(JsonNode body) {
+  public static ForwardedRequest decodeForwardedRequest(JsonNode body) {
     return new ForwardedRequest(
         body.path("method").asText(), body.path("path").asText(), body.get("body"));
   }
@@ -55,7 +61,7 @@
    * @param httpStatus the status of the call, or 0 if no response came
    * @param body the body of the call's response, or null
    */
-  public static ForwardedReply decodeReply(int httpStatus, JsonNode body) {
+  public static ForwardedReply decodeForwardedReply(int httpStatus, JsonNode body) {
     if (httpStatus != HttpStatus.OK) {
       return new ForwardedReply.NoReply();
     }
@@ -94,4 +100,56 @@
     return Optional.of(
         new KnownLeader(body.path("leader").textValue(), body.path("term").asLong(0)));
   }
+
+  /** Encodes a request for a grant. */
+  public static ObjectNode encode(GrantRequest request) {
+    return Codec.map().put("term", request.term());
+  }
+
+  /** Decodes a request for a grant; a missing term is 0, to which nothing is granted. */
+  public static GrantRequest decodeGrantRequest(JsonNode body) {
+    return new GrantRequest(body.path("term").asLong());
+  }
+
+  /** Encodes the response to a request for a grant. */
+  public static ObjectNode encode(GrantResponse response) {
+    return Codec.map().put("given", response.granted());
+  }
+
+  /** Decodes the response to a request for a grant; without a body nothing is granted. */
+  public static GrantResponse decodeGrantResponse(JsonNode body) {
+    return new GrantResponse(body != null && body.path("given").asBoolean(false));
+  }
+
+  /** Encodes a request for a delegation. */
+  public static ObjectNode encode(DelegationRequest request) {
+    return Codec.map()
+        .put("node", request.node())
+        .put("up", request.uptimeMicros())
+        .put("answered_ago", request.sinceRenewalMicros())
+        .put("echo", request.lastResponseMark());
+  }
+
+  /** Decodes a request for a delegation. */
+  public static DelegationRequest decodeDelegationRequest(JsonNode body) {
+    return new DelegationRequest(
+        body.path("node").asText(),
+        body.path("up").asLong(0),
+        body.path("answered_ago").asLong(DelegationRequest.NONE),
+        body.path("echo").asLong(DelegationRequest.NONE));
+  }
+
+  /** Encodes the response to a request for a delegation; a refusal has the term 0 alone. */
+  public static ObjectNode encode(DelegationResponse response) {
+    ObjectNode map = Codec.map().put("term", response.term());
+    return response.term() == 0
+        ? map
+        : map.put("lent", response.delegatedMicros()).put("at", response.mark());
+  }
+
+  /** Decodes the response to a request for a delegation; missing numbers are 0. */
+  public static DelegationResponse decodeDelegationResponse(JsonNode body) {
+    return new DelegationResponse(
+        body.path("term").asLong(), body.path("lent").asLong(), body.path("at").asLong());
+  }
 }
--- a/src/main/java/org/dewreach/request/LeaderForwarder.java
+++ b/src/main/java/org/dewreach/request/LeaderForwarder.java
@@ -85,7 +85,7 @@
         PeerMessageCodec.encode(message),
         timeoutMicros(request, nowMicros),
         (now, status, body) ->
-            onReply(request, responder, PeerMessageCodec.decodeReply(status, body), now));
+            onReply(request, responder, PeerMessageCodec.decodeForwardedReply(status, body), now));
   }
 
   private long timeoutMicros(UserRequest request, long nowMicros) {
--- a/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
+++ b/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import org.dewreach.config.Settings;
-import org.dewreach.peer.DelegationRequest;
 import org.dewreach.peer.DelegationResponse;
+import org.dewreach.peer.PeerMessageCodec;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
 import org.dewreach.port.Outbox;
@@ -57,8 +57,9 @@
   private void requestDelegation(long atMicros, boolean answered) {
     delegateRenewer.tick("n0", atMicros);
     for (Effect effect : outbox.drain()) {
-      if (effect instanceof Effect.Call call && call.path().equals(DelegationRequest.PATH)) {
-        var answer = new DelegationResponse(7, 30 * S, atMicros).toNode();
+      if (effect instanceof Effect.Call call
+          && call.path().equals(PeerMessageCodec.DELEGATION_PATH)) {
+        var answer = PeerMessageCodec.encode(new DelegationResponse(7, 30 * S, atMicros));
         outbox.reply(atMicros, new Event.Reply(call.callId(), answered ? 200 : 0, answer));
       }
     }
--- a/src/test/java/org/dewreach/peer/PeerMessageCodecTest.java
+++ b/src/test/java/org/dewreach/peer/PeerMessageCodecTest.java
@@ -22,12 +22,13 @@
     assertEquals(
         "{\"method\":\"POST\",\"path\":\"/work\",\"body\":{\"uid\":\"req-1\"}}",
         message.toString());
-    assertEquals(request, PeerMessageCodec.decodeRequest(message));
+    assertEquals(request, PeerMessageCodec.decodeForwardedRequest(message));
   }
 
   @Test
   void aRequestWithoutFieldsNamesNoRequest() {
-    assertEquals(new ForwardedRequest("", "", null), PeerMessageCodec.decodeRequest(Codec.map()));
+    assertEquals(
+        new ForwardedRequest("", "", null), PeerMessageCodec.decodeForwardedRequest(Codec.map()));
   }
 
   @Test
@@ -40,7 +41,7 @@
     assertEquals(
         new ForwardedReply.Handled(
             new UserResponse(201, new UserResponse.Relayed(message.get("body")), 0)),
-        PeerMessageCodec.decodeReply(200, message));
+        PeerMessageCodec.decodeForwardedReply(200, message));
   }
 
   @Test
@@ -48,27 +49,29 @@
     ForwardedReply reply = new ForwardedReply.Handled(UserResponse.unavailable(1));
     ObjectNode message = PeerMessageCodec.encode(reply);
     assertEquals("{\"status\":503,\"retry\":1,\"body\":null}", message.toString());
-    assertEquals(reply, PeerMessageCodec.decodeReply(200, message));
+    assertEquals(reply, PeerMessageCodec.decodeForwardedReply(200, message));
   }
 
   @Test
   void busyAndNotLeadingAreToldApart() {
     ObjectNode busy = PeerMessageCodec.encode(new ForwardedReply.Busy());
     assertEquals("{\"status\":503,\"retry\":0,\"body\":null,\"busy\":true}", busy.toString());
-    assertEquals(new ForwardedReply.Busy(), PeerMessageCodec.decodeReply(200, busy));
+    assertEquals(new ForwardedReply.Busy(), PeerMessageCodec.decodeForwardedReply(200, busy));
     ObjectNode notLeading = PeerMessageCodec.encode(new ForwardedReply.NotLeading());
     assertEquals(
         "{\"status\":503,\"retry\":1,\"body\":null,\"leads\":false}", notLeading.toString());
-    assertEquals(new ForwardedReply.NotLeading(), PeerMessageCodec.decodeReply(200, notLeading));
+    assertEquals(
+        new ForwardedReply.NotLeading(), PeerMessageCodec.decodeForwardedReply(200, notLeading));
   }
 
   @Test
   void whatIsNoReplyOfALeaderIsNone() {
-    assertEquals(new ForwardedReply.NoReply(), PeerMessageCodec.decodeReply(0, null));
-    assertEquals(new ForwardedReply.NoReply(), PeerMessageCodec.decodeReply(404, Codec.map()));
+    assertEquals(new ForwardedReply.NoReply(), PeerMessageCodec.decodeForwardedReply(0, null));
+    assertEquals(
+        new ForwardedReply.NoReply(), PeerMessageCodec.decodeForwardedReply(404, Codec.map()));
     assertEquals(
         new ForwardedReply.Handled(UserResponse.unavailable(0)),
-        PeerMessageCodec.decodeReply(200, null));
+        PeerMessageCodec.decodeForwardedReply(200, null));
   }
 
   @Test
@@ -90,7 +93,33 @@
   @Test
   void aReplyWithoutTheBodyFieldIsReadWithoutOne() {
     ForwardedReply reply =
-        PeerMessageCodec.decodeReply(200, Codec.map().put("status", 404).put("retry", 0));
+        PeerMessageCodec.decodeForwardedReply(200, Codec.map().put("status", 404).put("retry", 0));
     assertNull(((ForwardedReply.Handled) reply).response().body());
   }
+
+  @Test
+  void grantsAreReadAsTheyWereWritten() {
+    ObjectNode request = PeerMessageCodec.encode(new GrantRequest(5));
+    assertEquals("{\"term\":5}", request.toString());
+    assertEquals(new GrantRequest(5), PeerMessageCodec.decodeGrantRequest(request));
+    ObjectNode response = PeerMessageCodec.encode(new GrantResponse(true));
+    assertEquals("{\"given\":true}", response.toString());
+    assertEquals(new GrantResponse(true), PeerMessageCodec.decodeGrantResponse(response));
+    assertEquals(new GrantResponse(false), PeerMessageCodec.decodeGrantResponse(null));
+  }
+
+  @Test
+  void delegationsAreReadAsTheyWereWritten() {
+    DelegationRequest request = new DelegationRequest("n2", 9, DelegationRequest.NONE, 4);
+    ObjectNode message = PeerMessageCodec.encode(request);
+    assertEquals("{\"node\":\"n2\",\"up\":9,\"answered_ago\":-1,\"echo\":4}", message.toString());
+    assertEquals(request, PeerMessageCodec.decodeDelegationRequest(message));
+    DelegationResponse response = new DelegationResponse(3, 20, 8);
+    ObjectNode answer = PeerMessageCodec.encode(response);
+    assertEquals("{\"term\":3,\"lent\":20,\"at\":8}", answer.toString());
+    assertEquals(response, PeerMessageCodec.decodeDelegationResponse(answer));
+    ObjectNode refusal = PeerMessageCodec.encode(DelegationResponse.REFUSED);
+    assertEquals("{\"term\":0}", refusal.toString());
+    assertEquals(DelegationResponse.REFUSED, PeerMessageCodec.decodeDelegationResponse(refusal));
+  }
 }
--- a/src/test/java/org/dewreach/wire/CodecTest.java
+++ b/src/test/java/org/dewreach/wire/CodecTest.java
@@ -10,7 +10,7 @@
 import java.math.BigDecimal;
 import java.math.BigInteger;
 import java.util.HexFormat;
-import org.dewreach.peer.PeerCodec;
+import org.dewreach.peer.MessagePackCodec;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -44,7 +44,9 @@
     JsonNode read = Codec.read(CBOR.writeValueAsBytes(body));
     assertEquals(4.25, read.path("amount").doubleValue());
     assertEquals(body.path("big"), read.path("big"));
-    assertEquals("\ud83d\ude00", PeerCodec.read(PeerCodec.write(read)).path("text").textValue());
+    assertEquals(
+        "\ud83d\ude00",
+        MessagePackCodec.read(MessagePackCodec.write(read)).path("text").textValue());
     assertEquals(read, Codec.read(Codec.write(read)));
   }
 }
