--- a/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
@@ -10,7 +10,7 @@
 import org.dewreach.cloud.RentalResult;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
@@ -75,7 +75,7 @@
   }
 
   /** Repeats requests that are due, then rents for the waiting tasks. Called once a round. */
-  public void scaleOut(long nowMicros, List<TaskPlacer.Waiting> waiting) {
+  public void scaleOut(long nowMicros, List<UnplacedTasks> waiting) {
     repeatDueRequests(nowMicros);
     if (catalog.types().isEmpty() || openRequests.size() >= MAX_OPEN_REQUESTS) {
       return;
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -174,7 +174,7 @@
     jobImporter.tick(nowMicros);
     placement.tick(phase == Phase.ACTIVE, nowMicros);
     boolean everyTaskKnown = phase == Phase.ACTIVE || clusterState.machines().isEmpty();
-    fleet.tick(nowMicros, placement.waiting(), everyTaskKnown);
+    fleet.tick(nowMicros, placement.unplaced(), everyTaskKnown);
     if (fleet.partitionedFromWorkers()) {
       // Guards against a leader that keeps its key and receives no heartbeat until all leases
       // expire.
@@ -186,12 +186,12 @@
       nextProgressAt = nowMicros + PROGRESS_INTERVAL_MICROS;
       advanceJobs(nowMicros);
     }
-    reporter.tick(placement.waiting(), nowMicros);
+    reporter.tick(placement.unplaced(), nowMicros);
   }
 
   /** Numbers for operators. */
   TermStats stats() {
-    return reporter.stats(phase, placement.waiting());
+    return reporter.stats(phase, placement.unplaced());
   }
 
   private void updateRecovery(long nowMicros) {
--- a/src/main/java/org/dewreach/controller/PlacementLoop.java
+++ b/src/main/java/org/dewreach/controller/PlacementLoop.java
@@ -9,6 +9,7 @@
 import org.dewreach.placement.QueueOrder;
 import org.dewreach.scheduling.Preemption;
 import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 
 /** Runs placement passes, at intervals that depend on the cluster's size. */
@@ -29,7 +30,7 @@
   private final TaskPlacer placer;
   private final Preemption preemption;
   private long lastPassAt;
-  private List<TaskPlacer.Waiting> waiting = List.of();
+  private List<UnplacedTasks> unplaced = List.of();
 
   PlacementLoop(
       ClusterState clusterState,
@@ -54,8 +55,8 @@
   }
 
   /** The jobs whose tasks found no place in the last pass. */
-  List<TaskPlacer.Waiting> waiting() {
-    return waiting;
+  List<UnplacedTasks> unplaced() {
+    return unplaced;
   }
 
   /**
@@ -70,9 +71,9 @@
       return;
     }
     lastPassAt = nowMicros;
-    waiting = placer.pass(nowMicros, recovery::allTasksKnown, fleet.typicalBootMicros());
+    unplaced = placer.placeTasks(nowMicros, recovery::allTasksKnown, fleet.typicalBootMicros());
     if (mayPreempt) {
-      preemption.evictIdleConnection(waiting, nowMicros);
+      preemption.preempt(unplaced, nowMicros);
     }
     commandSender.sendPending(nowMicros);
   }
--- a/src/main/java/org/dewreach/controller/TermReporter.java
+++ b/src/main/java/org/dewreach/controller/TermReporter.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 import org.dewreach.store.CommitQueue;
 import org.slf4j.Logger;
@@ -29,7 +29,7 @@
   }
 
   /** Logs a summary if it is due. */
-  void tick(List<TaskPlacer.Waiting> waiting, long nowMicros) {
+  void tick(List<UnplacedTasks> unplaced, long nowMicros) {
     if (nowMicros < nextSummaryAt) {
       return;
     }
@@ -54,19 +54,19 @@
         cpus,
         freeCpus,
         boundTasks(),
-        waitingTasks(waiting),
+        unplacedTaskCount(unplaced),
         queue.waiting(),
         queue.transactionAgeMicros(nowMicros) / MICROS_PER_MS);
   }
 
   /** Numbers for operators. */
-  TermStats stats(LeadershipTerm.Phase phase, List<TaskPlacer.Waiting> waiting) {
+  TermStats stats(LeadershipTerm.Phase phase, List<UnplacedTasks> unplaced) {
     return new TermStats(
         phase,
         clusterState.jobs().size(),
         clusterState.machines().size(),
         boundTasks(),
-        waitingTasks(waiting),
+        unplacedTaskCount(unplaced),
         queue.waiting());
   }
 
@@ -76,7 +76,7 @@
         .sum();
   }
 
-  private static int waitingTasks(List<TaskPlacer.Waiting> waiting) {
-    return waiting.stream().mapToInt(TaskPlacer.Waiting::tasks).sum();
+  private static int unplacedTaskCount(List<UnplacedTasks> unplaced) {
+    return unplaced.stream().mapToInt(UnplacedTasks::tasks).sum();
   }
 }
--- a/src/main/java/org/dewreach/membership/FleetManager.java
+++ b/src/main/java/org/dewreach/membership/FleetManager.java
@@ -12,7 +12,7 @@
 import org.dewreach.model.Machine;
 import org.dewreach.scheduling.ServiceMigrator;
 import org.dewreach.scheduling.TaskConsolidator;
-import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
@@ -91,7 +91,7 @@
    * @param waiting the tasks that found no place in the last placement pass
    * @param mayScale true if every machine of earlier terms is accounted for
    */
-  public void tick(long nowMicros, List<TaskPlacer.Waiting> waiting, boolean mayScale) {
+  public void tick(long nowMicros, List<UnplacedTasks> waiting, boolean mayScale) {
     if (nowMicros < nextRoundAt) {
       return;
     }
@@ -101,8 +101,8 @@
     if (mayScale) {
       // Before all machines are accounted for, what looks idle may be needed in a moment.
       scaleInPolicy.cordonSpareMachines(nowMicros, waiting);
-      serviceMigrator.move(nowMicros);
-      consolidator.move(nowMicros);
+      serviceMigrator.migrate(nowMicros);
+      consolidator.consolidate(nowMicros);
       scaleInPolicy.releaseIdleMachines(nowMicros);
       scaleOut.scaleOut(nowMicros, waiting);
     }
--- a/src/main/java/org/dewreach/request/RetryCounts.java
+++ b/src/main/java/org/dewreach/request/RetryCounts.java
@@ -22,8 +22,8 @@
   String summary() {
     return counts.entrySet().stream()
         .filter(entry -> entry.getValue() > 0)
-        .map(entry -> entry.getKey().label() + " " + entry.getValue())
-        .collect(Collectors.joining(", "));
+        .map(entry -> entry.getKey().label() + "=" + entry.getValue())
+        .collect(Collectors.joining(" "));
   }
 
   /** The counts of all reasons, in the order of the reasons. */
