--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -108,7 +108,7 @@
         LOG.info("task failed: task={} machine={}", task.name(), machine.name());
         quarantine.onTaskFailed(machine, job, nowMicros);
       }
-      case FULL -> machine.refusedAt(nowMicros);
+      case FULL -> machine.startRefusedAt(nowMicros);
       case IN_USE -> job.backoff().avoidMachine(machine.name(), nowMicros + IN_USE_PAUSE_MICROS);
       case NO_SUCH -> job.backoff().delayUntil(nowMicros + MISSING_IMAGE_PAUSE_MICROS);
       case STOPPED, NONE -> {
--- a/src/main/java/org/dewreach/model/Admission.java
+++ b/src/main/java/org/dewreach/model/Admission.java
@@ -9,22 +9,22 @@
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MachineType;
 
-/** Whether a job can ever run (422 if not). */
+/** Decides whether a job can ever run; a submission that cannot is answered with 422. */
 public final class Admission {
-  private static final double EPS = 1e-9;
+  private static final double AMOUNT_TOLERANCE = 1e-9;
 
   private Admission() {}
 
   /** Why the job can never run, or null if it can. */
-  public static String refusal(
+  public static String rejectionReason(
       JobSpec spec, Map<String, Settings.Team> teams, List<MachineType> catalog) {
     Settings.Team team = teams.get(spec.team());
     if (team == null) {
       return "unknown team";
     }
-    int together = spec.jobKind() == JobKind.ARRAY ? 1 : spec.tasks();
-    if (spec.cpus() * together > team.cpusMax() + EPS
-        || spec.gpus() * together > team.gpusMax() + EPS) {
+    int parallelTasks = spec.jobKind() == JobKind.ARRAY ? 1 : spec.tasks();
+    if (spec.cpus() * parallelTasks > team.cpusMax() + AMOUNT_TOLERANCE
+        || spec.gpus() * parallelTasks > team.gpusMax() + AMOUNT_TOLERANCE) {
       return "more than the team's limit";
     }
     Set<String> zones = new HashSet<>();
@@ -49,8 +49,8 @@
   /** True if a task of the job may run on an empty machine of the type. */
   public static boolean fits(JobSpec spec, MachineType type) {
     return (spec.types() == null || spec.types().contains(type.name()))
-        && spec.cpus() <= type.cpus() + EPS
-        && spec.gpus() <= type.gpus() + EPS
-        && spec.memoryGb() <= type.memoryGb() + EPS;
+        && spec.cpus() <= type.cpus() + AMOUNT_TOLERANCE
+        && spec.gpus() <= type.gpus() + AMOUNT_TOLERANCE
+        && spec.memoryGb() <= type.memoryGb() + AMOUNT_TOLERANCE;
   }
 }
--- a/src/main/java/org/dewreach/model/DirectCommands.java
+++ b/src/main/java/org/dewreach/model/DirectCommands.java
@@ -7,7 +7,7 @@
 
 /**
  * The commands that the leader sent straight to a machine's worker, rather than in the answer to a
- * report: the starts of the worker's incarnation, and the command that is on its way.
+ * heartbeat: the starts of the worker's incarnation, and the command that is on its way.
  */
 public final class DirectCommands {
   private final LongOpenHashSet attempts = new LongOpenHashSet();
@@ -17,13 +17,13 @@
 
   DirectCommands() {}
 
-  /** The worker has begun a new incarnation: what it was sent before is over. */
+  /** Forgets what was sent before: the worker has begun a new incarnation. */
   void onNewIncarnation() {
     attempts.clear();
     tasks.clear();
   }
 
-  /** An attempt that the worker must not forget in this incarnation. */
+  /** Records the start of an attempt. */
   public void recordStart(TaskName task, long attempt) {
     attempts.add(attempt);
     tasks.add(task);
--- a/src/main/java/org/dewreach/model/DirectStart.java
+++ b/src/main/java/org/dewreach/model/DirectStart.java
@@ -6,7 +6,7 @@
   NONE,
   /** Sent; no answer yet. */
   SENT,
-  /** The worker answered: its report shows whether the task is there. */
+  /** The worker answered: its heartbeat shows whether the task is there. */
   ANSWERED,
   /** No answer came: the worker may still carry it out, minutes later. */
   LOST
--- a/src/main/java/org/dewreach/model/FailureHistory.java
+++ b/src/main/java/org/dewreach/model/FailureHistory.java
@@ -21,19 +21,19 @@
     return failureCount;
   }
 
-  /** A task of the job failed here. */
+  /** Records that a task of the job failed here. */
   public void recordFailure(String jobId) {
     jobs.add(jobId);
     failureCount++;
   }
 
-  /** A task completed here: what failed before says nothing about the machine. */
+  /** Records that a task completed here: earlier failures say nothing about the machine. */
   public void recordSuccess() {
     failureCount = 0;
     jobs.clear();
   }
 
-  /** True if the machine is taken for faulty: it is given nothing new. */
+  /** True if the machine is taken for faulty: nothing new is placed on it. */
   public boolean quarantined() {
     return quarantinedAt >= 0;
   }
@@ -43,12 +43,12 @@
     return quarantinedAt;
   }
 
-  /** It is taken for faulty. */
+  /** Takes the machine for faulty from now on. */
   public void quarantine(long nowMicros) {
     quarantinedAt = nowMicros;
   }
 
-  /** What failed here failed elsewhere too. */
+  /** Ends the quarantine: what failed here failed elsewhere too. */
   public void endQuarantine() {
     quarantinedAt = -1;
     failureCount = 0;
--- a/src/main/java/org/dewreach/model/ImageCache.java
+++ b/src/main/java/org/dewreach/model/ImageCache.java
@@ -28,12 +28,12 @@
     this.fetchGbPerS = fetchGbPerS;
   }
 
-  /** True if the image is there or being fetched. */
+  /** True if the image is cached or being fetched. */
   boolean has(String image) {
     return images.containsKey(image);
   }
 
-  /** Time until a task's image would be there, with the fetches in progress sharing the rate. */
+  /** Time until a task's image would be cached, with the fetches in progress sharing the rate. */
   long fetchMicros(JobSpec spec) {
     Image known = images.get(spec.image());
     if (known != null && known.fetched()) {
@@ -46,12 +46,12 @@
     return fetchGbPerS > 0 ? Math.round(gb / fetchGbPerS * MICROS_PER_SECOND) : 0;
   }
 
-  /** The image of a job is there. */
+  /** Records that the image of a job is cached. */
   void recordFetched(JobSpec spec) {
     images.put(spec.image(), new Image(spec.imageGb(), true));
   }
 
-  /** A task needs its image; the least recently used ones make way for it. */
+  /** Records that a task needs its image; the least recently used ones are evicted for it. */
   void use(JobSpec spec) {
     Image known = images.remove(spec.image());
     images.put(spec.image(), known != null ? known : new Image(spec.imageGb(), false));
@@ -64,7 +64,7 @@
     }
   }
 
-  /** A task has left: a fetch that no other task waits for is given up. */
+  /** Records that a task has left: a fetch that no other task waits for is abandoned. */
   void release(String image, Predicate<String> stillNeeded) {
     Image known = images.get(image);
     if (known != null && !known.fetched() && !stillNeeded.test(image)) {
--- a/src/main/java/org/dewreach/model/Job.java
+++ b/src/main/java/org/dewreach/model/Job.java
@@ -24,9 +24,12 @@
   private JobState finalState;
   private long cancelRequestedAt;
   private long cancelledAt = Long.MIN_VALUE / 2;
-  private int cursor;
+
+  /** Where the search for the next pending task begins; it wraps around. */
+  private int nextPendingFrom;
+
   private int doneCount;
-  private int boundOpen;
+  private int boundNotDone;
   private final Object2IntOpenHashMap<String> boundInZone = new Object2IntOpenHashMap<>();
 
   /**
@@ -43,7 +46,7 @@
     this.phase = phase;
   }
 
-  /** The one function for every change of state. */
+  /** Changes the state; nothing else does. */
   public void become(JobPhase next) {
     boolean legal =
         switch (next) {
@@ -70,7 +73,7 @@
     return phase == JobPhase.ACTIVE || phase == JobPhase.CANCEL_REQUESTED;
   }
 
-  /** What it is to end as, once it is being finished. */
+  /** What it ends as, once it is being finalized; null before. */
   public JobState finalState() {
     return finalState;
   }
@@ -102,7 +105,7 @@
     return submittedThisTerm;
   }
 
-  /** What is stored of it. */
+  /** What the key-value store holds of it. */
   public StoredRecord record() {
     return record;
   }
@@ -135,7 +138,7 @@
     cancelledAt = micros;
   }
 
-  /** The tasks done, for reading; {@link #markDone} changes it. */
+  /** The completed tasks, for reading; {@link #markDone} changes them. */
   public BitSet done() {
     return done;
   }
@@ -145,7 +148,7 @@
     return doneCount;
   }
 
-  /** A task has completed; false if that was known. */
+  /** Marks a task as done; false if it was marked before. */
   public boolean markDone(int index) {
     if (index >= spec.tasks() || done.get(index)) {
       return false;
@@ -153,12 +156,12 @@
     done.set(index);
     doneCount++;
     if (bound.containsKey(index)) {
-      boundOpen--;
+      boundNotDone--;
     }
     return true;
   }
 
-  /** What the job's record says is done, when it is loaded. */
+  /** Sets the tasks that the stored record says are done, when the job is loaded. */
   public void restoreProgress(BitSet saved) {
     done.or(saved);
     doneCount = done.cardinality();
@@ -185,17 +188,16 @@
     if (bound.put(task.index(), task) != null) {
       throw new IllegalStateException(task.name() + " is bound already");
     }
-    boundOpen += done.get(task.index()) ? 0 : 1;
+    boundNotDone += done.get(task.index()) ? 0 : 1;
     boundInZone.addTo(task.machine().zone(), 1);
   }
 
-  /** Takes back a binding; the task is pending again unless it is done. */
+  /** Unbinds a task; it is pending again unless it is done. */
   public void unbind(Task task) {
     bound.remove(task.index());
-    boundOpen -= done.get(task.index()) ? 0 : 1;
+    boundNotDone -= done.get(task.index()) ? 0 : 1;
     boundInZone.addTo(task.machine().zone(), -1);
-    // Look for what is pending from there again.
-    cursor = Math.min(cursor, task.index());
+    nextPendingFrom = Math.min(nextPendingFrom, task.index());
   }
 
   /** True if a bound task was not seen to have begun: it may yet, as long as it is bound. */
@@ -215,16 +217,16 @@
 
   /** Tasks that are neither done nor bound to a machine; counted, since every pass asks. */
   public int pending() {
-    return spec.tasks() - doneCount - boundOpen;
+    return spec.tasks() - doneCount - boundNotDone;
   }
 
   /** The lowest task that is neither done nor bound, or -1. */
   public int nextPending() {
-    int next = pendingAfter(cursor - 1);
+    int next = pendingAfter(nextPendingFrom - 1);
     if (next < 0) {
       next = pendingAfter(-1);
     }
-    cursor = Math.max(0, next);
+    nextPendingFrom = Math.max(0, next);
     return next;
   }
 
@@ -243,17 +245,17 @@
     return phase == JobPhase.ACTIVE;
   }
 
-  /** What its user is told. */
+  /** Its state as its user sees it. */
   public JobState jobState() {
     return switch (phase) {
       case CANCELLED -> JobState.CANCELLED;
-      case FINALIZING -> finalState == JobState.CANCELLED ? finalState : progress();
+      case FINALIZING -> finalState == JobState.CANCELLED ? finalState : unfinishedState();
       case ENDED -> finalState;
-      case PERSISTING, ACTIVE, CANCEL_REQUESTED, CANCEL_COMMITTING -> progress();
+      case PERSISTING, ACTIVE, CANCEL_REQUESTED, CANCEL_COMMITTING -> unfinishedState();
     };
   }
 
-  private JobState progress() {
+  private JobState unfinishedState() {
     return doneCount > 0 || running() > 0 ? JobState.RUNNING : JobState.PENDING;
   }
 
--- a/src/main/java/org/dewreach/model/Machine.java
+++ b/src/main/java/org/dewreach/model/Machine.java
@@ -18,8 +18,8 @@
   private final FailureHistory failures = new FailureHistory();
   private final HeartbeatState heartbeats;
   private final DirectCommands directCommands = new DirectCommands();
-  private final ImageCache images;
-  private final ResourceUsage used = new ResourceUsage();
+  private final ImageCache imageCache;
+  private final ResourceUsage resourceUsage = new ResourceUsage();
   private final boolean commandedByEarlierTerm;
   private MachinePhase phase;
   private String address;
@@ -29,7 +29,7 @@
   private long reclaimAt = -1;
   private boolean cordoned;
   private boolean everUp;
-  private long refusedAt = Long.MIN_VALUE / 2;
+  private long startRefusedAt = Long.MIN_VALUE / 2;
   private boolean reconciled;
   private boolean requireToken;
 
@@ -49,7 +49,7 @@
     this.name = name;
     this.address = address;
     this.type = type;
-    this.images = new ImageCache(type.cacheGb(), type.fetchGbPerS());
+    this.imageCache = new ImageCache(type.cacheGb(), type.fetchGbPerS());
     this.zone = zone;
     this.spot = spot;
     this.phase = phase;
@@ -59,7 +59,7 @@
     this.heartbeats = new HeartbeatState(nowMicros);
   }
 
-  /** The one function for every change of state. */
+  /** Changes the state; nothing else does. */
   public void become(MachinePhase next, long nowMicros) {
     if (phase == MachinePhase.GONE) {
       throw new IllegalStateException(name + " is gone and cannot become " + next);
@@ -85,7 +85,7 @@
     return address;
   }
 
-  /** Its worker told where it takes commands. */
+  /** Sets where its worker takes commands. */
   public void address(String newAddress) {
     address = newAddress;
   }
@@ -116,24 +116,25 @@
   }
 
   /**
-   * Nobody rented or listed it, as far as this leader knows: a report of it may be a late copy from
-   * a machine that is gone, so only one that shows our own token is believed.
+   * Marks a machine that was neither rented nor listed, as far as this leader knows: a heartbeat of
+   * it may be a late copy from a machine that is gone, so only one with this term's fencing token
+   * is believed.
    */
   public void requireToken() {
     requireToken = true;
   }
 
-  /** True if only a report that shows our own token is believed. */
+  /** True if only a heartbeat with this term's fencing token is believed. */
   public boolean requiresToken() {
     return requireToken;
   }
 
-  /** True once it is known what is left of the tasks that earlier leaders started there. */
+  /** True once it is known which tasks of earlier leaders are left on it. */
   public boolean reconciled() {
     return reconciled;
   }
 
-  /** It is known what is left of the tasks of earlier leaders. */
+  /** Marks it as reconciled: it is known which tasks of earlier leaders are left on it. */
   public void markReconciled() {
     reconciled = true;
   }
@@ -164,12 +165,12 @@
     heartbeats.recordSequence(incarnation, sequence);
   }
 
-  /** Since when it is known of. */
+  /** Since when it is known. */
   public long knownSince() {
     return knownSince;
   }
 
-  /** Sets since when it is known of. */
+  /** Sets since when it is known. */
   public void knownSince(long micros) {
     knownSince = micros;
   }
@@ -189,57 +190,57 @@
     reclaimAt = micros;
   }
 
-  /** True if it is to run empty, since the others have room enough. */
+  /** True if nothing new is placed on it, since the others have capacity enough. */
   public boolean cordoned() {
     return cordoned;
   }
 
-  /** Sets whether it is to run empty. */
+  /** Sets whether nothing new is placed on it. */
   public void cordoned(boolean now) {
     cordoned = now;
   }
 
-  /** The tasks that failed here, and whether it is taken for faulty. */
+  /** The tasks that failed on it, and whether it is quarantined for them. */
   public FailureHistory failures() {
     return failures;
   }
 
-  /** True if it is taken for faulty: it is given nothing new. */
+  /** True if it is taken for faulty: nothing new is placed on it. */
   public boolean quarantined() {
     return failures.quarantined();
   }
 
-  /** When its worker last refused a start that the cluster state said would fit. */
-  public long refusedAt() {
-    return refusedAt;
+  /** When its worker last refused a start that should have fitted by the cluster state. */
+  public long startRefusedAt() {
+    return startRefusedAt;
   }
 
-  /** Its worker refused a start. */
-  public void refusedAt(long nowMicros) {
-    refusedAt = nowMicros;
+  /** Sets when its worker refused a start. */
+  public void startRefusedAt(long nowMicros) {
+    startRefusedAt = nowMicros;
   }
 
-  /** What was sent straight to its worker in this incarnation. */
+  /** The commands that were sent straight to its worker in this incarnation. */
   public DirectCommands directCommands() {
     return directCommands;
   }
 
-  /** True if the image is there, as far as we have seen, or on its way for another task. */
+  /** True if the image is cached there, as far as is known, or being fetched for another task. */
   public boolean hasImage(String image) {
-    return images.has(image);
+    return imageCache.has(image);
   }
 
   /**
-   * Time until a task's image would be here, with the images that are still to be fetched sharing
-   * the machine's rate.
+   * Time until a task's image would be fetched, with the fetches in progress sharing the machine's
+   * rate.
    */
   public long fetchMicros(JobSpec spec) {
-    return images.fetchMicros(spec);
+    return imageCache.fetchMicros(spec);
   }
 
-  /** A task runs, so its image is here. */
+  /** Records that the job's image is cached: a task of it runs. */
   public void recordImageFetched(JobSpec spec) {
-    images.recordFetched(spec);
+    imageCache.recordFetched(spec);
   }
 
   /** The tasks bound to it. */
@@ -247,7 +248,7 @@
     return tasks.values();
   }
 
-  /** The task of that name, or null if it is not bound here. */
+  /** The task of that name, or null if it is not bound to this machine. */
   public Task task(TaskName taskName) {
     return tasks.get(taskName);
   }
@@ -257,26 +258,26 @@
     if (tasks.put(task.name(), task) != null) {
       throw new IllegalStateException(task.name() + " is bound to " + name + " already");
     }
-    used.add(task.spec());
-    images.use(task.spec());
+    resourceUsage.add(task.spec());
+    imageCache.use(task.spec());
   }
 
-  /** A task is proven gone. */
+  /** Unbinds a task that is proven gone. */
   public void unbind(Task task, long nowMicros) {
     if (!tasks.remove(task.name(), task)) {
       throw new IllegalStateException(task.name() + " is not bound to " + name);
     }
-    used.remove(task.spec());
-    images.release(task.spec().image(), this::needsImage);
+    resourceUsage.remove(task.spec());
+    imageCache.release(task.spec().image(), this::needsImage);
     if (tasks.isEmpty()) {
-      used.clear();
+      resourceUsage.clear();
       idleSince = nowMicros;
     }
   }
 
-  /** True if a task of lesser urgency is bound here. */
-  public boolean hasTaskBelow(Priority than) {
-    return used.hasTaskBelow(than);
+  /** True if a task of a lower priority is bound to it. */
+  public boolean hasTaskBelow(Priority priority) {
+    return resourceUsage.hasTaskBelow(priority);
   }
 
   private boolean needsImage(String image) {
@@ -285,25 +286,25 @@
 
   /** CPUs that no bound task takes. */
   public double freeCpus() {
-    return type.cpus() - used.cpus();
+    return type.cpus() - resourceUsage.cpus();
   }
 
   /** GPUs that no bound task takes. */
   public double freeGpus() {
-    return type.gpus() - used.gpus();
+    return type.gpus() - resourceUsage.gpus();
   }
 
   /** Memory that no bound task takes. */
   public double freeMemoryGb() {
-    return type.memoryGb() - used.memoryGb();
+    return type.memoryGb() - resourceUsage.memoryGb();
   }
 
-  /** True if new tasks may be placed here. */
+  /** True if new tasks may be placed on it. */
   public boolean schedulable() {
     return !cordoned && schedulableOnceUncordoned();
   }
 
-  /** True if it could take new tasks once it were no longer to run empty. */
+  /** True if new tasks could be placed on it if it were not cordoned. */
   public boolean schedulableOnceUncordoned() {
     return phase == MachinePhase.UP
         && recorded
--- a/src/main/java/org/dewreach/model/MachinePhase.java
+++ b/src/main/java/org/dewreach/model/MachinePhase.java
@@ -2,13 +2,13 @@
 
 /** Named states of a machine in the leader's cluster state. */
 public enum MachinePhase {
-  /** Rented; it has never reported. */
+  /** Rented; it has never sent a heartbeat. */
   BOOTING,
   /** Recorded by an earlier leader and not heard of under this term: anything may run there. */
   UNKNOWN,
-  /** It reports, but saw our token only with the last answer: its task list may be outdated. */
+  /** It sends heartbeats, but without this term's token yet: its task list may be outdated. */
   UNCONFIRMED,
-  /** It reports under our term: its task list is the truth. */
+  /** It sends heartbeats with this term's token: its task list is current. */
   UP,
   /** Its lease is over, and all that ran there with it; it may come back in a later incarnation. */
   LOST,
--- a/src/main/java/org/dewreach/model/ResourceUsage.java
+++ b/src/main/java/org/dewreach/model/ResourceUsage.java
@@ -10,19 +10,22 @@
   private double gpus;
   private double memoryGb;
 
+  /** CPUs in use. */
   double cpus() {
     return cpus;
   }
 
+  /** GPUs in use. */
   double gpus() {
     return gpus;
   }
 
+  /** Memory in use. */
   double memoryGb() {
     return memoryGb;
   }
 
-  /** A task was bound. */
+  /** Adds a task that was bound. */
   void add(JobSpec spec) {
     tasksByPriority[spec.priority().ordinal()]++;
     cpus += spec.cpus();
@@ -30,7 +33,7 @@
     memoryGb += spec.memoryGb();
   }
 
-  /** A task has left. */
+  /** Subtracts a task that was unbound. */
   void remove(JobSpec spec) {
     tasksByPriority[spec.priority().ordinal()]--;
     cpus -= spec.cpus();
@@ -38,17 +41,17 @@
     memoryGb -= spec.memoryGb();
   }
 
-  /** The last task has left: sums of decimal amounts keep a rest, and nothing is in use. */
+  /** Sets all amounts to 0 after the last task has left: sums of fractions may keep a remainder. */
   void clear() {
     cpus = 0;
     gpus = 0;
     memoryGb = 0;
   }
 
-  /** True if a task that the given urgency goes before is bound. */
-  boolean hasTaskBelow(Priority than) {
+  /** True if a task of a lower priority is bound. */
+  boolean hasTaskBelow(Priority bound) {
     for (Priority priority : Priority.values()) {
-      if (tasksByPriority[priority.ordinal()] > 0 && than.above(priority)) {
+      if (tasksByPriority[priority.ordinal()] > 0 && bound.above(priority)) {
         return true;
       }
     }
--- a/src/main/java/org/dewreach/model/RestartCheck.java
+++ b/src/main/java/org/dewreach/model/RestartCheck.java
@@ -4,7 +4,7 @@
 public enum RestartCheck {
   /** Nothing points to it. */
   NONE,
-  /** A report came that is either a late copy of its first or the first of a new worker. */
+  /** A heartbeat came that is either a late copy of its first or the first of a new worker. */
   CHECKING,
   /** The machine itself has shown a lower count than before. */
   CONFIRMED
--- a/src/main/java/org/dewreach/model/Task.java
+++ b/src/main/java/org/dewreach/model/Task.java
@@ -17,7 +17,7 @@
   private boolean stopSentDirectly;
   private boolean begun;
 
-  /** An attempt that was just bound. */
+  /** An attempt that is bound just now. */
   public Task(Job job, int index, long attempt, Machine machine, TaskPhase phase, long nowMicros) {
     this.job = job;
     this.index = index;
@@ -30,7 +30,7 @@
     this.begun = phase == TaskPhase.RUNNING || phase == TaskPhase.STOPPING;
   }
 
-  /** The one function for every change of state. */
+  /** Changes the state; nothing else does. */
   public void become(TaskPhase next, long nowMicros) {
     if (phase == TaskPhase.GONE) {
       throw new IllegalStateException(name() + " is gone and cannot become " + next);
@@ -97,7 +97,9 @@
     return begun;
   }
 
-  /** True if a direct start is on its way, or was lost: its absence in a report proves nothing. */
+  /**
+   * True if a direct start is on its way, or was lost: its absence from a heartbeat proves nothing.
+   */
   public boolean mayStartLate() {
     return directStart == DirectStart.SENT || directStart == DirectStart.LOST;
   }
@@ -112,7 +114,7 @@
     return stopSentDirectly;
   }
 
-  /** Notes that a stop was sent directly. */
+  /** Records that a stop was sent directly to its worker. */
   public void markStopSentDirectly() {
     stopSentDirectly = true;
   }
--- a/src/main/java/org/dewreach/model/TaskPhase.java
+++ b/src/main/java/org/dewreach/model/TaskPhase.java
@@ -2,9 +2,9 @@
 
 /** Named states of a task that is bound to a machine. Unbound tasks need no record. */
 public enum TaskPhase {
-  /** Room is taken in the leader's record; no start was sent yet. */
+  /** Bound in the leader's cluster state; no start was sent yet. */
   ASSIGNED,
-  /** A start was sent; no report shows the task yet. */
+  /** A start was sent; no heartbeat shows the task yet. */
   STARTING,
   /** The machine fetches the image. */
   PULLING,
--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -118,7 +118,7 @@
     }
     if (!catalog.known()) {
       respondUnlessKnown(jobId, responder, () -> responder.respondRetry(RetryReason.NO_CATALOG));
-    } else if (Admission.refusal(spec, settings.teams(), catalog.types()) != null) {
+    } else if (Admission.rejectionReason(spec, settings.teams(), catalog.types()) != null) {
       respondUnlessKnown(
           jobId, responder, () -> responder.respond(UserResponse.empty(HttpStatus.UNPROCESSABLE)));
     } else {
--- a/src/main/java/org/dewreach/request/SubmissionHandler.java
+++ b/src/main/java/org/dewreach/request/SubmissionHandler.java
@@ -69,7 +69,7 @@
       responder.respondRetry(RetryReason.WRITES_STALLED);
       return;
     }
-    String refusal = Admission.refusal(spec, settings.teams(), catalog.types());
+    String refusal = Admission.rejectionReason(spec, settings.teams(), catalog.types());
     if (refusal != null) {
       refuseUnlessKnown(jobId, responder, HttpStatus.UNPROCESSABLE, refusal, nowMicros);
       return;
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -294,7 +294,7 @@
   }
 
   static boolean refusedLately(Machine machine, long nowMicros) {
-    return nowMicros - machine.refusedAt() <= REFUSAL_PAUSE_MICROS;
+    return nowMicros - machine.startRefusedAt() <= REFUSAL_PAUSE_MICROS;
   }
 
   private Predicate<Machine> allowed(Job job, long nowMicros) {
