--- /dev/null
+++ b/src/test/java/org/dewreach/autoscaling/RefusalBackoffTest.java
@@ -0,0 +1,54 @@
+package org.dewreach.autoscaling;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.dewreach.wire.MachineType;
+import org.junit.jupiter.api.Test;
+
+/** For how long a pool without machines is left out: {@link RefusalBackoff}. */
+class RefusalBackoffTest {
+  private static final long S = 1_000_000;
+
+  private final RefusalBackoff refusals = new RefusalBackoff();
+
+  private static MachinePool pool(double price, String zone, boolean spot) {
+    MachineType type =
+        new MachineType("box", 8, 0, 32, 50, 1, price, price, 20 * S, List.of("a", "b"));
+    return new MachinePool(type, zone, spot);
+  }
+
+  private static MachinePool pool() {
+    return pool(1, "a", false);
+  }
+
+  @Test
+  void thePauseDoublesUpToItsMaximum() {
+    long now = 0;
+    for (long pause : new long[] {8 * S, 16 * S, 32 * S, 40 * S, 40 * S}) {
+      refusals.onRefused(pool(), now);
+      assertFalse(refusals.available(pool(), now + pause - 1));
+      assertTrue(refusals.available(pool(), now + pause));
+      now += pause;
+    }
+  }
+
+  @Test
+  void aGrantEndsThePauseAndTheDoubling() {
+    refusals.onRefused(pool(), 0);
+    refusals.onRefused(pool(), 0);
+    refusals.onGranted(pool());
+    assertTrue(refusals.available(pool(), 0));
+    refusals.onRefused(pool(), 0);
+    assertTrue(refusals.available(pool(), 8 * S));
+  }
+
+  @Test
+  void aRefusalHoldsForOnePoolWhateverItsPrice() {
+    refusals.onRefused(pool(), 0);
+    assertFalse(refusals.available(pool(2, "a", false), S), "prices move");
+    assertTrue(refusals.available(pool(1, "b", false), S));
+    assertTrue(refusals.available(pool(1, "a", true), S));
+  }
+}
--- a/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
@@ -8,10 +8,9 @@
 import java.util.Map;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.wire.JobKind;
+import org.dewreach.testing.JobSpecBuilder;
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MachineType;
-import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
 /** What is rented for waiting tasks: {@link ScalingPlanner}. */
@@ -31,28 +30,16 @@
   }
 
   /** A job of tasks that take half a machine each and run on ordinary machines only. */
-  private static JobSpec job(String id, int tasks, String zone, boolean together, boolean scatter) {
-    return new JobSpec(
-        id,
-        "l",
-        "t",
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        tasks,
-        4,
-        0,
-        1,
-        "i",
-        1,
-        null,
-        zone,
-        together,
-        scatter,
-        false,
-        10_000_000,
-        0,
-        0,
-        -1);
+  private static JobSpec job(
+      String id, int tasks, String zone, boolean sameZone, boolean spreadZones) {
+    return JobSpecBuilder.array(id)
+        .tasks(tasks)
+        .cpus(4)
+        .zone(zone)
+        .sameZone(sameZone)
+        .spreadZones(spreadZones)
+        .spot(false)
+        .build();
   }
 
   private static JobSpec together(String id, int tasks) {
@@ -181,28 +168,7 @@
   /** Guards against requests above the cloud's limit, and against planning without end. */
   @Test
   void theLargestJobAsksForNoMoreThanARequestHolds() {
-    JobSpec spec =
-        new JobSpec(
-            "req-1",
-            "l",
-            "t",
-            JobKind.ARRAY,
-            Priority.NORMAL,
-            100_000,
-            1,
-            0,
-            1,
-            "i",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            10_000_000,
-            0,
-            0,
-            -1);
+    JobSpec spec = JobSpecBuilder.array("req-1").tasks(100_000).build();
     MachineType type =
         new MachineType("box", 8, 0, 32, 50, 1, 1, 0.3, 20_000_000, List.of("a", "b"));
     List<Rental> rentals =
--- /dev/null
+++ b/src/test/java/org/dewreach/membership/FailureDetectorTest.java
@@ -0,0 +1,165 @@
+package org.dewreach.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.dewreach.config.Settings;
+import org.dewreach.controller.SettingsFixture;
+import org.dewreach.leadership.LeaseDelegations;
+import org.dewreach.model.Machine;
+import org.dewreach.model.MachinePhase;
+import org.dewreach.model.RestartCheck;
+import org.dewreach.testing.ClusterFixture;
+import org.dewreach.wire.MachineType;
+import org.junit.jupiter.api.Test;
+
+/** What heartbeats and leases say about machines: {@link FailureDetector}. */
+class FailureDetectorTest {
+  private static final long S = 1_000_000;
+
+  /** Heartbeats come each second, leases last 10 s. */
+  private static final Settings SETTINGS = SettingsFixture.twoNodes(10 * S);
+
+  private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
+
+  private final FailureDetector detector =
+      new FailureDetector(
+          new LeaseDelegations(ClusterFixture.TERM, SETTINGS, () -> Long.MIN_VALUE),
+          SETTINGS.workers(),
+          0);
+
+  private static Machine up(String name, long lastHeartbeat) {
+    Machine machine = ClusterFixture.newUpMachine(name, TYPE, false);
+    machine.heartbeats().recordHeartbeat(lastHeartbeat);
+    return machine;
+  }
+
+  private static List<Machine> machines(String prefix, int count, long lastHeartbeat) {
+    List<Machine> machines = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      machines.add(up(prefix + i, lastHeartbeat));
+    }
+    return machines;
+  }
+
+  private FleetHealth assess(List<Machine> machines, long nowMicros) {
+    return detector.assess(machines, nowMicros);
+  }
+
+  private MachineCondition condition(Machine machine, long nowMicros) {
+    FleetHealth health = assess(List.of(machine), nowMicros);
+    return health.byCondition().keySet().iterator().next();
+  }
+
+  @Test
+  void aMachineIsOverdueBeforeItIsSilent() {
+    Machine machine = up("m1", 20 * S);
+    assertEquals(List.of(), assess(List.of(machine), 22_500_000).overdue());
+    assertEquals(List.of(machine), assess(List.of(machine), 22_500_001).overdue());
+    assertEquals(MachineCondition.RESPONSIVE, condition(machine, 24_500_000));
+    assertEquals(MachineCondition.SILENT, condition(machine, 24_500_001));
+  }
+
+  @Test
+  void silenceCountsFromTheMomentOfAuthority() {
+    Machine machine = up("m1", 0);
+    assertTrue(detector.isSilent(machine, 10 * S));
+    detector.onAuthorityGained(9 * S);
+    assertFalse(detector.isSilent(machine, 10 * S));
+  }
+
+  @Test
+  void aLeaseExpiresAfterItsLengthWithDriftAndMargin() {
+    Machine machine = up("m1", 20 * S);
+    machine.heartbeats().recordLeaseRenewal(20 * S);
+    assertFalse(detector.leaseExpired(machine, 30_320_000));
+    assertTrue(detector.leaseExpired(machine, 30_320_001));
+    machine.heartbeats().restartCheck(RestartCheck.CHECKING);
+    assertFalse(detector.leaseExpired(machine, 60 * S), "a new worker has a lease of its own");
+  }
+
+  @Test
+  void aWorkerThatMayHaveRestartedIsTakenForRestartedOnceItIsSilent() {
+    Machine machine = up("m1", 20 * S);
+    machine.heartbeats().restartCheck(RestartCheck.CHECKING);
+    assertEquals(MachineCondition.RESPONSIVE, condition(machine, 21 * S));
+    assertEquals(MachineCondition.RESTARTED, condition(machine, 30 * S));
+    machine.heartbeats().restartCheck(RestartCheck.CONFIRMED);
+    assertEquals(MachineCondition.RESTARTED, condition(machine, 21 * S));
+  }
+
+  @Test
+  void aMachineThatMissesRepliesIsNeitherOverdueNorReachable() {
+    Machine machine = up("m1", 20 * S);
+    machine.heartbeats().recordReplyDelivery(false);
+    machine.heartbeats().recordReplyDelivery(false);
+    FleetHealth health = assess(List.of(machine), 21 * S);
+    assertEquals(List.of(machine), health.in(MachineCondition.MISSES_REPLIES));
+    assertEquals(List.of(), health.overdue());
+    assertEquals(0, health.reachable());
+  }
+
+  @Test
+  void aMachineHasThreeBootTimesAndHalfAMinuteToComeUp() {
+    Machine machine = ClusterFixture.newMachine("m1", TYPE, false, MachinePhase.BOOTING);
+    assertEquals(MachineCondition.BOOTING, condition(machine, 45 * S));
+    assertEquals(MachineCondition.NEVER_UP, condition(machine, 45 * S + 1));
+  }
+
+  @Test
+  void aLostMachineIsWaitedForFor75Seconds() {
+    Machine machine = up("m1", 20 * S);
+    machine.become(MachinePhase.LOST, 31 * S);
+    assertEquals(MachineCondition.LOST, condition(machine, 95 * S));
+    assertEquals(MachineCondition.LOST_FOR_GOOD, condition(machine, 95 * S + 1));
+    machine.become(MachinePhase.TERMINATING, 96 * S);
+    assertEquals(MachineCondition.LEAVING, condition(machine, 96 * S));
+  }
+
+  @Test
+  void upToAThirdOfTheReachableMachinesIsFew() {
+    List<Machine> machines = machines("up", 12, 20 * S);
+    machines.addAll(machines("away", 4, 0));
+    assertTrue(assess(machines, 21 * S).fewUnreachable());
+    machines.addAll(machines("more", 1, 0));
+    assertFalse(assess(machines, 21 * S).fewUnreachable());
+  }
+
+  @Test
+  void lostMachinesCountAmongTheUnreachable() {
+    List<Machine> machines = machines("up", 12, 20 * S);
+    machines.addAll(machines("away", 4, 0));
+    Machine lost = up("lost", 0);
+    lost.become(MachinePhase.LOST, 11 * S);
+    machines.add(lost);
+    assertFalse(assess(machines, 21 * S).fewUnreachable());
+  }
+
+  @Test
+  void aPartitionHasToShowInTwoRoundsOnceWorkersHadTimeToFindTheLeader() {
+    PartitionDetector partition = new PartitionDetector(SETTINGS);
+    FleetHealth away = assess(machines("away", 3, 0), 20 * S);
+    assertTrue(away.nearlyAllUnreachable());
+    // One other node: 1.25 s for the last heartbeat, 5 s for the other node, 1 s margin.
+    partition.onRound(away, 7_250_000);
+    partition.onRound(away, 7_250_000);
+    assertFalse(partition.partitionedFromWorkers(), "workers may still be looking for the leader");
+    partition.onRound(away, 7_250_001);
+    assertFalse(partition.partitionedFromWorkers(), "one round only");
+    partition.onRound(away, 8_250_001);
+    assertTrue(partition.partitionedFromWorkers());
+    partition.onRound(assess(machines("up", 1, 20 * S), 21 * S), 9 * S);
+    assertFalse(partition.partitionedFromWorkers());
+  }
+
+  @Test
+  void twoMachinesAwayAreNoPartition() {
+    assertFalse(assess(machines("away", 2, 0), 20 * S).nearlyAllUnreachable());
+    List<Machine> machines = machines("away", 5, 0);
+    machines.addAll(machines("up", 2, 20 * S));
+    assertFalse(assess(machines, 21 * S).nearlyAllUnreachable());
+  }
+}
--- a/src/test/java/org/dewreach/membership/FleetManagerTest.java
+++ b/src/test/java/org/dewreach/membership/FleetManagerTest.java
@@ -9,7 +9,6 @@
 import org.dewreach.controller.SettingsFixture;
 import org.dewreach.leadership.LeaseDelegations;
 import org.dewreach.model.Job;
-import org.dewreach.model.JobPhase;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.port.Outbox;
@@ -17,29 +16,28 @@
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.store.KeyValueStore;
-import org.dewreach.wire.JobKind;
-import org.dewreach.wire.JobSpec;
+import org.dewreach.testing.ClusterFixture;
+import org.dewreach.testing.JobSpecBuilder;
 import org.dewreach.wire.MachineType;
-import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
-/** When a machine that is taken for faulty is given up. */
+/** When a machine that is taken for faulty is released. */
 class FleetManagerTest {
   private static final long S = 1_000_000;
-  private static final MachineType TYPE =
-      new MachineType("box", 8, 0, 32, 50, 1, 1, 0.3, 5 * S, List.of("a"));
+  private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
   private static final Settings SETTINGS = SettingsFixture.twoNodes(10 * S);
 
   private final Outbox outbox = new Outbox();
   private final CloudClient cloud = new CloudClient(outbox, 100);
-  private final ClusterState clusterState = new ClusterState(90, SETTINGS.teams(), Tuning.DEFAULT);
+  private final ClusterFixture cluster = new ClusterFixture(SETTINGS.teams());
+  private final ClusterState clusterState = cluster.state();
   private final MachineRegistry registry = new MachineRegistry(null, 8192, 0, null);
-  private final FleetManager desk =
+  private final FleetManager fleet =
       new FleetManager(
-          90,
+          ClusterFixture.TERM,
           clusterState,
           registry,
-          new LeaseDelegations(90, SETTINGS, () -> Long.MIN_VALUE),
+          new LeaseDelegations(ClusterFixture.TERM, SETTINGS, () -> Long.MIN_VALUE),
           cloud,
           new MachineTypeCatalog(new KeyValueStore(outbox), cloud),
           SETTINGS,
@@ -48,42 +46,14 @@
           0);
 
   private Machine machine(String name) {
-    Machine machine = new Machine(name, "", TYPE, "a", false, MachinePhase.BOOTING, 0);
-    machine.recorded(true);
-    machine.become(MachinePhase.UP, 0);
-    clusterState.add(machine);
-    return machine;
+    return cluster.add(ClusterFixture.newUpMachine(name, TYPE, false));
   }
 
   private Job job(String id) {
-    JobSpec spec =
-        new JobSpec(
-            id,
-            "scan",
-            "red",
-            JobKind.ARRAY,
-            Priority.NORMAL,
-            4,
-            1,
-            0,
-            1,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            10 * S,
-            0,
-            0,
-            -1);
-    Job job = new Job(spec, 0, true, JobPhase.ACTIVE);
-    clusterState.jobs().put(id, job);
-    return job;
+    return cluster.submitted(JobSpecBuilder.array(id).tasks(4).build());
   }
 
-  /** Each machine reports, and the desk has its round, each second. */
+  /** Each machine sends a heartbeat, and the fleet manager has its round, each second. */
   private void play(long fromMicros, long untilMicros) {
     for (long at = fromMicros; at <= untilMicros; at += S) {
       long now = at;
@@ -91,7 +61,7 @@
           .machines()
           .values()
           .forEach(machine -> machine.heartbeats().recordHeartbeat(now));
-      desk.tick(now, List.of(), false);
+      fleet.tick(now, List.of(), false);
     }
   }
 
@@ -102,7 +72,7 @@
 
   /**
    * Red without {@code MachineDrainer.MAX_QUARANTINE_MICROS}: a job whose tasks take 20 s to fail
-   * cannot have failed elsewhere within 8 s, and the healthy machine was returned.
+   * cannot have failed elsewhere within 8 s, and the healthy machine was released.
    */
   @Test
   void aMachineIsKeptWhileItsJobsAreTriedElsewhere() {
@@ -117,7 +87,7 @@
   }
 
   @Test
-  void aMachineIsReturnedSoonOnceItsJobsCompleteElsewhere() {
+  void aMachineIsReleasedSoonOnceItsJobsCompleteElsewhere() {
     Machine machine = machine("m1");
     List<Job> jobs = List.of(job("req-1"), job("req-2"));
     jobs.forEach(job -> failed(machine, job, S));
--- /dev/null
+++ b/src/test/java/org/dewreach/model/HeartbeatStateTest.java
@@ -0,0 +1,40 @@
+package org.dewreach.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** What the heartbeats of a worker tell: {@link HeartbeatState}. */
+class HeartbeatStateTest {
+  private final HeartbeatState heartbeats = new HeartbeatState(0);
+
+  @Test
+  void aHeartbeatIsNewerByItsIncarnationFirstAndThenByItsSequence() {
+    heartbeats.recordSequence(4, 7);
+    assertTrue(heartbeats.isNewer(5, 0));
+    assertTrue(heartbeats.isNewer(4, 8));
+    assertFalse(heartbeats.isNewer(4, 7));
+    assertFalse(heartbeats.isNewer(3, 9));
+  }
+
+  @Test
+  void twoMissedRepliesInARowShowThatNoneArrive() {
+    heartbeats.recordReplyDelivery(false);
+    assertFalse(heartbeats.missesReplies());
+    heartbeats.recordReplyDelivery(false);
+    assertTrue(heartbeats.missesReplies());
+    heartbeats.recordReplyDelivery(true);
+    assertFalse(heartbeats.missesReplies());
+  }
+
+  @Test
+  void aMachineIsUnreachableUntilItsNextHeartbeat() {
+    heartbeats.markUnreachable();
+    assertTrue(heartbeats.unreachable());
+    heartbeats.recordHeartbeat(9);
+    assertFalse(heartbeats.unreachable());
+    assertEquals(9, heartbeats.lastHeartbeat());
+  }
+}
--- /dev/null
+++ b/src/test/java/org/dewreach/model/RetryBackoffTest.java
@@ -0,0 +1,70 @@
+package org.dewreach.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** When and where a job that failed is tried again: {@link RetryBackoff}. */
+class RetryBackoffTest {
+  private static final long S = 1_000_000;
+
+  private final RetryBackoff backoff = new RetryBackoff();
+
+  @Test
+  void failuresOnOneMachineCountOnce() {
+    backoff.recordFailure("m1", S);
+    backoff.recordFailure("m1", 2 * S);
+    assertTrue(backoff.failedOnce());
+    assertFalse(backoff.failsRepeatedly());
+    assertEquals(0, backoff.notBefore(), "one machine says nothing about the job");
+  }
+
+  @Test
+  void thePauseDoublesWithEachFurtherMachineUpToAMinute() {
+    backoff.recordFailure("m1", 0);
+    backoff.recordFailure("m2", 0);
+    assertTrue(backoff.failsRepeatedly());
+    assertEquals(2 * S, backoff.notBefore());
+    backoff.recordFailure("m3", 0);
+    assertEquals(4 * S, backoff.notBefore());
+    for (int i = 4; i < 20; i++) {
+      backoff.recordFailure("m" + i, 0);
+    }
+    assertEquals(60 * S, backoff.notBefore());
+  }
+
+  @Test
+  void aMachineIsAvoidedForAMinute() {
+    backoff.recordFailure("m1", S);
+    assertEquals(Set.of("m1"), backoff.avoidedMachines(61 * S - 1));
+    assertEquals(Set.of(), backoff.avoidedMachines(61 * S));
+  }
+
+  @Test
+  void theMachineAvoidedLongestIsForgottenWhenThereAreMany() {
+    for (int i = 0; i < 9; i++) {
+      backoff.avoidMachine("m" + i, 10 * S);
+    }
+    assertEquals(8, backoff.avoidedMachines(S).size());
+    assertFalse(backoff.avoidedMachines(S).contains("m0"));
+  }
+
+  @Test
+  void aSuccessEndsThePauseAndForgetsTheFailures() {
+    backoff.recordFailure("m1", 0);
+    backoff.recordFailure("m2", 0);
+    backoff.recordSuccess();
+    assertEquals(0, backoff.notBefore());
+    assertFalse(backoff.failedOnce());
+  }
+
+  @Test
+  void aDelayNeverShortensAPause() {
+    backoff.delayUntil(5 * S);
+    backoff.delayUntil(3 * S);
+    assertEquals(5 * S, backoff.notBefore());
+  }
+}
