--- a/src/main/java/org/dewreach/membership/MachineDrainer.java
+++ b/src/main/java/org/dewreach/membership/MachineDrainer.java
@@ -104,7 +104,8 @@
   }
 
   /**
-   * True if a machine is quarantined and the jobs that failed there have been tried elsewhere.
+   * True if a machine is quarantined and has had time to be cleared by its jobs failing elsewhere
+   * too.
    *
    * <p>Guards against healthy machines released for jobs that take a while to fail: the second
    * failure, which shows that it is the job, comes no sooner than the first one did.
@@ -113,12 +114,12 @@
     if (!machine.quarantined()) {
       return false;
     }
-    boolean triedElsewhere =
+    boolean stillTriedElsewhere =
         machine.failures().jobs().stream()
             .map(clusterState.jobs()::get)
             .anyMatch(job -> job != null && job.backoff().failedOnce());
     return nowMicros - machine.failures().quarantinedAt()
-        > (triedElsewhere ? MAX_QUARANTINE_MICROS : QUARANTINE_GRACE_MICROS);
+        > (stillTriedElsewhere ? MAX_QUARANTINE_MICROS : QUARANTINE_GRACE_MICROS);
   }
 
   /** True if a task has far more left to run, by its owner's estimate, than the time given. */
--- a/src/main/java/org/dewreach/wire/ListedMachine.java
+++ b/src/main/java/org/dewreach/wire/ListedMachine.java
@@ -7,15 +7,16 @@
 import java.util.List;
 
 /**
- * One entry of the cloud's machine list (`GET /rentals`). The list may be older than the last.
+ * One entry of the cloud's list of machines (`GET /rentals`). The list lags behind, and a later one
+ * may be older than an earlier one.
  *
  * @param name the machine's unique name
- * @param address where its worker takes commands; empty while it is not known
+ * @param address where its worker takes commands; empty while that is not known
  * @param type the name of its machine type
- * @param zone where it is
+ * @param zone the zone it is in
  * @param spot true if the cloud may take it away
- * @param failed true if it has ended by itself
- * @param ageMicros time since it was rented
+ * @param failed true if it has stopped by itself
+ * @param ageMicros time since it was rented, at the time that the list describes
  */
 public record ListedMachine(
     String name,
--- a/src/main/java/org/dewreach/wire/MachineType.java
+++ b/src/main/java/org/dewreach/wire/MachineType.java
@@ -10,14 +10,14 @@
  * One entry of the cloud's catalog (`GET /catalog`). Prices are per hour.
  *
  * @param name the type's name
- * @param cpus what a machine of the type has
- * @param gpus what a machine of the type has
- * @param memoryGb what a machine of the type has
- * @param cacheGb room for images
+ * @param cpus CPUs of a machine
+ * @param gpus GPUs of a machine
+ * @param memoryGb memory of a machine
+ * @param cacheGb size of its image cache
  * @param fetchGbPerS the rate at which images are fetched
- * @param price of an ordinary machine
- * @param spotPrice of a spot machine
- * @param bootMicros time from renting to the first report
+ * @param price price of an on-demand machine
+ * @param spotPrice price of a spot machine
+ * @param bootMicros time from renting to the first heartbeat
  * @param zones where the type is offered
  */
 public record MachineType(
@@ -32,7 +32,7 @@
     long bootMicros,
     List<String> zones) {
 
-  /** Parses the catalog. */
+  /** Parses the catalog, as the cloud sends it and as it is stored. */
   public static List<MachineType> parseCatalog(JsonNode body) throws MalformedException {
     if (!(Fields.map(body).get("builds") instanceof ArrayNode list)) {
       throw new MalformedException("builds: list expected");
--- /dev/null
+++ b/src/test/java/org/dewreach/membership/MachineHealthMonitorTest.java
@@ -0,0 +1,112 @@
+package org.dewreach.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.dewreach.autoscaling.ScaleInExecutor;
+import org.dewreach.config.Settings;
+import org.dewreach.controller.SettingsFixture;
+import org.dewreach.leadership.LeaseDelegations;
+import org.dewreach.model.Job;
+import org.dewreach.model.Machine;
+import org.dewreach.model.MachinePhase;
+import org.dewreach.model.TaskPhase;
+import org.dewreach.testing.ClusterFixture;
+import org.dewreach.testing.JobSpecBuilder;
+import org.dewreach.wire.MachineType;
+import org.junit.jupiter.api.Test;
+
+/** What is done about machines that are silent or lost: {@link MachineHealthMonitor}. */
+class MachineHealthMonitorTest {
+  private static final long S = 1_000_000;
+
+  /** Heartbeats come each second, leases last 10 s. */
+  private static final Settings SETTINGS = SettingsFixture.oneNode();
+
+  private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
+
+  private final ClusterFixture cluster = new ClusterFixture(SETTINGS.teams());
+  private final FailureDetector detector =
+      new FailureDetector(
+          new LeaseDelegations(ClusterFixture.TERM, SETTINGS, () -> Long.MIN_VALUE),
+          SETTINGS.workers(),
+          0);
+  private final MachineHealthMonitor monitor =
+      new MachineHealthMonitor(
+          cluster.state(),
+          detector,
+          new PartitionDetector(SETTINGS),
+          new ScaleInExecutor(cluster.state(), null, null));
+
+  private List<Machine> up(String prefix, int count) {
+    List<Machine> machines = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      machines.add(cluster.add(ClusterFixture.newUpMachine(prefix + i, TYPE, false)));
+    }
+    heartbeats(machines, 0);
+    return machines;
+  }
+
+  private static void heartbeats(List<Machine> machines, long nowMicros) {
+    machines.forEach(machine -> machine.heartbeats().recordHeartbeat(nowMicros));
+    machines.forEach(machine -> machine.heartbeats().recordLeaseRenewal(nowMicros));
+  }
+
+  private static void assertPhase(MachinePhase expected, List<Machine> machines) {
+    machines.forEach(machine -> assertEquals(expected, machine.phase(), machine.name()));
+  }
+
+  @Test
+  void aSilentMachineIsReleasedWhileTheOthersAreHeard() {
+    List<Machine> silent = up("silent", 1);
+    List<Machine> heard = up("heard", 5);
+    Job job = cluster.submitted(JobSpecBuilder.array("req-1").build());
+    cluster.bind(job, 0, silent.get(0), TaskPhase.RUNNING, 0);
+    heartbeats(heard, 5 * S);
+    monitor.checkMachines(5 * S);
+    assertPhase(MachinePhase.TERMINATING, silent);
+    assertPhase(MachinePhase.UP, heard);
+    assertTrue(job.hasBound(), "its task counts as running until the machine is gone");
+  }
+
+  @Test
+  void anOverdueMachineIsGivenNothingNew() {
+    List<Machine> overdue = up("overdue", 1);
+    monitor.checkMachines(3 * S);
+    assertPhase(MachinePhase.UP, overdue);
+    assertFalse(overdue.get(0).schedulable());
+  }
+
+  @Test
+  void whenManyAreSilentTheirLeasesAreWaitedFor() {
+    List<Machine> silent = up("silent", 4);
+    Job job = cluster.submitted(JobSpecBuilder.array("req-1").build());
+    cluster.bind(job, 0, silent.get(0), TaskPhase.RUNNING, 0);
+    monitor.checkMachines(10 * S);
+    assertPhase(MachinePhase.UP, silent);
+    assertTrue(job.hasBound());
+    monitor.checkMachines(11 * S);
+    assertPhase(MachinePhase.LOST, silent);
+    assertFalse(job.hasBound(), "its task was killed with the lease");
+    monitor.checkMachines(76 * S);
+    assertPhase(MachinePhase.TERMINATING, silent);
+  }
+
+  @Test
+  void theLastMachinesThatANewLeaderHasNotHeardAreReleasedSooner() {
+    List<Machine> heard = up("heard", 40);
+    List<Machine> unheard =
+        List.of(
+            cluster.add(ClusterFixture.newMachine("unheard", TYPE, false, MachinePhase.UNKNOWN)));
+    heartbeats(heard, 2 * S);
+    monitor.checkMachines(2 * S);
+    assertPhase(MachinePhase.UNKNOWN, unheard);
+    heartbeats(heard, 3 * S);
+    monitor.checkMachines(3 * S);
+    assertPhase(MachinePhase.TERMINATING, unheard);
+    assertPhase(MachinePhase.UP, heard);
+  }
+}
