--- a/src/main/java/org/dewreach/controller/CancellationGate.java
+++ b/src/main/java/org/dewreach/controller/CancellationGate.java
@@ -63,7 +63,7 @@
    */
   @Override
   public boolean goneInTime(Job job, long nowMicros) {
-    if (!recovery.allTasksKnown(job) || job.mayStartLater()) {
+    if (!recovery.allTasksKnown(job) || job.hasTaskNotStarted()) {
       return false;
     }
     long latest = nowMicros + Math.max(0, settings.workers().cancellationBoundMicros());
--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -92,7 +92,7 @@
     }
     return reported.cause() == Cause.DONE
         && job != null
-        && (job.isOpen() || job.phase() == JobPhase.FINALIZING)
+        && (job.mayStillComplete() || job.phase() == JobPhase.FINALIZING)
         && !job.record().done().get(reported.name().index());
   }
 
@@ -196,7 +196,7 @@
         }
       }
       case PULLING, RUNNING -> {
-        if (!reported && !task.mayStartLate()) {
+        if (!reported && !task.directStartUnresolved()) {
           clusterState.unbind(task, "not reported any more", nowMicros);
         }
       }
@@ -210,7 +210,7 @@
   private void reconcileStopping(Observation observation, Task task, CommandBatch commands) {
     if (observation.reports(task.name())) {
       commands.stop(task.name(), task.attempt(), graceMicros(task, observation.nowMicros()));
-    } else if (task.mayStartLate()) {
+    } else if (task.directStartUnresolved()) {
       commands.startAndStop(task);
     } else if (observation.channel() == Channel.HEARTBEAT) {
       // The answer to a direct command proves nothing here: the response with the start may still
--- a/src/main/java/org/dewreach/membership/FleetManager.java
+++ b/src/main/java/org/dewreach/membership/FleetManager.java
@@ -89,7 +89,7 @@
    * Runs a round if one is due.
    *
    * @param waiting the tasks that found no place in the last placement pass
-   * @param mayScale true if every machine of earlier terms is accounted for
+   * @param mayScale true if every machine of earlier terms is reconciled
    */
   public void tick(long nowMicros, List<TaskPlacer.Waiting> waiting, boolean mayScale) {
     if (nowMicros < nextRoundAt) {
@@ -99,7 +99,7 @@
     healthMonitor.checkMachines(nowMicros);
     drainer.drainMachines(nowMicros);
     if (mayScale) {
-      // Before all machines are accounted for, what looks idle may be needed in a moment.
+      // Before all machines are reconciled, what looks idle may be needed in a moment.
       scaleInPolicy.cordonSpareMachines(nowMicros, waiting);
       serviceMigrator.move(nowMicros);
       consolidator.move(nowMicros);
--- a/src/main/java/org/dewreach/membership/RecoveryTracker.java
+++ b/src/main/java/org/dewreach/membership/RecoveryTracker.java
@@ -12,18 +12,18 @@
 
 /** Tracks the machines on which tasks of earlier terms may run that this term does not know of. */
 public final class RecoveryTracker {
-  /** How often the machines that are still to be accounted for are looked at. */
+  /** How often the machines that are still to be reconciled are looked at. */
   private static final long UPDATE_INTERVAL_MICROS = 50_000;
 
   private final ClusterState clusterState;
   private final FleetManager fleet;
   private long nextUpdateAt;
 
-  /** Machines of earlier terms that are not accounted for, while this term recovers. */
-  private final List<Machine> unaccounted = new ArrayList<>();
+  /** Machines of earlier terms that are not reconciled, while this term recovers. */
+  private final List<Machine> unreconciled = new ArrayList<>();
 
   /** One of them of each pool: a job that may run on one may run on all of the pool. */
-  private final Map<MachinePool, Machine> unaccountedByPool = new LinkedHashMap<>();
+  private final Map<MachinePool, Machine> unreconciledByPool = new LinkedHashMap<>();
 
   /** A tracker of one term. */
   public RecoveryTracker(ClusterState clusterState, FleetManager fleet) {
@@ -33,7 +33,7 @@
 
   /** Begins with all machines of the cluster state as it was loaded. */
   public void start() {
-    unaccounted.addAll(clusterState.machines().values());
+    unreconciled.addAll(clusterState.machines().values());
   }
 
   /**
@@ -42,19 +42,19 @@
    * <p>Guards against a pass over all machines for each event: while a thousand of them send
    * heartbeats to a leader that has just started, that took half of its time.
    *
-   * @return true if it was found now that every machine is accounted for
+   * @return true if it was found now that every machine is reconciled
    */
   public boolean update(long nowMicros) {
     if (nowMicros < nextUpdateAt) {
       return false;
     }
     nextUpdateAt = nowMicros + UPDATE_INTERVAL_MICROS;
-    unaccounted.removeIf(machine -> !mayRunUnknownTasks(machine, nowMicros));
-    unaccountedByPool.clear();
-    for (Machine machine : unaccounted) {
-      unaccountedByPool.putIfAbsent(MachinePool.of(machine), machine);
+    unreconciled.removeIf(machine -> !mayRunUnknownTasks(machine, nowMicros));
+    unreconciledByPool.clear();
+    for (Machine machine : unreconciled) {
+      unreconciledByPool.putIfAbsent(MachinePool.of(machine), machine);
     }
-    return unaccounted.isEmpty();
+    return unreconciled.isEmpty();
   }
 
   /** True if tasks of earlier terms may run on the machine that this term does not know of. */
@@ -71,13 +71,13 @@
 
   /**
    * True if every task of the job that may run is known to this term. While some machines of
-   * earlier terms are not accounted for, that holds for jobs submitted in this term, and for those
+   * earlier terms are not reconciled, that holds for jobs submitted in this term, and for those
    * that were allowed on none of these machines: services need not wait for what became of spot
    * machines.
    */
   public boolean allTasksKnown(Job job) {
     return job.submittedThisTerm()
-        || unaccountedByPool.values().stream()
+        || unreconciledByPool.values().stream()
             .noneMatch(machine -> SortFirstFit.permitted(job.spec(), machine));
   }
 }
--- a/src/main/java/org/dewreach/model/Job.java
+++ b/src/main/java/org/dewreach/model/Job.java
@@ -56,7 +56,7 @@
           case CANCEL_COMMITTING -> phase == JobPhase.CANCEL_REQUESTED;
           // A job may have been cancelled before any leader knew of it.
           case CANCELLED -> phase == JobPhase.CANCEL_COMMITTING || phase == JobPhase.PERSISTING;
-          case FINALIZING -> isOpen() || phase == JobPhase.CANCELLED;
+          case FINALIZING -> mayStillComplete() || phase == JobPhase.CANCELLED;
           case ENDED -> phase == JobPhase.FINALIZING;
         };
     if (!legal) {
@@ -69,7 +69,7 @@
   }
 
   /** True while it may still end as done. */
-  public boolean isOpen() {
+  public boolean mayStillComplete() {
     return phase == JobPhase.ACTIVE || phase == JobPhase.CANCEL_REQUESTED;
   }
 
@@ -201,8 +201,8 @@
   }
 
   /** True if a bound task was not seen to have begun: it may yet, as long as it is bound. */
-  public boolean mayStartLater() {
-    return bound.values().stream().anyMatch(task -> !task.begun());
+  public boolean hasTaskNotStarted() {
+    return bound.values().stream().anyMatch(task -> !task.hasStarted());
   }
 
   /** Tasks that are bound to machines of the zone. */
--- a/src/main/java/org/dewreach/model/Task.java
+++ b/src/main/java/org/dewreach/model/Task.java
@@ -15,7 +15,7 @@
   private long startedAt;
   private DirectStart directStart = DirectStart.NONE;
   private boolean stopSentDirectly;
-  private boolean begun;
+  private boolean started;
 
   /** An attempt that is bound just now. */
   public Task(Job job, int index, long attempt, Machine machine, TaskPhase phase, long nowMicros) {
@@ -26,8 +26,8 @@
     this.phase = phase;
     this.phaseSince = nowMicros;
     this.boundAt = nowMicros;
-    // One that an earlier leader started and that is saving has begun there.
-    this.begun = phase == TaskPhase.RUNNING || phase == TaskPhase.STOPPING;
+    // One that an earlier leader started and that is saving has started there.
+    this.started = phase == TaskPhase.RUNNING || phase == TaskPhase.STOPPING;
   }
 
   /** Changes the state; nothing else does. */
@@ -40,7 +40,7 @@
     }
     if (next == TaskPhase.RUNNING) {
       startedAt = nowMicros;
-      begun = true;
+      started = true;
       machine.recordImageFetched(job.spec());
     }
     phase = next;
@@ -92,15 +92,17 @@
     return startedAt;
   }
 
-  /** True if it was seen to have begun on its machine, so that it does not start there any more. */
-  public boolean begun() {
-    return begun;
+  /**
+   * True if it was seen to have started on its machine, so that it does not start there any more.
+   */
+  public boolean hasStarted() {
+    return started;
   }
 
   /**
    * True if a direct start is on its way, or was lost: its absence from a heartbeat proves nothing.
    */
-  public boolean mayStartLate() {
+  public boolean directStartUnresolved() {
     return directStart == DirectStart.SENT || directStart == DirectStart.LOST;
   }
 
--- a/src/test/java/org/dewreach/sim/CancellationTest.java
+++ b/src/test/java/org/dewreach/sim/CancellationTest.java
@@ -94,7 +94,7 @@
   /**
    * A machine hangs with starts on their way, and goes on after its users were told.
    *
-   * <p>Red without {@code Job.mayStartLater} in the gate of cancellations.
+   * <p>Red without {@code Job.hasTaskNotStarted} in the gate of cancellations.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -158,7 +158,7 @@
    * that the leader knows of all their starts.
    *
    * <p>A start that the leader has not seen carried out at the cut may still begin, so its job is
-   * rightly told only when its machine is returned ({@code Job.mayStartLater}), after the
+   * rightly told only when its machine is returned ({@code Job.hasTaskNotStarted}), after the
    * delegations ended.
    */
   private static void playUntilSettled(Simulation world, long untilMicros) {
--- a/src/test/java/org/dewreach/sim/StaleMessageTest.java
+++ b/src/test/java/org/dewreach/sim/StaleMessageTest.java
@@ -18,7 +18,7 @@
   private enum Case implements FaultCombination {
     /**
      * Guards: {@code RecoveryTracker.allTasksKnown}, {@code FailureDetector.leaseExpired}; with
-     * seed 10 {@code Task.mayStartLate}.
+     * seed 10 {@code Task.directStartUnresolved}.
      */
     LATE_COMMANDS {
       @Override
--- a/src/test/java/org/dewreach/sim/WorkerFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/WorkerFaultCombination.java
@@ -126,7 +126,9 @@
     }
   },
 
-  /** Guards: {@code FailureDetector.leaseExpired}; with seed 1 {@code Task.mayStartLate}. */
+  /**
+   * Guards: {@code FailureDetector.leaseExpired}; with seed 1 {@code Task.directStartUnresolved}.
+   */
   HELD_COMMANDS {
     @Override
     public void bring(FaultScenario day) {
