--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -5,7 +5,7 @@
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.model.Task;
-import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.wire.MachineType;
@@ -74,7 +74,7 @@
    * Cordons a few machines at a time when the others have had capacity for their tasks for a while,
    * and uncordons all as soon as tasks wait.
    */
-  public void cordonSpareMachines(long nowMicros, List<TaskPlacer.Waiting> waiting) {
+  public void cordonSpareMachines(long nowMicros, List<UnplacedTasks> waiting) {
     if (!waiting.isEmpty()) {
       spareCapacitySince = nowMicros;
       uncordonAll();
