--- a/src/test/java/org/dewreach/autoscaling/ScaleOutExecutorTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScaleOutExecutorTest.java
@@ -15,7 +15,7 @@
 import org.dewreach.model.MachinePhase;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Target;
-import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.testing.CloudFixture;
 import org.dewreach.testing.ClusterFixture;
@@ -43,15 +43,15 @@
           new CapacityDemand(cluster.state(), SETTINGS, Tuning.DEFAULT, 0),
           new ScaleInExecutor(cluster.state(), registry, cloud.cloud()));
 
-  private final List<TaskPlacer.Waiting> waiting = new ArrayList<>();
+  private final List<UnplacedTasks> unplaced = new ArrayList<>();
 
   ScaleOutExecutorTest() {
     Job job = cluster.submitted(JobSpecBuilder.service("req-1").cpus(8).build());
-    waiting.add(new TaskPlacer.Waiting(job, 1));
+    unplaced.add(new UnplacedTasks(job, 1));
   }
 
   private List<Effect.Call> round(long nowMicros) {
-    scaleOut.scaleOut(nowMicros, waiting);
+    scaleOut.scaleOut(nowMicros, unplaced);
     return cloud.calls();
   }
 
