--- a/src/main/java/org/dewreach/request/RetryReason.java
+++ b/src/main/java/org/dewreach/request/RetryReason.java
@@ -6,17 +6,17 @@
 public enum RetryReason {
   /** More requests are in progress than the load limit allows. */
   LOAD_LIMIT,
-  /** The term's authority ended, or it has not read the cluster state yet. */
+  /** The term's authority ended, or it has not loaded the cluster state yet. */
   NO_AUTHORITY,
-  /** The job is being accepted or taken over. */
+  /** The job is being accepted or imported. */
   BEING_ACCEPTED,
   /** A write that ends the job may be applied without our knowing. */
   END_IN_DOUBT,
-  /** What the answer waits for is not written, since writes do not get through. */
+  /** The response waits for a write, and writes do not get through. */
   WRITES_STALLED,
   /** The queue of writes is full. */
   WRITE_QUEUE_FULL,
-  /** The tasks of a cancelled job may still run or begin. */
+  /** The tasks of a cancelled job may still run or start. */
   TASKS_NOT_GONE,
   /** The rate for reading the state service, or for writing without a leader, is used up. */
   STATE_RATE,
--- a/src/main/java/org/dewreach/request/UserRequestLimits.java
+++ b/src/main/java/org/dewreach/request/UserRequestLimits.java
@@ -20,15 +20,15 @@
 
   private final ConcurrencyLimiter queries = new ConcurrencyLimiter();
   private final RetryCounts retries = new RetryCounts();
-  private final LongSupplier nowMicros;
+  private final LongSupplier clock;
 
   /**
    * Limits without any request in progress.
    *
-   * @param nowMicros tells event time
+   * @param clock tells event time
    */
-  public UserRequestLimits(LongSupplier nowMicros) {
-    this.nowMicros = nowMicros;
+  public UserRequestLimits(LongSupplier clock) {
+    this.clock = clock;
   }
 
   private ConcurrencyLimiter limiterOf(UserRequest request) {
@@ -47,10 +47,10 @@
   /** Counts the request as in progress until its response, which goes to the target. */
   public Responder admit(UserRequest request, Responder target) {
     ConcurrencyLimiter limiter = limiterOf(request);
-    ConcurrencyLimiter.Admitted admitted = limiter.admit(nowMicros.getAsLong());
+    ConcurrencyLimiter.Admitted admitted = limiter.admit(clock.getAsLong());
     Responder completing =
         response -> {
-          limiter.complete(admitted, response, nowMicros.getAsLong());
+          limiter.complete(admitted, response, clock.getAsLong());
           target.respond(response);
         };
     return new CountingResponder(completing, retries);
@@ -58,9 +58,9 @@
 
   /** Logs a summary for operators. */
   public void logSummary() {
-    LOG.info("load of submissions and cancellations: {}", changes.summary());
-    LOG.info("load of queries: {}", queries.summary());
-    LOG.info("retries: {}", retries.summary());
+    LOG.info("user request load: kind=changes {}", changes.stats().summary());
+    LOG.info("user request load: kind=queries {}", queries.stats().summary());
+    LOG.info("users told to retry: {}", retries.summary());
   }
 
   /** Numbers for operators. */
