--- a/src/main/java/org/dewreach/config/Settings.java
+++ b/src/main/java/org/dewreach/config/Settings.java
@@ -59,7 +59,11 @@
     START_WITHIN,
     /** Jobs of a class finish within some time of their submission. */
     FINISH_WITHIN,
-    /** Something that the scheduler does not act on. */
+    /** Jobs are done by their own deadlines. */
+    DEADLINE,
+    /** Teams get what they are guaranteed. */
+    GUARANTEE,
+    /** Something that this version does not know. */
     OTHER
   }
 
--- a/src/main/java/org/dewreach/config/SettingsReader.java
+++ b/src/main/java/org/dewreach/config/SettingsReader.java
@@ -153,6 +153,8 @@
     return switch (word) {
       case "wait" -> Settings.ObjectiveKind.START_WITHIN;
       case "finished" -> Settings.ObjectiveKind.FINISH_WITHIN;
+      case "deadline" -> Settings.ObjectiveKind.DEADLINE;
+      case "guarantee" -> Settings.ObjectiveKind.GUARANTEE;
       default -> Settings.ObjectiveKind.OTHER;
     };
   }
--- a/src/test/java/org/dewreach/compatibility/SettingsCompatibilityTest.java
+++ b/src/test/java/org/dewreach/compatibility/SettingsCompatibilityTest.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.dewreach.config.Settings;
 import org.dewreach.config.SettingsReader;
 import org.dewreach.script.ScriptReader;
 import org.junit.jupiter.api.Test;
@@ -46,9 +47,23 @@
       }
       return values;
     }
+    if (value instanceof Settings.ObjectiveKind kind) {
+      return word(kind);
+    }
     return value instanceof Double number && number.isInfinite() ? "none" : value;
   }
 
+  /** The word of the settings file: each kind has one of its own. */
+  private static String word(Settings.ObjectiveKind kind) {
+    return switch (kind) {
+      case START_WITHIN -> "wait";
+      case FINISH_WITHIN -> "finished";
+      case DEADLINE -> "deadline";
+      case GUARANTEE -> "guarantee";
+      case OTHER -> throw new IllegalArgumentException("no kind of the settings file");
+    };
+  }
+
   private static JsonNode tree(Object value) throws Exception {
     return JsonNodeFactory.instance
         .objectNode()
