--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -99,7 +99,7 @@
    * The first machine of the list that is allowed and covers one task of the job, or null.
    *
    * <p>Work that may run on spot machines walks the list over those first, and then over the
-   * ordinary ones: only these can take the work that may not. Among machines of equal rank (same
+   * on-demand ones: only these can take the work that may not. Among machines of equal rank (same
    * CPU and memory) one that has the image already goes before the others.
    */
   public Machine firstFit(JobSpec spec, Predicate<Machine> allowed) {
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -133,7 +133,8 @@
     /** Machines that placement would pass over must not lose tasks for nothing, pass after pass. */
     private Predicate<Machine> eligibleMachines(Job job) {
       TaskName next = new TaskName(job.id(), Math.max(0, job.nextPending()));
-      // On ordinary machines such work also leaves room for services, which stopping does not make.
+      // On on-demand machines such work also leaves room for services, which stopping tasks does
+      // not make.
       boolean spotOnly = ServiceHeadroom.appliesTo(job.spec());
       Predicate<Machine> allowed = MachineFilter.forJob(job, nowMicros);
       return machine ->
--- a/src/main/java/org/dewreach/scheduling/ServiceHeadroom.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceHeadroom.java
@@ -6,7 +6,7 @@
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobSpec;
 
-/** The room on ordinary machines that one placement pass keeps for services to come. */
+/** The room on on-demand machines that one placement pass keeps for services to come. */
 final class ServiceHeadroom {
   /**
    * A job that has waited for its first task for this long gets that from the room kept for
@@ -25,7 +25,7 @@
     this.reservedCpus = reservedCpus;
   }
 
-  /** True for work that leaves room for services on ordinary machines: it may run on spot ones. */
+  /** True for work that leaves room for services on on-demand machines: it may run on spot ones. */
   static boolean appliesTo(JobSpec spec) {
     return spec.jobKind() != JobKind.SERVICE && spec.spot();
   }
--- a/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -104,9 +104,7 @@
     return machine != null ? machine : uncordonOneFor(task);
   }
 
-  /**
-   * Work that leaves room to services on ordinary machines is sure of its room on spot ones only.
-   */
+  /** On on-demand machines, work that leaves room for services may find none when it is placed. */
   private static boolean startsAtOnce(JobSpec spec, Machine machine) {
     return SortFirstFit.permitted(spec, machine)
         && machine.fetchMicros(spec) == 0
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -62,7 +62,7 @@
     assertFalse(machine.reconciled());
     reconciler.onHeartbeat(
         machine, heartbeat(machine, 1, 9, TERM, shown(0, TaskState.RUNNING, Cause.NONE)), 2 * S);
-    assertEquals(1, job.bound().size(), "now it is surely there");
+    assertEquals(1, job.bound().size(), "now it is certain to be there");
     assertEquals(MachinePhase.UP, machine.phase());
   }
 
@@ -78,7 +78,7 @@
   /** Guards against a late copy: the first heartbeat of a machine that was returned long ago. */
   @Test
   void anUnexpectedMachineIsUsedOnceItShowsOurToken() {
-    Machine machine = machine("ghost", MachinePhase.BOOTING);
+    Machine machine = machine("m1", MachinePhase.BOOTING);
     machine.requireToken();
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
     assertFalse(machine.schedulable());
@@ -292,18 +292,18 @@
     assertEquals(MachinePhase.DRAINING, drained.phase());
   }
 
-  /** A sick machine is found out although its jobs are new, and by jobs that complete elsewhere. */
+  /** Guards against a faulty machine that is kept since only one job failed there. */
   @Test
   void aMachineIsQuarantinedForFailuresOfAJobThatCompletesElsewhere() {
-    Machine sick = machine("m1", MachinePhase.BOOTING);
-    Machine well = machine("m2", MachinePhase.BOOTING);
-    fail(job, sick, S);
+    Machine faulty = machine("m1", MachinePhase.BOOTING);
+    Machine healthy = machine("m2", MachinePhase.BOOTING);
+    fail(job, faulty, S);
     reconciler.onHeartbeat(
-        well, heartbeat(well, 1, 1, TERM, shown(3, TaskState.EXITED, Cause.DONE)), 2 * S);
+        healthy, heartbeat(healthy, 1, 1, TERM, shown(3, TaskState.EXITED, Cause.DONE)), 2 * S);
     assertFalse(job.backoff().failsRepeatedly());
-    fail(job, sick, 3 * S);
-    fail(job, sick, 4 * S);
-    assertTrue(sick.quarantined());
-    assertFalse(well.quarantined());
+    fail(job, faulty, 3 * S);
+    fail(job, faulty, 4 * S);
+    assertTrue(faulty.quarantined());
+    assertFalse(healthy.quarantined());
   }
 }
--- a/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
@@ -70,7 +70,7 @@
 
   /** Guards against a task that is stopped and then kept out by the room for services. */
   @Test
-  void roomOnOrdinaryMachinesIsNoTarget() {
+  void roomOnOnDemandMachinesIsNoTarget() {
     machine("m0", false, false);
     Task task = saving("req-1", machine("m1", true, true));
     consolidator.consolidate(S);
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -42,7 +42,10 @@
     return cluster.add(ClusterFixture.newUpMachine(name, BOX, spot));
   }
 
-  /** Guards against starting what may run on a machine that is not heard, and against its quota. */
+  /**
+   * Guards against starting what may run on a machine that sends no heartbeats, and against
+   * exceeding the quota.
+   */
   @Test
   void tasksThatMayRunUnseenAreNotStartedAndCountAgainstTheQuota() {
     box("m1", true);
--- a/src/test/java/org/dewreach/testing/JobSpecBuilder.java
+++ b/src/test/java/org/dewreach/testing/JobSpecBuilder.java
@@ -38,7 +38,7 @@
     return new JobSpecBuilder(id, JobKind.ARRAY);
   }
 
-  /** One replica of team red with high priority that takes 1 CPU, on ordinary machines. */
+  /** One replica of team red with high priority that takes 1 CPU, on on-demand machines. */
   public static JobSpecBuilder service(String id) {
     return new JobSpecBuilder(id, JobKind.SERVICE)
         .jobClass("live")
