--- a/src/main/java/org/dewreach/controller/CancellationGate.java
+++ b/src/main/java/org/dewreach/controller/CancellationGate.java
@@ -8,8 +8,8 @@
 import org.dewreach.state.JobRecordWriter;
 
 /**
- * Balances cancellations and lease delegations: which cancellation may be told while other nodes
- * may renew leases, and for how long leases may be renewed by others in view of cancelled jobs.
+ * Balances cancellations and lease delegations: which cancellation may be confirmed while other
+ * nodes may renew leases, and for how long others may renew leases in view of cancelled jobs.
  */
 final class CancellationGate implements JobRecordWriter.Gate {
   private final ClusterState clusterState;
@@ -28,19 +28,20 @@
     this.recovery = recovery;
   }
 
-  /** For how long from now the workers of a zone may be answered without this leader. */
+  /** For how long from now the leases of a zone's workers may be renewed without this leader. */
   long delegableMicros(String zone, long nowMicros) {
     Settings.Workers workers = settings.workers();
     long delegatedMicros = workers.maxDelegationMicros();
     for (Job job : clusterState.jobs().values()) {
-      // Its tasks must be gone in time even if no command reaches them any more: so once it is
-      // told, and so that it can be told before long.
+      // The job's tasks must be gone in time even if no command reaches them any more: that bounds
+      // delegations once the cancellation is confirmed, and before, so that it can be confirmed
+      // soon.
       long until =
           switch (job.phase()) {
             case CANCEL_REQUESTED -> job.cancelRequestedAt() + workers.maxDelegationMicros();
             case CANCEL_COMMITTING, CANCELLED ->
                 job.cancelledAt() + workers.cancellationBoundMicros();
-            // When a cancelled job is being finished its tasks are gone.
+            // The tasks of a cancelled job are gone before it is finalized.
             case PERSISTING, ACTIVE, FINALIZING, ENDED -> Long.MAX_VALUE;
           };
       if (until - nowMicros < delegatedMicros && mayRunIn(job, zone)) {
@@ -55,15 +56,15 @@
   }
 
   /**
-   * True if a cancellation that is told now is kept, whoever answers the workers meanwhile: no task
+   * True if a cancellation that is confirmed now is kept, whoever renews leases meanwhile: no task
    * starts any more, and those that run are gone in time.
    *
-   * <p>Guards against a machine that goes on after it hung, or hears a start late: what was to
-   * start there would begin after its user was told.
+   * <p>Guards against a machine that continues after it hung, or receives a start late: a task
+   * would start there after the cancellation was confirmed to its user.
    */
   @Override
   public boolean goneInTime(Job job, long nowMicros) {
-    if (!recovery.allTasksKnown(job) || job.mayStartLater()) {
+    if (!recovery.allTasksKnown(job) || job.hasTaskNotStarted()) {
       return false;
     }
     long latest = nowMicros + Math.max(0, settings.workers().cancellationBoundMicros());
--- a/src/main/java/org/dewreach/net/BodyFormat.java
+++ b/src/main/java/org/dewreach/net/BodyFormat.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
-import org.dewreach.peer.PeerCodec;
+import org.dewreach.peer.MessagePackCodec;
 import org.dewreach.wire.Codec;
 
 /** How bodies are encoded on a connection. */
@@ -10,7 +10,7 @@
   /** CBOR, at the public interfaces. */
   CBOR("application/cbor", Codec::read, Codec::write),
   /** MessagePack, between controllers. */
-  MESSAGE_PACK("application/msgpack", PeerCodec::read, PeerCodec::write);
+  MESSAGE_PACK("application/msgpack", MessagePackCodec::read, MessagePackCodec::write);
 
   /** Decodes a body. */
   private interface Decoder {
--- a/src/main/java/org/dewreach/request/ConcurrencyLimiter.java
+++ b/src/main/java/org/dewreach/request/ConcurrencyLimiter.java
@@ -87,24 +87,6 @@
     return limit.getLimit();
   }
 
-  /** One line for the log. */
-  String summary() {
-    return inProgress
-        + " in progress of "
-        + limit.getLimit()
-        + ", "
-        + answered
-        + " answered, "
-        + turnedAway
-        + " turned away, "
-        + shed
-        + " shed, p50 "
-        + durations.getValueAtPercentile(MEDIAN)
-        + " us, p99 "
-        + durations.getValueAtPercentile(P99)
-        + " us";
-  }
-
   ConcurrencyStats stats() {
     return new ConcurrencyStats(
         inProgress,
--- a/src/main/java/org/dewreach/scheduling/MachineFilter.java
+++ b/src/main/java/org/dewreach/scheduling/MachineFilter.java
@@ -20,7 +20,7 @@
     Set<String> avoided = job.backoff().avoidedMachines(nowMicros);
     return machine ->
         SortFirstFit.permitted(job.spec(), machine)
-            && nowMicros - machine.refusedAt() > REFUSAL_PAUSE_MICROS
+            && nowMicros - machine.startRefusedAt() > REFUSAL_PAUSE_MICROS
             && !avoided.contains(machine.name());
   }
 }
--- a/src/test/java/org/dewreach/compatibility/ControllerUnderTest.java
+++ b/src/test/java/org/dewreach/compatibility/ControllerUnderTest.java
@@ -9,7 +9,7 @@
 import org.dewreach.config.SettingsReader;
 import org.dewreach.config.Tuning;
 import org.dewreach.controller.Controller;
-import org.dewreach.peer.PeerCodec;
+import org.dewreach.peer.MessagePackCodec;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
 import org.dewreach.port.Target;
@@ -139,12 +139,12 @@
 
   /** Bodies between controllers. */
   static byte[] writeMessagePack(JsonNode body) {
-    return PeerCodec.write(body);
+    return MessagePackCodec.write(body);
   }
 
   static JsonNode readMessagePack(byte[] body) {
     try {
-      return PeerCodec.read(body);
+      return MessagePackCodec.read(body);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/src/test/java/org/dewreach/compatibility/SettingsCompatibilityTest.java
+++ b/src/test/java/org/dewreach/compatibility/SettingsCompatibilityTest.java
@@ -24,7 +24,7 @@
 class SettingsCompatibilityTest {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** Records as lists of their values, maps by sorted key, numbers as they are. */
+  /** Records as lists of their values, maps by sorted key, kinds by their words, numbers as is. */
   private static Object plain(Object value) throws ReflectiveOperationException {
     if (value instanceof Record) {
       List<Object> values = new ArrayList<>();
@@ -33,6 +33,9 @@
       }
       return values;
     }
+    if (value instanceof Settings.ObjectiveKind kind) {
+      return kind.word();
+    }
     if (value instanceof List<?> list) {
       List<Object> values = new ArrayList<>();
       for (Object item : list) {
@@ -47,23 +50,9 @@
       }
       return values;
     }
-    if (value instanceof Settings.ObjectiveKind kind) {
-      return word(kind);
-    }
     return value instanceof Double number && number.isInfinite() ? "none" : value;
   }
 
-  /** The word of the settings file: each kind has one of its own. */
-  private static String word(Settings.ObjectiveKind kind) {
-    return switch (kind) {
-      case START_WITHIN -> "wait";
-      case FINISH_WITHIN -> "finished";
-      case DEADLINE -> "deadline";
-      case GUARANTEE -> "guarantee";
-      case OTHER -> throw new IllegalArgumentException("no kind of the settings file");
-    };
-  }
-
   private static JsonNode tree(Object value) throws Exception {
     return JsonNodeFactory.instance
         .objectNode()
