--- a/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
@@ -9,7 +9,7 @@
 import org.dewreach.model.MachinePhase;
 import org.dewreach.model.Task;
 import org.dewreach.placement.QueueOrder;
-import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobSpec;
@@ -50,9 +50,9 @@
   }
 
   /** The waiting tasks that are worth machines of their own. */
-  List<CapacityRequirement> requirements(List<TaskPlacer.Waiting> waiting, long nowMicros) {
+  List<CapacityRequirement> requirements(List<UnplacedTasks> waiting, long nowMicros) {
     List<CapacityRequirement> requirements = new ArrayList<>();
-    for (TaskPlacer.Waiting item : waiting) {
+    for (UnplacedTasks item : waiting) {
       int tasks = tasksWorthRenting(item, nowMicros);
       if (tasks > 0) {
         Job job = item.job();
@@ -65,10 +65,10 @@
   }
 
   /** True if the machines that are there would work on the waiting batch tasks for too long. */
-  boolean hasLongBacklog(List<TaskPlacer.Waiting> waiting, long nowMicros) {
+  boolean hasLongBacklog(List<UnplacedTasks> waiting, long nowMicros) {
     double backlogCpuS = 0;
     double weightedPatience = 0;
-    for (TaskPlacer.Waiting item : waiting) {
+    for (UnplacedTasks item : waiting) {
       JobSpec spec = item.job().spec();
       if (spec.spot()) {
         double cpuS =
@@ -101,7 +101,7 @@
   }
 
   /** How many of the waiting tasks are worth a machine of their own, rather than a wait. */
-  private int tasksWorthRenting(TaskPlacer.Waiting item, long nowMicros) {
+  private int tasksWorthRenting(UnplacedTasks item, long nowMicros) {
     Job job = item.job();
     JobSpec spec = job.spec();
     if (spec.jobKind() == JobKind.SERVICE) {
@@ -123,13 +123,13 @@
   }
 
   private boolean hasObjective(Job job) {
-    return order.allowedMicros(job.spec()) >= 0;
+    return order.completionTargetMicros(job.spec()) >= 0;
   }
 
   /** Time until the job is to be done by its objective; negative if that is past. */
   private long dueInMicros(Job job, long nowMicros) {
     long submittedAt = job.acceptedWallMicros() - wallOffsetMicros;
-    return submittedAt + order.allowedMicros(job.spec()) - nowMicros;
+    return submittedAt + order.completionTargetMicros(job.spec()) - nowMicros;
   }
 
   private long slackMicros(Job job, long nowMicros) {
--- a/src/test/java/org/dewreach/autoscaling/ScaleOutExecutorTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScaleOutExecutorTest.java
@@ -15,7 +15,7 @@
 import org.dewreach.model.MachinePhase;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Target;
-import org.dewreach.scheduling.TaskPlacer;
+import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.testing.CloudFixture;
 import org.dewreach.testing.ClusterFixture;
@@ -43,11 +43,11 @@
           new CapacityDemand(cluster.state(), SETTINGS, Tuning.DEFAULT, 0),
           new ScaleInExecutor(cluster.state(), registry, cloud.cloud()));
 
-  private final List<TaskPlacer.Waiting> waiting = new ArrayList<>();
+  private final List<UnplacedTasks> waiting = new ArrayList<>();
 
   ScaleOutExecutorTest() {
     Job job = cluster.submitted(JobSpecBuilder.service("req-1").cpus(8).build());
-    waiting.add(new TaskPlacer.Waiting(job, 1));
+    waiting.add(new UnplacedTasks(job, 1));
   }
 
   private List<Effect.Call> round(long nowMicros) {
