--- a/src/main/java/org/dewreach/cloud/CloudClient.java
+++ b/src/main/java/org/dewreach/cloud/CloudClient.java
@@ -1,5 +1,6 @@
 package org.dewreach.cloud;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
@@ -39,39 +40,33 @@
 
   /** Reads the catalog of machine types. */
   public void readCatalog(long nowMicros, CloudResultHandler<CatalogResult> handler) {
-    budget.consume(nowMicros, 1);
-    outbox.call(
-        Target.CLOUD,
+    call(
+        nowMicros,
         "GET",
         CloudCodec.CATALOG_PATH,
         null,
-        TIMEOUT_MICROS,
         (now, status, body) -> handler.onResult(now, CloudCodec.decodeCatalog(status, body)));
   }
 
   /** Rents machines. */
   public void rent(
       long nowMicros, RentalRequest request, CloudResultHandler<RentalResult> handler) {
-    budget.consume(nowMicros, 1);
-    outbox.call(
-        Target.CLOUD,
+    call(
+        nowMicros,
         "POST",
         CloudCodec.RENTALS_PATH,
         CloudCodec.encodeRental(request),
-        TIMEOUT_MICROS,
         (now, status, body) -> handler.onResult(now, CloudCodec.decodeRental(status, body)));
   }
 
   /** Releases machines, with everything that runs on them. */
   public void release(
       long nowMicros, List<String> machines, CloudResultHandler<ReleaseResult> handler) {
-    budget.consume(nowMicros, 1);
-    outbox.call(
-        Target.CLOUD,
+    call(
+        nowMicros,
         "POST",
         CloudCodec.RELEASE_PATH,
         CloudCodec.encodeRelease(machines),
-        TIMEOUT_MICROS,
         (now, status, body) -> handler.onResult(now, CloudCodec.decodeRelease(status)));
   }
 
@@ -82,13 +77,17 @@
    */
   public void listMachines(
       long nowMicros, String afterMachine, CloudResultHandler<MachineListResult> handler) {
-    budget.consume(nowMicros, 1);
-    outbox.call(
-        Target.CLOUD,
+    call(
+        nowMicros,
         "GET",
         CloudCodec.listPath(afterMachine, PAGE_SIZE),
         null,
-        TIMEOUT_MICROS,
         (now, status, body) -> handler.onResult(now, CloudCodec.decodeList(status, body)));
   }
+
+  private void call(
+      long nowMicros, String method, String path, JsonNode body, Outbox.ReplyHandler handler) {
+    budget.consume(nowMicros, 1);
+    outbox.call(Target.CLOUD, method, path, body, TIMEOUT_MICROS, handler);
+  }
 }
--- a/src/main/java/org/dewreach/cloud/CloudCodec.java
+++ b/src/main/java/org/dewreach/cloud/CloudCodec.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.dewreach.wire.Codec;
+import org.dewreach.wire.Fields;
 import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.ListedMachine;
 import org.dewreach.wire.MachineType;
@@ -28,6 +29,7 @@
   private static final String SPOT = "loaners";
   private static final String COUNT = "count";
   private static final String MACHINES = "hosts";
+  private static final String MORE = "more";
   private static final String ERROR = "error";
 
   /** The error of a cloud that has an outage, as against one that has no capacity. */
@@ -69,13 +71,24 @@
       return CloudFailure.ofStatus(status);
     }
     try {
-      ListedMachine.Page page = ListedMachine.parsePage(body);
-      return new MachineListResult.Page(page.machines(), page.more());
+      return decodePage(body);
     } catch (MalformedException e) {
       return new CloudFailure(status, e.getMessage());
     }
   }
 
+  private static MachineListResult.Page decodePage(JsonNode body) throws MalformedException {
+    ObjectNode page = Fields.map(body);
+    if (!(page.get(MACHINES) instanceof ArrayNode entries)) {
+      throw new MalformedException(MACHINES + ": list expected");
+    }
+    List<ListedMachine> machines = new ArrayList<>(entries.size());
+    for (JsonNode entry : entries) {
+      machines.add(ListedMachine.parse(entry));
+    }
+    return new MachineListResult.Page(machines, page.path(MORE).asBoolean(false));
+  }
+
   static RentalResult decodeRental(int status, JsonNode body) {
     if (status == HttpStatus.OK) {
       return new RentalResult.Rented(machineNames(body));
--- a/src/main/java/org/dewreach/wire/ListedMachine.java
+++ b/src/main/java/org/dewreach/wire/ListedMachine.java
@@ -1,10 +1,6 @@
 package org.dewreach.wire;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
-import java.util.List;
 
 /**
  * One entry of the cloud's list of machines (`GET /rentals`). The list lags behind, and a later one
@@ -27,33 +23,17 @@
     boolean failed,
     long ageMicros) {
 
-  /**
-   * A page of the list.
-   *
-   * @param more true if further pages follow
-   */
-  public record Page(List<ListedMachine> machines, boolean more) {}
-
-  /** Parses one page of the list. */
-  public static Page parsePage(JsonNode body) throws MalformedException {
-    ObjectNode map = Fields.map(body);
-    if (!(map.get("hosts") instanceof ArrayNode list)) {
-      throw new MalformedException("hosts: list expected");
-    }
-    List<ListedMachine> machines = new ArrayList<>(list.size());
-    for (JsonNode item : list) {
-      String state = Fields.text(item, "standing");
-      String address = Fields.textOrNull(item, "address");
-      machines.add(
-          new ListedMachine(
-              Fields.text(item, "uid"),
-              address == null ? "" : address,
-              Fields.text(item, "build"),
-              Fields.text(item, "site"),
-              Fields.flag(item, "loaners"),
-              state.equals("failed"),
-              Fields.micros(item, "age_s")));
-    }
-    return new Page(machines, map.path("more").asBoolean(false));
+  /** Parses one entry of the list. */
+  public static ListedMachine parse(JsonNode entry) throws MalformedException {
+    String state = Fields.text(entry, "standing");
+    String address = Fields.textOrNull(entry, "address");
+    return new ListedMachine(
+        Fields.text(entry, "uid"),
+        address == null ? "" : address,
+        Fields.text(entry, "build"),
+        Fields.text(entry, "site"),
+        Fields.flag(entry, "loaners"),
+        state.equals("failed"),
+        Fields.micros(entry, "age_s"));
   }
 }
