--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -74,8 +74,8 @@
    * Cordons a few machines at a time when the others have had capacity for their tasks for a while,
    * and uncordons all as soon as tasks wait.
    */
-  public void cordonSpareMachines(long nowMicros, List<UnplacedTasks> waiting) {
-    if (!waiting.isEmpty()) {
+  public void cordonSpareMachines(long nowMicros, List<UnplacedTasks> unplaced) {
+    if (!unplaced.isEmpty()) {
       spareCapacitySince = nowMicros;
       uncordonAll();
       return;
@@ -103,7 +103,7 @@
   private void uncordonAll() {
     for (Machine machine : clusterState.machines().values()) {
       if (machine.cordoned() && machine.phase() == MachinePhase.UP) {
-        LOG.info("machine uncordoned: machine={} reason=tasks_waiting", machine.name());
+        LOG.info("machine uncordoned: machine={} reason=unplaced_tasks", machine.name());
         machine.cordoned(false);
         clusterState.requestPlacement();
       }
--- a/src/main/java/org/dewreach/membership/FleetManager.java
+++ b/src/main/java/org/dewreach/membership/FleetManager.java
@@ -88,10 +88,10 @@
   /**
    * Runs a round if one is due.
    *
-   * @param waiting the tasks that found no place in the last placement pass
+   * @param unplaced the tasks that found no place in the last placement pass
    * @param mayScale true if every machine of earlier terms is reconciled
    */
-  public void tick(long nowMicros, List<UnplacedTasks> waiting, boolean mayScale) {
+  public void tick(long nowMicros, List<UnplacedTasks> unplaced, boolean mayScale) {
     if (nowMicros < nextRoundAt) {
       return;
     }
@@ -100,11 +100,11 @@
     drainer.drainMachines(nowMicros);
     if (mayScale) {
       // Before all machines are reconciled, what looks idle may be needed in a moment.
-      scaleInPolicy.cordonSpareMachines(nowMicros, waiting);
+      scaleInPolicy.cordonSpareMachines(nowMicros, unplaced);
       serviceMigrator.migrate(nowMicros);
       consolidator.consolidate(nowMicros);
       scaleInPolicy.releaseIdleMachines(nowMicros);
-      scaleOut.scaleOut(nowMicros, waiting);
+      scaleOut.scaleOut(nowMicros, unplaced);
     }
     scaleIn.releaseMarked(nowMicros);
     cloudReconciler.reconcile(nowMicros);
