--- a/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
+++ b/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
@@ -6,7 +6,7 @@
 import org.dewreach.wire.MachineType;
 
 /**
- * Chooses what to rent: waiting tasks are first fitted, by the rule of placement, on machines that
+ * Chooses what to rent: unplaced tasks are first fitted, by the rule of placement, on machines that
  * are still booting; for the rest the cheapest pool is chosen, one machine at a time.
  */
 final class ScalingPlanner {
