--- a/src/main/java/org/dewreach/controller/UserRequestRouter.java
+++ b/src/main/java/org/dewreach/controller/UserRequestRouter.java
@@ -17,6 +17,7 @@
 import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.JobStatus;
+import org.dewreach.wire.JobSubmission;
 import org.dewreach.wire.UserResponse;
 import org.dewreach.wire.UserResponseCodec;
 
@@ -64,7 +65,8 @@
   void onRequest(Event.Request received) {
     Responder responder = responderTo(received.requestId());
     UserRequest request =
-        UserRequestParser.parse(received.method(), received.path(), received.body());
+        UserRequestParser.parse(
+            received.method(), received.path(), new JobSubmission(received.body()));
     if (request == null) {
       responder.respond(UserResponse.empty(HttpStatus.NOT_FOUND));
       return;
@@ -131,7 +133,9 @@
 
   /** Handles a user's request that another node forwarded to this one as the leader. */
   void onForwarded(ForwardedRequest message, Consumer<ForwardedReply> reply) {
-    UserRequest request = UserRequestParser.parse(message.method(), message.path(), message.body());
+    UserRequest request =
+        UserRequestParser.parse(
+            message.method(), message.path(), new JobSubmission(message.body()));
     Responder responder = response -> reply.accept(new ForwardedReply.Handled(response));
     boolean valid = request != null && request.jobId() != null;
     FinalState finalState = valid ? finalStates.get(request.jobId()) : null;
--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -22,6 +22,8 @@
 import org.dewreach.wire.JobStatus;
 import org.dewreach.wire.MalformedException;
 import org.dewreach.wire.UserResponse;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
  * Serves users straight from the state service while no leader is reachable.
@@ -31,6 +33,8 @@
  * starts it before. Other jobs are changed by leaders alone.
  */
 public final class LeaderlessRequestHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderlessRequestHandler.class);
+
   private static final long WRITE_TIMEOUT_MICROS = 1_500_000;
 
   /**
@@ -112,18 +116,29 @@
     try {
       spec = submit.submission().parseSpec();
     } catch (MalformedException e) {
-      respondUnlessKnown(
-          jobId, responder, () -> responder.respond(UserResponse.empty(HttpStatus.BAD_REQUEST)));
+      refuseUnlessKnown(jobId, responder, HttpStatus.BAD_REQUEST, e.getMessage());
       return;
     }
     if (!catalog.known()) {
       respondUnlessKnown(jobId, responder, () -> responder.respondRetry(RetryReason.NO_CATALOG));
-    } else if (Admission.refusal(spec, settings.teams(), catalog.types()) != null) {
-      respondUnlessKnown(
-          jobId, responder, () -> responder.respond(UserResponse.empty(HttpStatus.UNPROCESSABLE)));
-    } else {
-      create(spec, responder);
+      return;
+    }
+    String refusal = Admission.refusal(spec, settings.teams(), catalog.types());
+    if (refusal != null) {
+      refuseUnlessKnown(jobId, responder, HttpStatus.UNPROCESSABLE, refusal);
+      return;
     }
+    create(spec, responder);
+  }
+
+  private void refuseUnlessKnown(String jobId, Responder responder, int status, String error) {
+    respondUnlessKnown(
+        jobId,
+        responder,
+        () -> {
+          LOG.info("submission refused: job={} status={} error={}", jobId, status, error);
+          responder.respond(UserResponse.empty(status));
+        });
   }
 
   /** A repeat of a known job is answered with its state, even if it would be refused now. */
--- a/src/main/java/org/dewreach/request/UserRequestParser.java
+++ b/src/main/java/org/dewreach/request/UserRequestParser.java
@@ -1,6 +1,5 @@
 package org.dewreach.request;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import org.dewreach.wire.JobSubmission;
 
 /** Maps the method and path of a user's HTTP request to a typed request. */
@@ -15,10 +14,12 @@
    * Returns the typed request, or null if there is none of this method and path.
    *
    * <p>A submission without a valid job id is returned with a null id.
+   *
+   * @param body the body, which only a submission reads
    */
-  public static UserRequest parse(String method, String path, JsonNode body) {
+  public static UserRequest parse(String method, String path, JobSubmission body) {
     if (path.equals(JOBS_PATH)) {
-      return method.equals("POST") ? submit(new JobSubmission(body)) : null;
+      return method.equals("POST") ? submit(body) : null;
     }
     if (!path.startsWith(JOB_PREFIX)) {
       return null;
