--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -116,32 +116,32 @@
     try {
       spec = submit.submission().parseSpec();
     } catch (MalformedException e) {
-      refuseUnlessKnown(jobId, responder, HttpStatus.BAD_REQUEST, e.getMessage());
+      rejectUnlessKnown(jobId, responder, HttpStatus.BAD_REQUEST, e.getMessage());
       return;
     }
     if (!catalog.known()) {
       respondUnlessKnown(jobId, responder, () -> responder.respondRetry(RetryReason.NO_CATALOG));
       return;
     }
-    String refusal = Admission.refusal(spec, settings.teams(), catalog.types());
-    if (refusal != null) {
-      refuseUnlessKnown(jobId, responder, HttpStatus.UNPROCESSABLE, refusal);
+    String rejectionReason = Admission.rejectionReason(spec, settings.teams(), catalog.types());
+    if (rejectionReason != null) {
+      rejectUnlessKnown(jobId, responder, HttpStatus.UNPROCESSABLE, rejectionReason);
       return;
     }
     create(spec, responder);
   }
 
-  private void refuseUnlessKnown(String jobId, Responder responder, int status, String error) {
+  private void rejectUnlessKnown(String jobId, Responder responder, int status, String error) {
     respondUnlessKnown(
         jobId,
         responder,
         () -> {
-          LOG.info("submission refused: job={} status={} error={}", jobId, status, error);
+          LOG.info("submission rejected: job={} status={} error={}", jobId, status, error);
           responder.respond(UserResponse.empty(status));
         });
   }
 
-  /** A repeat of a known job is answered with its state, even if it would be refused now. */
+  /** A repeat of a known job is answered with its state, even if it would be rejected now. */
   private void respondUnlessKnown(String jobId, Responder responder, Runnable respond) {
     reader.read(
         jobId,
--- a/src/main/java/org/dewreach/wire/UserResponse.java
+++ b/src/main/java/org/dewreach/wire/UserResponse.java
@@ -16,7 +16,7 @@
   public sealed interface Body permits JobStatus, Error, Relayed {}
 
   /**
-   * Why a submission is refused.
+   * Why a submission is rejected.
    *
    * @param message names the field or the rule
    */
@@ -45,8 +45,8 @@
     return new UserResponse(status, null, 0);
   }
 
-  /** Refuses a submission and tells why. */
-  public static UserResponse refused(int status, String message) {
+  /** Rejects a submission and tells why. */
+  public static UserResponse rejected(int status, String message) {
     return new UserResponse(status, new Error(message), 0);
   }
 
--- a/src/test/java/org/dewreach/wire/UserResponseCodecTest.java
+++ b/src/test/java/org/dewreach/wire/UserResponseCodecTest.java
@@ -32,8 +32,8 @@
   }
 
   @Test
-  void refusalsNameTheError() {
-    assertEquals("{\"error\":\"uid: no\"}", encoded(UserResponse.refused(422, "uid: no")));
+  void rejectionsNameTheError() {
+    assertEquals("{\"error\":\"uid: no\"}", encoded(UserResponse.rejected(422, "uid: no")));
   }
 
   @Test
