--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -117,7 +117,7 @@
   private Machine mostExpensiveSpareMachine(long nowMicros) {
     SpareCapacity spareCapacity = spareCapacity(nowMicros);
     Machine best = null;
-    for (Machine machine : clusterState.list().machines()) {
+    for (Machine machine : clusterState.sortedMachines().machines()) {
       if (!machine.schedulable() || nowMicros - machine.knownSince() < tuning.leastPaidMicros()) {
         continue;
       }
@@ -151,7 +151,7 @@
     return new SpareCapacity(
         clusterState.freeCpus(false),
         clusterState.freeCpus(true),
-        clusterState.services().headroomCpus(typicalBootMicros(), nowMicros));
+        clusterState.serviceRate().headroomCpus(typicalBootMicros(), nowMicros));
   }
 
   /** The CPUs taken by tasks that may run on on-demand machines only. */
--- a/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
@@ -194,7 +194,7 @@
     Machine machine =
         new Machine(
             name, "", pool.type(), pool.zone(), pool.spot(), MachinePhase.BOOTING, nowMicros);
-    clusterState.add(machine);
-    registry.note(machine, nowMicros);
+    clusterState.addMachine(machine);
+    registry.register(machine, nowMicros);
   }
 }
--- a/src/main/java/org/dewreach/model/StoredRecord.java
+++ b/src/main/java/org/dewreach/model/StoredRecord.java
@@ -2,10 +2,9 @@
 
 import java.util.BitSet;
 
-/** What the key-value store holds of a job, and the write that is on its way there. */
+/** What the key-value store holds of a job. */
 public final class StoredRecord {
   private long revision;
-  private boolean writeInFlight;
   private long progressWrittenAt;
   private BitSet done = new BitSet();
 
@@ -21,16 +20,6 @@
     revision = newRevision;
   }
 
-  /** True while a write of the record has no outcome. */
-  public boolean writeInFlight() {
-    return writeInFlight;
-  }
-
-  /** Sets whether a write of the record has no outcome. */
-  public void writeInFlight(boolean now) {
-    writeInFlight = now;
-  }
-
   /** When progress was last written. */
   public long progressWrittenAt() {
     return progressWrittenAt;
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -115,7 +115,7 @@
       JobSpec spec = job.spec();
       Predicate<Machine> eligible = eligibleMachines(job);
       List<Machine> candidates = new ArrayList<>();
-      for (Machine machine : clusterState.list().machines()) {
+      for (Machine machine : clusterState.sortedMachines().machines()) {
         if (eligible.test(machine)) {
           FreeCapacity free = freeCapacities.computeIfAbsent(machine, Preemption::beingFreed);
           if (free.covers(spec)) {
