--- a/src/main/java/org/dewreach/request/SubmissionHandler.java
+++ b/src/main/java/org/dewreach/request/SubmissionHandler.java
@@ -58,7 +58,7 @@
     try {
       spec = submit.submission().parseSpec();
     } catch (MalformedException e) {
-      refuseUnlessKnown(jobId, responder, HttpStatus.BAD_REQUEST, e.getMessage(), nowMicros);
+      rejectUnlessKnown(jobId, responder, HttpStatus.BAD_REQUEST, e.getMessage(), nowMicros);
       return;
     }
     if (!catalog.known()) {
@@ -69,9 +69,9 @@
       responder.respondRetry(RetryReason.WRITES_STALLED);
       return;
     }
-    String refusal = Admission.rejectionReason(spec, settings.teams(), catalog.types());
-    if (refusal != null) {
-      refuseUnlessKnown(jobId, responder, HttpStatus.UNPROCESSABLE, refusal, nowMicros);
+    String rejectionReason = Admission.rejectionReason(spec, settings.teams(), catalog.types());
+    if (rejectionReason != null) {
+      rejectUnlessKnown(jobId, responder, HttpStatus.UNPROCESSABLE, rejectionReason, nowMicros);
       return;
     }
     accept(spec, responder, nowMicros);
@@ -136,8 +136,8 @@
     }
   }
 
-  /** A repeat of a known job is answered with its state, even if it would be refused now. */
-  private void refuseUnlessKnown(
+  /** A repeat of a known job is answered with its state, even if it would be rejected now. */
+  private void rejectUnlessKnown(
       String jobId, Responder responder, int status, String error, long nowMicros) {
     lookup.find(
         jobId,
@@ -146,8 +146,8 @@
           if (found.isPresent() || clusterState.jobs().containsKey(jobId)) {
             respondFound(jobId, found, responder);
           } else {
-            LOG.info("submission refused: job={} status={} error={}", jobId, status, error);
-            responder.respond(UserResponse.refused(status, error));
+            LOG.info("submission rejected: job={} status={} error={}", jobId, status, error);
+            responder.respond(UserResponse.rejected(status, error));
           }
         },
         responder::respondRetry,
--- a/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
+++ b/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
@@ -86,7 +86,7 @@
   }
 
   /**
-   * Guard: the cluster state is looked at again in {@code SubmissionHandler.refuseUnlessKnown}. A
+   * Guard: the cluster state is looked at again in {@code SubmissionHandler.rejectUnlessKnown}. A
    * submission that lacks a field is not called malformed once the job of that name has been
    * accepted meanwhile.
    */
