--- a/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
@@ -134,7 +134,7 @@
   private static boolean mayStop(Task task) {
     return task.phase() == TaskPhase.STOPPING
         && !task.stopSentDirectly()
-        && task.spec().checkpointMicros() == 0;
+        && task.spec().checkpointIntervalMicros() == 0;
   }
 
   private void send(Machine machine, List<WorkerCommand> commands, List<Task> started) {
--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -220,10 +220,10 @@
   }
 
   private static long graceMicros(Task task, long nowMicros) {
-    if (task.job().phase() != JobPhase.ACTIVE || task.spec().checkpointMicros() == 0) {
+    if (task.job().phase() != JobPhase.ACTIVE || task.spec().checkpointIntervalMicros() == 0) {
       return 0;
     }
-    long grace = task.spec().saveMicros() + GRACE_SLACK_MICROS;
+    long grace = task.spec().checkpointDurationMicros() + GRACE_SLACK_MICROS;
     boolean overdue = nowMicros - task.phaseSince() > grace + GRACE_SLACK_MICROS;
     return overdue ? 0 : grace;
   }
--- a/src/main/java/org/dewreach/membership/MachineDrainer.java
+++ b/src/main/java/org/dewreach/membership/MachineDrainer.java
@@ -94,8 +94,8 @@
     if (task.spec().jobKind() == JobKind.SERVICE) {
       return true;
     }
-    if (task.spec().checkpointMicros() > 0) {
-      long lead = task.spec().saveMicros() + 2 * settings.workers().reportMicros();
+    if (task.spec().checkpointIntervalMicros() > 0) {
+      long lead = task.spec().checkpointDurationMicros() + 2 * settings.workers().reportMicros();
       return nowMicros + lead > reclaimAt;
     }
     // What cannot save may still complete before the machine is taken. What surely will not had
--- a/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -90,8 +90,9 @@
     long ran = nowMicros - task.startedAt();
     return task.phase() == TaskPhase.RUNNING
         && spec.jobKind() == JobKind.ARRAY
-        && spec.checkpointMicros() > 0
-        && spec.expectedMicros() - ran > WORTH_MOVING * (spec.saveMicros() + START_MICROS);
+        && spec.checkpointIntervalMicros() > 0
+        && spec.expectedMicros() - ran
+            > WORTH_MOVING * (spec.checkpointDurationMicros() + START_MICROS);
   }
 
   /** Where the task could start at once, or null. */
--- a/src/main/java/org/dewreach/wire/JobSpec.java
+++ b/src/main/java/org/dewreach/wire/JobSpec.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 
 /**
- * A job as its user describes it (`POST /work`).
+ * A job as its user describes it ({@code POST /work}).
  *
  * @param id the id that the user chose
  * @param jobClass the class of the job, for which the settings may state objectives
@@ -16,9 +16,9 @@
  * @param jobKind how its tasks run
  * @param priority its priority
  * @param tasks how many tasks it has
- * @param cpus what each task takes
- * @param gpus what each task takes
- * @param memoryGb what each task takes
+ * @param cpus CPUs that each task takes
+ * @param gpus GPUs that each task takes
+ * @param memoryGb memory that each task takes
  * @param image the name of the tasks' image
  * @param imageGb the image's size
  * @param types allowed machine types, or null for any
@@ -27,8 +27,8 @@
  * @param spreadZones true if no zone may hold all tasks
  * @param spot true if its tasks may run on spot machines
  * @param expectedMicros the expected running time of a task
- * @param checkpointMicros how often a task saves its progress
- * @param saveMicros how long saving takes
+ * @param checkpointIntervalMicros interval at which a task saves its progress, or 0 if it does not
+ * @param checkpointDurationMicros how long a task takes to save its progress
  * @param dueMicros when the job should be complete, from its submission, or -1
  */
 public record JobSpec(
@@ -49,8 +49,8 @@
     boolean spreadZones,
     boolean spot,
     long expectedMicros,
-    long checkpointMicros,
-    long saveMicros,
+    long checkpointIntervalMicros,
+    long checkpointDurationMicros,
     long dueMicros) {
 
   private static final int MAX_TASKS = 100_000;
@@ -95,7 +95,7 @@
         Fields.amount(map, "memory_gb"),
         Fields.text(map, "bundle"),
         Fields.amount(map, "pull_gb"),
-        names(map, "builds"),
+        namesOrNull(map, "builds"),
         Fields.textOrNull(map, "site"),
         Fields.flag(map, "together"),
         Fields.flag(map, "scatter"),
@@ -106,7 +106,7 @@
         Fields.microsOrNone(map, "due_s"));
   }
 
-  private static List<String> names(ObjectNode map, String name) throws MalformedException {
+  private static List<String> namesOrNull(ObjectNode map, String name) throws MalformedException {
     if (Fields.absent(map, name)) {
       return null;
     }
@@ -149,8 +149,8 @@
         .put("scatter", spreadZones)
         .put("loaners", spot);
     map.put("expected_s", expectedMicros / Fields.MICROS_PER_SECOND)
-        .put("mark_every_s", checkpointMicros / Fields.MICROS_PER_SECOND);
-    map.put("mark_cost_s", saveMicros / Fields.MICROS_PER_SECOND);
+        .put("mark_every_s", checkpointIntervalMicros / Fields.MICROS_PER_SECOND);
+    map.put("mark_cost_s", checkpointDurationMicros / Fields.MICROS_PER_SECOND);
     if (dueMicros >= 0) {
       map.put("due_s", dueMicros / Fields.MICROS_PER_SECOND);
     } else {
--- a/src/test/java/org/dewreach/testing/JobSpecBuilder.java
+++ b/src/test/java/org/dewreach/testing/JobSpecBuilder.java
@@ -24,8 +24,8 @@
   private boolean spreadZones;
   private boolean spot = true;
   private long expectedMicros = DEFAULT_EXPECTED_MICROS;
-  private long checkpointMicros;
-  private long saveMicros;
+  private long checkpointIntervalMicros;
+  private long checkpointDurationMicros;
   private long dueMicros = -1;
 
   private JobSpecBuilder(String id, JobKind jobKind) {
@@ -123,9 +123,9 @@
   }
 
   /** Sets how often a task saves its progress, and how long that takes. */
-  public JobSpecBuilder checkpoints(long intervalMicros, long newSaveMicros) {
-    checkpointMicros = intervalMicros;
-    saveMicros = newSaveMicros;
+  public JobSpecBuilder checkpoints(long intervalMicros, long durationMicros) {
+    checkpointIntervalMicros = intervalMicros;
+    checkpointDurationMicros = durationMicros;
     return this;
   }
 
@@ -155,8 +155,8 @@
         spreadZones,
         spot,
         expectedMicros,
-        checkpointMicros,
-        saveMicros,
+        checkpointIntervalMicros,
+        checkpointDurationMicros,
         dueMicros);
   }
 }
