--- a/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
@@ -17,7 +17,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Rents machines for waiting tasks, and repeats requests whose outcome is not known. */
+/** Rents machines for unplaced tasks, and repeats requests whose outcome is not known. */
 public final class ScaleOutExecutor {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOutExecutor.class);
 
@@ -74,13 +74,13 @@
     closed = true;
   }
 
-  /** Repeats requests that are due, then rents for the waiting tasks. Called once a round. */
-  public void scaleOut(long nowMicros, List<UnplacedTasks> waiting) {
+  /** Repeats requests that are due, then rents for the unplaced tasks. Called once a round. */
+  public void scaleOut(long nowMicros, List<UnplacedTasks> unplaced) {
     repeatDueRequests(nowMicros);
     if (catalog.types().isEmpty() || openRequests.size() >= MAX_OPEN_REQUESTS) {
       return;
     }
-    List<CapacityRequirement> requirements = demand.requirements(waiting, nowMicros);
+    List<CapacityRequirement> requirements = demand.requirements(unplaced, nowMicros);
     if (requirements.isEmpty()) {
       return;
     }
@@ -90,7 +90,7 @@
             clusterState.machines().values(),
             requestedPools(),
             catalog.types(),
-            demand.hasLongBacklog(waiting, nowMicros),
+            demand.hasLongBacklog(unplaced, nowMicros),
             nowMicros);
     for (Rental rental : rentals) {
       if (openRequests.size() < MAX_OPEN_REQUESTS && cloud.mayCall(nowMicros)) {
--- a/src/main/java/org/dewreach/autoscaling/package-info.java
+++ b/src/main/java/org/dewreach/autoscaling/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Scale out and scale in: how much capacity the waiting tasks are worth, which machines to rent for
- * it, and which to cordon and release.
+ * Scale out and scale in: how much capacity the unplaced tasks are worth, which machines to rent
+ * for it, and which to cordon and release.
  *
  * <p>Scale out, in the order of a round: {@link org.dewreach.autoscaling.CapacityDemand} turns
- * waiting tasks into requirements, {@link org.dewreach.autoscaling.ScalingPlanner} turns these into
- * rentals, and {@link org.dewreach.autoscaling.ScaleOutExecutor} sends the requests. Scale in:
+ * unplaced tasks into requirements, {@link org.dewreach.autoscaling.ScalingPlanner} turns these
+ * into rentals, and {@link org.dewreach.autoscaling.ScaleOutExecutor} sends the requests. Scale in:
  * {@link org.dewreach.autoscaling.ScaleInPolicy} cordons and marks machines, {@link
  * org.dewreach.autoscaling.ScaleInExecutor} releases those that are marked.
  *
