--- a/src/main/java/org/dewreach/cloud/CloudCodec.java
+++ b/src/main/java/org/dewreach/cloud/CloudCodec.java
@@ -80,7 +80,7 @@
   private static MachineListResult.Page decodePage(JsonNode body) throws MalformedException {
     ObjectNode page = Fields.map(body);
     if (!(page.get(MACHINES) instanceof ArrayNode entries)) {
-      throw new MalformedException(MACHINES + ": list expected");
+      throw new MalformedException(MACHINES, "list expected");
     }
     List<ListedMachine> machines = new ArrayList<>(entries.size());
     for (JsonNode entry : entries) {
--- a/src/main/java/org/dewreach/controller/HeartbeatRouter.java
+++ b/src/main/java/org/dewreach/controller/HeartbeatRouter.java
@@ -36,7 +36,7 @@
     try {
       heartbeat = Heartbeat.parse(request.body());
     } catch (MalformedException e) {
-      LOG.info("heartbeat malformed: error={}", e.getMessage());
+      LOG.info("heartbeat malformed: cause=\"{}\"", e.getMessage());
       outbox.respond(request.requestId(), HttpStatus.BAD_REQUEST, null);
       return;
     }
--- a/src/main/java/org/dewreach/request/JobLookup.java
+++ b/src/main/java/org/dewreach/request/JobLookup.java
@@ -117,7 +117,7 @@
     try {
       finalState = FinalStateRecord.decode(ended.value());
     } catch (MalformedException e) {
-      LOG.error("final state malformed: job={} error={}", jobId, e.getMessage());
+      LOG.error("final state malformed: job={} cause=\"{}\"", jobId, e.getMessage());
       onUnknown.accept(RetryReason.RECORD_MALFORMED);
       return;
     }
--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -136,7 +136,7 @@
         jobId,
         responder,
         () -> {
-          LOG.info("submission rejected: job={} status={} error={}", jobId, status, error);
+          LOG.info("submission rejected: job={} status={} cause=\"{}\"", jobId, status, error);
           responder.respond(UserResponse.empty(status));
         });
   }
--- a/src/main/java/org/dewreach/request/StoredJobReader.java
+++ b/src/main/java/org/dewreach/request/StoredJobReader.java
@@ -131,7 +131,7 @@
       boolean ended = entry.key().equals(Keys.finalState(jobId));
       job = ended ? decodeEnded(jobId, entry) : decodeLive(jobId, entry);
     } catch (MalformedException e) {
-      LOG.error("job record malformed: key={} error={}", entry.key(), e.getMessage());
+      LOG.error("job record malformed: key={} cause=\"{}\"", entry.key(), e.getMessage());
       onUnknown.accept(RetryReason.RECORD_MALFORMED);
       return;
     }
--- a/src/main/java/org/dewreach/request/SubmissionHandler.java
+++ b/src/main/java/org/dewreach/request/SubmissionHandler.java
@@ -146,7 +146,7 @@
           if (found.isPresent() || clusterState.jobs().containsKey(jobId)) {
             respondFound(jobId, found, responder);
           } else {
-            LOG.info("submission rejected: job={} status={} error={}", jobId, status, error);
+            LOG.info("submission rejected: job={} status={} cause=\"{}\"", jobId, status, error);
             responder.respond(UserResponse.rejected(status, error));
           }
         },
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -136,7 +136,7 @@
     try {
       return Integer.parseInt(key.substring(Keys.MACHINE_PAGES.length()));
     } catch (NumberFormatException e) {
-      throw new MalformedException("key: not the number of a page");
+      throw new MalformedException("key", "not the number of a page");
     }
   }
 
--- a/src/main/java/org/dewreach/wire/Fields.java
+++ b/src/main/java/org/dewreach/wire/Fields.java
@@ -21,18 +21,18 @@
     if (node instanceof ObjectNode object) {
       return object;
     }
-    throw new MalformedException("not a map");
+    throw MalformedException.ofMessage("not a map");
   }
 
   /** A text that is there, not empty and not overly long. */
   public static String text(JsonNode node, String name) throws MalformedException {
     JsonNode value = node.get(name);
     if (value == null || !value.isTextual()) {
-      throw new MalformedException(name + ": text expected");
+      throw new MalformedException(name, "text expected");
     }
     String text = value.textValue();
     if (text.isEmpty() || text.length() > MAX_TEXT) {
-      throw new MalformedException(name + ": empty or too long");
+      throw new MalformedException(name, "empty or too long");
     }
     return text;
   }
@@ -46,7 +46,7 @@
   public static boolean flag(JsonNode node, String name) throws MalformedException {
     JsonNode value = node.get(name);
     if (value == null || !value.isBoolean()) {
-      throw new MalformedException(name + ": true or false expected");
+      throw new MalformedException(name, "true or false expected");
     }
     return value.booleanValue();
   }
@@ -56,11 +56,11 @@
       throws MalformedException {
     JsonNode value = node.get(name);
     if (value == null || !value.isIntegralNumber() || !value.canConvertToLong()) {
-      throw new MalformedException(name + ": integer expected");
+      throw new MalformedException(name, "integer expected");
     }
     long count = value.longValue();
     if (count < least || count > most) {
-      throw new MalformedException(name + ": out of range");
+      throw new MalformedException(name, "out of range");
     }
     return count;
   }
@@ -69,11 +69,11 @@
   public static double amount(JsonNode node, String name) throws MalformedException {
     JsonNode value = node.get(name);
     if (value == null || !value.isNumber()) {
-      throw new MalformedException(name + ": number expected");
+      throw new MalformedException(name, "number expected");
     }
     double amount = value.doubleValue();
     if (!(amount >= 0 && amount <= MAX_AMOUNT)) {
-      throw new MalformedException(name + ": out of range");
+      throw new MalformedException(name, "out of range");
     }
     return amount;
   }
--- a/src/main/java/org/dewreach/wire/Heartbeat.java
+++ b/src/main/java/org/dewreach/wire/Heartbeat.java
@@ -81,7 +81,7 @@
   public static Heartbeat parse(JsonNode body) throws MalformedException {
     ObjectNode map = Fields.map(body);
     if (!(map.get("pieces") instanceof ArrayNode list)) {
-      throw new MalformedException("pieces: list expected");
+      throw new MalformedException("pieces", "list expected");
     }
     List<TaskStatus> tasks = new ArrayList<>(list.size());
     for (JsonNode item : list) {
--- a/src/main/java/org/dewreach/wire/JobKind.java
+++ b/src/main/java/org/dewreach/wire/JobKind.java
@@ -27,6 +27,6 @@
         return jobKind;
       }
     }
-    throw new MalformedException("shape: unknown");
+    throw new MalformedException("shape", "unknown");
   }
 }
--- a/src/main/java/org/dewreach/wire/JobSpec.java
+++ b/src/main/java/org/dewreach/wire/JobSpec.java
@@ -77,11 +77,11 @@
     ObjectNode map = Fields.map(body);
     String id = Fields.text(map, "uid");
     if (!isId(id)) {
-      throw new MalformedException("uid: not a job id");
+      throw new MalformedException("uid", "not a job id");
     }
     double cpus = Fields.amount(map, "cpus");
     if (cpus <= 0) {
-      throw new MalformedException("cpus: must be more than 0");
+      throw new MalformedException("cpus", "must be more than 0");
     }
     return new JobSpec(
         id,
@@ -111,7 +111,7 @@
       return null;
     }
     if (!(map.get(name) instanceof ArrayNode list) || list.size() > MAX_NAMES) {
-      throw new MalformedException(name + ": short list expected");
+      throw new MalformedException(name, "short list expected");
     }
     List<String> names = new ArrayList<>(list.size());
     int length = 0;
@@ -119,14 +119,14 @@
       if (!item.isTextual()
           || item.textValue().isEmpty()
           || item.textValue().length() > MAX_NAME_LENGTH) {
-        throw new MalformedException(name + ": text expected");
+        throw new MalformedException(name, "text expected");
       }
       names.add(item.textValue());
       length += item.textValue().length();
     }
     if (length > MAX_NAMES_LENGTH) {
       // A job's record has to fit into a value of the state service, whatever becomes of it.
-      throw new MalformedException(name + ": too long");
+      throw new MalformedException(name, "too long");
     }
     return List.copyOf(names);
   }
--- a/src/main/java/org/dewreach/wire/JobState.java
+++ b/src/main/java/org/dewreach/wire/JobState.java
@@ -29,6 +29,6 @@
         return jobState;
       }
     }
-    throw new MalformedException("standing: unknown");
+    throw new MalformedException("standing", "unknown");
   }
 }
--- a/src/main/java/org/dewreach/wire/MachineType.java
+++ b/src/main/java/org/dewreach/wire/MachineType.java
@@ -35,7 +35,7 @@
   /** Parses the catalog, as the cloud sends it and as it is stored. */
   public static List<MachineType> parseCatalog(JsonNode body) throws MalformedException {
     if (!(Fields.map(body).get("builds") instanceof ArrayNode list)) {
-      throw new MalformedException("builds: list expected");
+      throw new MalformedException("builds", "list expected");
     }
     List<MachineType> types = new ArrayList<>(list.size());
     for (JsonNode item : list) {
--- a/src/main/java/org/dewreach/wire/Priority.java
+++ b/src/main/java/org/dewreach/wire/Priority.java
@@ -34,6 +34,6 @@
         return priority;
       }
     }
-    throw new MalformedException("urgency: unknown");
+    throw new MalformedException("urgency", "unknown");
   }
 }
--- /dev/null
+++ b/src/test/java/org/dewreach/wire/MalformedExceptionTest.java
@@ -0,0 +1,27 @@
+package org.dewreach.wire;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import org.junit.jupiter.api.Test;
+
+/** What users and logs are told of malformed messages. */
+class MalformedExceptionTest {
+  @Test
+  void theMessageNamesTheFieldAndTheProblem() {
+    MalformedException error =
+        assertThrows(
+            MalformedException.class, () -> JobSpec.parse(Codec.map().put("uid", "elsewhere")));
+    assertEquals("uid", error.field());
+    assertEquals("not a job id", error.problem());
+    assertEquals("uid: not a job id", error.getMessage());
+  }
+
+  @Test
+  void aMessageThatIsNoMapHasNoField() {
+    MalformedException error = assertThrows(MalformedException.class, () -> JobSpec.parse(null));
+    assertNull(error.field());
+    assertEquals("not a map", error.getMessage());
+  }
+}
