--- a/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
@@ -147,25 +147,24 @@
         (now, reply) -> onReply(machine, started, reply, now));
   }
 
-  private void onReply(
-      Machine machine, List<Task> started, WorkerClient.Reply reply, long nowMicros) {
+  private void onReply(Machine machine, List<Task> started, WorkerReply reply, long nowMicros) {
     if (closed) {
       return;
     }
     machine.directCommands().inFlight(false);
     inFlight--;
-    boolean answered = !(reply instanceof WorkerClient.Reply.Failed);
+    boolean answered = !(reply instanceof WorkerReply.Failed);
     for (Task task : started) {
       task.directStart(answered ? DirectStart.ANSWERED : DirectStart.LOST);
     }
-    if (reply instanceof WorkerClient.Reply.State state) {
+    if (reply instanceof WorkerReply.State state) {
       listener.onDirectReply(machine, state.heartbeat(), nowMicros);
-    } else if (reply instanceof WorkerClient.Reply.Malformed malformed) {
+    } else if (reply instanceof WorkerReply.Malformed malformed) {
       LOG.info(
           "direct command answer malformed: machine={} cause=\"{}\"",
           machine.name(),
           malformed.cause());
-    } else if (reply instanceof WorkerClient.Reply.Failed failed) {
+    } else if (reply instanceof WorkerReply.Failed failed) {
       LOG.info("direct command unanswered: machine={} status={}", machine.name(), failed.status());
       machine.directCommands().notBefore(nowMicros + UNANSWERED_PAUSE_MICROS);
       machine.heartbeats().markUnreachable();
--- a/src/main/java/org/dewreach/heartbeat/RestartProbe.java
+++ b/src/main/java/org/dewreach/heartbeat/RestartProbe.java
@@ -41,11 +41,11 @@
     workers.readState(machine, (now, reply) -> onReply(machine, incarnation, sequence, reply));
   }
 
-  private void onReply(Machine machine, long incarnation, long sequence, WorkerClient.Reply reply) {
+  private void onReply(Machine machine, long incarnation, long sequence, WorkerReply reply) {
     if (closed.getAsBoolean()) {
       return;
     }
-    if (reply instanceof WorkerClient.Reply.State state) {
+    if (reply instanceof WorkerReply.State state) {
       boolean older = isOlder(state.heartbeat(), incarnation, sequence);
       machine.heartbeats().restartCheck(older ? RestartCheck.CONFIRMED : RestartCheck.NONE);
     } else {
--- /dev/null
+++ b/src/test/java/org/dewreach/heartbeat/DirectCommandSenderTest.java
@@ -0,0 +1,192 @@
+package org.dewreach.heartbeat;
+
+import static org.dewreach.testing.ClusterFixture.S;
+import static org.dewreach.testing.ClusterFixture.TERM;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+import org.dewreach.model.Job;
+import org.dewreach.model.Machine;
+import org.dewreach.model.RestartCheck;
+import org.dewreach.model.Task;
+import org.dewreach.model.TaskPhase;
+import org.dewreach.port.Effect;
+import org.dewreach.port.Event;
+import org.dewreach.port.Outbox;
+import org.dewreach.port.Target;
+import org.dewreach.testing.ClusterFixture;
+import org.dewreach.testing.JobSpecBuilder;
+import org.dewreach.wire.Codec;
+import org.dewreach.wire.DirectCommandRequest;
+import org.dewreach.wire.HttpStatus;
+import org.dewreach.wire.MachineType;
+import org.dewreach.wire.WorkerCommand;
+import org.junit.jupiter.api.Test;
+
+/** Commands that are sent at once, and what their answers tell: {@link DirectCommandSender}. */
+class DirectCommandSenderTest {
+  private static final MachineType LARGE = ClusterFixture.type("large", 200, 200, 0);
+
+  private final Outbox outbox = new Outbox();
+  private final ClusterFixture cluster = new ClusterFixture(1_000, 1_000);
+  private final List<Machine> answered = new ArrayList<>();
+  private final DirectCommandSender sender =
+      new DirectCommandSender(
+          TERM,
+          outbox,
+          cluster.state(),
+          (machine, heartbeat, nowMicros) -> answered.add(machine),
+          1);
+
+  private Machine machine(String name) {
+    Machine machine = ClusterFixture.newUpMachine(name, LARGE, true);
+    machine.address(name + ":1");
+    machine.recordSequence(3, 5);
+    return cluster.add(machine);
+  }
+
+  private Job job(String id, int tasks) {
+    return cluster.submitted(JobSpecBuilder.array(id).tasks(tasks).build());
+  }
+
+  private Task assigned(Job job, int index, Machine machine) {
+    return cluster.bind(job, index, machine, TaskPhase.ASSIGNED, 0);
+  }
+
+  private List<Effect.Call> send(long nowMicros) {
+    sender.sendPending(nowMicros);
+    return outbox.drain().stream().map(Effect.Call.class::cast).toList();
+  }
+
+  private void reply(Effect.Call call, int status, JsonNode body) {
+    outbox.reply(S, new Event.Reply(call.callId(), status, body));
+  }
+
+  private static ObjectNode state(String machine, long incarnation, long sequence) {
+    ObjectNode body = Codec.map().put("host", machine).put("address", "x:1").put("build", "large");
+    body.put("site", "a").put("loaners", true).put("tenure", incarnation).put("tally", sequence);
+    body.put("warrant", TERM).putArray("pieces");
+    return body;
+  }
+
+  @Test
+  void aStartIsSentToTheWorkerOfTheMachineInItsIncarnation() {
+    Task task = assigned(job("req-1", 1), 0, machine("m1"));
+    List<Effect.Call> calls = send(S);
+    assertEquals(1, calls.size());
+    assertEquals(new Target.Worker("m1:1"), calls.get(0).target());
+    WorkerCommand start = new WorkerCommand.Start(task.name(), task.attempt());
+    assertEquals(new DirectCommandRequest(TERM, 3, List.of(start)).toNode(), calls.get(0).body());
+    assertEquals(TaskPhase.STARTING, task.phase());
+    assertEquals(List.of(), send(2 * S), "it was sent");
+  }
+
+  /** Both carry the worker's state: it refuses commands for another incarnation with a conflict. */
+  @Test
+  void theStateInAnAnswerIsHandedOn() {
+    Machine machine = machine("m1");
+    Task task = assigned(job("req-1", 2), 0, machine);
+    reply(send(S).get(0), HttpStatus.OK, state("m1", 3, 6));
+    assertFalse(task.directStartUnresolved());
+    assigned(task.job(), 1, machine);
+    reply(send(S).get(0), HttpStatus.CONFLICT, state("m1", 4, 1));
+    assertEquals(List.of(machine, machine), answered);
+  }
+
+  /** Guards against a worker that answers at the address of a machine that is gone. */
+  @Test
+  void theStateOfAnotherMachineIsIgnored() {
+    Task task = assigned(job("req-1", 1), 0, machine("m1"));
+    reply(send(S).get(0), HttpStatus.OK, state("m2", 3, 6));
+    assertEquals(List.of(), answered);
+    assertFalse(task.directStartUnresolved(), "some worker has taken it or refused it");
+  }
+
+  @Test
+  void aMachineThatDoesNotAnswerIsGivenNothingForAWhile() {
+    Machine machine = machine("m1");
+    Task task = assigned(job("req-1", 2), 0, machine);
+    reply(send(S).get(0), 0, null);
+    assertTrue(task.directStartUnresolved(), "the start may still arrive");
+    assertFalse(machine.schedulable());
+    assigned(task.job(), 1, machine);
+    assertEquals(0, send(3 * S).size());
+    assertEquals(1, send(4 * S).size());
+  }
+
+  @Test
+  void onlySoManyCommandsAreInFlight() {
+    Job job = job("req-1", 2);
+    assigned(job, 0, machine("m1"));
+    assigned(job, 1, machine("m2"));
+    List<Effect.Call> first = send(S);
+    assertEquals(1, first.size());
+    reply(first.get(0), HttpStatus.OK, state("m1", 3, 6));
+    assertEquals(new Target.Worker("m2:1"), send(S).get(0).target());
+  }
+
+  /** Guards against heartbeats that grow by each attempt that its worker must not forget. */
+  @Test
+  void onlySoManyTasksOfAnIncarnationAreStartedDirectly() {
+    Machine machine = machine("m1");
+    Job array = job("req-1", 60);
+    for (int i = 0; i < 60; i++) {
+      assigned(array, i, machine);
+    }
+    Effect.Call call = send(S).get(0);
+    assertEquals(40, call.body().path("orders").size());
+    reply(call, HttpStatus.OK, state("m1", 3, 6));
+    Job service = cluster.submitted(JobSpecBuilder.service("req-2").tasks(60).build());
+    for (int i = 0; i < 60; i++) {
+      assigned(service, i, machine);
+    }
+    assertEquals(40, send(S).get(0).body().path("orders").size(), "80, those before included");
+  }
+
+  /** A stop that leaves no time to save would cost the progress since the last checkpoint. */
+  @Test
+  void aTaskWithCheckpointsIsNotStoppedDirectly() {
+    Machine machine = machine("m1");
+    Job saving =
+        cluster.submitted(JobSpecBuilder.array("req-1").checkpoints(30 * S, 3 * S).build());
+    Job plain = job("req-2", 1);
+    for (Job job : List.of(saving, plain)) {
+      Task task = assigned(job, 0, machine);
+      task.become(TaskPhase.RUNNING, 0);
+      cluster.state().stop(task, "test", S);
+    }
+    Task stopped = plain.bound().get(0);
+    WorkerCommand stop = new WorkerCommand.Stop(stopped.name(), stopped.attempt(), 0);
+    assertEquals(new DirectCommandRequest(TERM, 3, List.of(stop)).toNode(), send(S).get(0).body());
+  }
+
+  @Test
+  void anAnswerAfterTheTermIsIgnored() {
+    Task task = assigned(job("req-1", 1), 0, machine("m1"));
+    Effect.Call call = send(S).get(0);
+    sender.close();
+    reply(call, HttpStatus.OK, state("m1", 3, 6));
+    assertEquals(List.of(), answered);
+    assertTrue(task.directStartUnresolved());
+  }
+
+  /** A worker that restarted under its name shows a lower sequence number than before. */
+  @Test
+  void aRestartIsConfirmedByALowerSequenceNumber() {
+    Machine restarted = machine("m1");
+    Machine same = machine("m2");
+    RestartProbe probe = new RestartProbe(new WorkerClient(outbox), () -> false);
+    List.of(restarted, same).forEach(probe::probe);
+    List<Effect> calls = outbox.drain();
+    reply((Effect.Call) calls.get(0), HttpStatus.OK, state("m1", 3, 4));
+    reply((Effect.Call) calls.get(1), HttpStatus.OK, state("m2", 3, 6));
+    assertEquals(RestartCheck.CONFIRMED, restarted.heartbeats().restartCheck());
+    assertFalse(restarted.schedulable());
+    assertEquals(RestartCheck.NONE, same.heartbeats().restartCheck());
+  }
+}
--- /dev/null
+++ b/src/test/java/org/dewreach/scheduling/PreemptionTest.java
@@ -0,0 +1,93 @@
+package org.dewreach.scheduling;
+
+import static org.dewreach.testing.ClusterFixture.S;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.dewreach.model.Job;
+import org.dewreach.model.Machine;
+import org.dewreach.model.Task;
+import org.dewreach.model.TaskPhase;
+import org.dewreach.testing.ClusterFixture;
+import org.dewreach.testing.JobSpecBuilder;
+import org.dewreach.wire.Priority;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Which tasks are stopped for work of higher priority: {@link Preemption}. */
+class PreemptionTest {
+  private final ClusterFixture cluster = new ClusterFixture(100, 100);
+  private final Preemption preemption = new Preemption(cluster.state());
+  private final Job low =
+      cluster.submitted(JobSpecBuilder.array("req-1").priority(Priority.LOW).tasks(4).build());
+  private Machine machine;
+
+  /** A machine that four tasks of low priority fill. */
+  @BeforeEach
+  void fillMachine() {
+    machine =
+        cluster.add(ClusterFixture.newUpMachine("m1", ClusterFixture.type("box", 4, 64, 0), true));
+    for (int i = 0; i < 4; i++) {
+      cluster.bind(low, i, machine, TaskPhase.ASSIGNED, i * S).become(TaskPhase.RUNNING, i * S);
+    }
+  }
+
+  private void preemptFor(JobSpecBuilder spec, int tasks, long nowMicros) {
+    Job job = cluster.submitted(spec.tasks(tasks).build());
+    preemption.preempt(List.of(new UnplacedTasks(job, tasks)), nowMicros);
+  }
+
+  private List<Integer> stopped() {
+    return machine.tasks().stream()
+        .filter(task -> task.phase() == TaskPhase.STOPPING)
+        .map(Task::index)
+        .toList();
+  }
+
+  @Test
+  void theLatestStartedTasksAreStoppedAndNoMoreThanNeeded() {
+    preemptFor(JobSpecBuilder.array("req-2").cpus(2), 1, 10 * S);
+    assertEquals(List.of(2, 3), stopped());
+  }
+
+  @Test
+  void tasksOfEqualPriorityAreNotStopped() {
+    preemptFor(JobSpecBuilder.array("req-2").priority(Priority.LOW), 1, 10 * S);
+    assertEquals(List.of(), stopped());
+  }
+
+  /** Guards against stopping tasks again and again for one need, while the first are stopping. */
+  @Test
+  void roomThatIsBeingFreedIsCounted() {
+    preemptFor(JobSpecBuilder.array("req-2"), 1, 10 * S);
+    preemptFor(JobSpecBuilder.array("req-3"), 1, 11 * S);
+    assertEquals(List.of(3), stopped());
+  }
+
+  @Test
+  void nothingIsStoppedWhereTheTaskMayNotGo() {
+    preemptFor(JobSpecBuilder.array("req-2").spot(false), 1, 10 * S);
+    assertEquals(List.of(), stopped());
+  }
+
+  @Test
+  void nothingIsStoppedWhereAllOfItWouldNotBeEnough() {
+    preemptFor(JobSpecBuilder.array("req-2").cpus(5), 1, 10 * S);
+    assertEquals(List.of(), stopped());
+  }
+
+  /** What must go together might find only half of its room and stop tasks for nothing. */
+  @Test
+  void jobsWhoseTasksDependOnEachOtherPreemptNothing() {
+    preemptFor(JobSpecBuilder.array("req-2").sameZone(true), 2, 10 * S);
+    preemptFor(JobSpecBuilder.array("req-3").spreadZones(true), 2, 11 * S);
+    assertEquals(List.of(), stopped());
+  }
+
+  @Test
+  void callsThatComeTooSoonAreIgnored() {
+    preemptFor(JobSpecBuilder.array("req-2"), 1, 10 * S);
+    preemptFor(JobSpecBuilder.array("req-3").cpus(4), 1, 10 * S + 100_000);
+    assertEquals(List.of(3), stopped());
+  }
+}
