--- a/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
@@ -14,7 +14,7 @@
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobSpec;
 
-/** Derives from the waiting tasks how much capacity is worth renting. */
+/** Derives from the unplaced tasks how much capacity is worth renting. */
 public final class CapacityDemand {
   private static final double MICROS_PER_SECOND = 1e6;
 
@@ -49,10 +49,10 @@
     this.wallOffsetMicros = wallOffsetMicros;
   }
 
-  /** The waiting tasks that are worth machines of their own. */
-  List<CapacityRequirement> requirements(List<UnplacedTasks> waiting, long nowMicros) {
+  /** The unplaced tasks that are worth machines of their own. */
+  List<CapacityRequirement> requirements(List<UnplacedTasks> unplaced, long nowMicros) {
     List<CapacityRequirement> requirements = new ArrayList<>();
-    for (UnplacedTasks item : waiting) {
+    for (UnplacedTasks item : unplaced) {
       int tasks = tasksWorthRenting(item, nowMicros);
       if (tasks > 0) {
         Job job = item.job();
@@ -64,11 +64,11 @@
     return requirements;
   }
 
-  /** True if the machines that are there would work on the waiting batch tasks for too long. */
-  boolean hasLongBacklog(List<UnplacedTasks> waiting, long nowMicros) {
+  /** True if the machines that are there would work on the unplaced batch tasks for too long. */
+  boolean hasLongBacklog(List<UnplacedTasks> unplaced, long nowMicros) {
     double backlogCpuS = 0;
     double weightedPatience = 0;
-    for (UnplacedTasks item : waiting) {
+    for (UnplacedTasks item : unplaced) {
       JobSpec spec = item.job().spec();
       if (spec.spot()) {
         double cpuS =
@@ -100,7 +100,7 @@
     return batchCpus;
   }
 
-  /** How many of the waiting tasks are worth a machine of their own, rather than a wait. */
+  /** How many of the unplaced tasks are worth a machine of their own, rather than a wait. */
   private int tasksWorthRenting(UnplacedTasks item, long nowMicros) {
     Job job = item.job();
     JobSpec spec = job.spec();
--- a/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
@@ -99,8 +99,8 @@
   }
 
   private void removeReleased(Machine machine, long nowMicros) {
-    clusterState.gone(machine, "released", nowMicros);
-    registry.forget(machine, nowMicros);
+    clusterState.removeMachine(machine, "released", nowMicros);
+    registry.deregister(machine, nowMicros);
     releasedNames.add(machine.name());
     if (releasedNames.size() > MAX_REMEMBERED_NAMES) {
       releasedNames.remove(releasedNames.iterator().next());
--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -74,8 +74,8 @@
    * Cordons a few machines at a time when the others have had capacity for their tasks for a while,
    * and uncordons all as soon as tasks wait.
    */
-  public void cordonSpareMachines(long nowMicros, List<UnplacedTasks> waiting) {
-    if (!waiting.isEmpty()) {
+  public void cordonSpareMachines(long nowMicros, List<UnplacedTasks> unplaced) {
+    if (!unplaced.isEmpty()) {
       spareCapacitySince = nowMicros;
       uncordonAll();
       return;
@@ -103,7 +103,7 @@
   private void uncordonAll() {
     for (Machine machine : clusterState.machines().values()) {
       if (machine.cordoned() && machine.phase() == MachinePhase.UP) {
-        LOG.info("machine uncordoned: machine={} reason=tasks_waiting", machine.name());
+        LOG.info("machine uncordoned: machine={} reason=unplaced_tasks", machine.name());
         machine.cordoned(false);
         clusterState.requestPlacement();
       }
@@ -117,7 +117,7 @@
   private Machine mostExpensiveSpareMachine(long nowMicros) {
     SpareCapacity spareCapacity = spareCapacity(nowMicros);
     Machine best = null;
-    for (Machine machine : clusterState.list().machines()) {
+    for (Machine machine : clusterState.sortedMachines().machines()) {
       if (!machine.schedulable() || nowMicros - machine.knownSince() < tuning.leastPaidMicros()) {
         continue;
       }
@@ -151,7 +151,7 @@
     return new SpareCapacity(
         clusterState.freeCpus(false),
         clusterState.freeCpus(true),
-        clusterState.services().headroomCpus(typicalBootMicros(), nowMicros));
+        clusterState.serviceRate().headroomCpus(typicalBootMicros(), nowMicros));
   }
 
   /** The CPUs taken by tasks that may run on on-demand machines only. */
--- a/src/main/java/org/dewreach/controller/AuthorityCheckedResponder.java
+++ b/src/main/java/org/dewreach/controller/AuthorityCheckedResponder.java
@@ -8,7 +8,7 @@
  * Relays a term's responses only while the term has authority; otherwise users are told to retry.
  *
  * <p>Guards against outdated responses of a term whose authority ran out while it worked on them.
- * Refusals too: what the term looked up and did not find, a later one may have imported.
+ * Rejections too: what the term looked up and did not find, a later one may have imported.
  *
  * @param leadership tells who has authority
  * @param asked the term that handles the request
--- a/src/main/java/org/dewreach/controller/CancellationGate.java
+++ b/src/main/java/org/dewreach/controller/CancellationGate.java
@@ -11,7 +11,7 @@
  * Balances cancellations and lease delegations: which cancellation may be confirmed while other
  * nodes may renew leases, and for how long others may renew leases in view of cancelled jobs.
  */
-final class CancellationGate implements JobRecordWriter.Gate {
+final class CancellationGate implements JobRecordWriter.CancellationCheck {
   private final ClusterState clusterState;
   private final Settings settings;
   private final LeaseDelegations delegations;
@@ -63,7 +63,7 @@
    * would start there after the cancellation was confirmed to its user.
    */
   @Override
-  public boolean goneInTime(Job job, long nowMicros) {
+  public boolean tasksEndInTime(Job job, long nowMicros) {
     if (!recovery.allTasksKnown(job) || job.hasTaskNotStarted()) {
       return false;
     }
--- a/src/main/java/org/dewreach/controller/PlacementLoop.java
+++ b/src/main/java/org/dewreach/controller/PlacementLoop.java
@@ -67,7 +67,7 @@
   void tick(boolean mayPreempt, long nowMicros) {
     boolean due = nowMicros - lastPassAt >= MAX_INTERVAL_MICROS;
     if (nowMicros - lastPassAt < intervalMicros()
-        || !(clusterState.pollPlacementRequested() || due)) {
+        || !(clusterState.consumePlacementRequest() || due)) {
       return;
     }
     lastPassAt = nowMicros;
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -72,7 +72,7 @@
       onStaleHeartbeat(requestId, machine, heartbeat, nowMicros);
       return;
     }
-    registry.mark(machine, nowMicros);
+    registry.registerForCommands(machine, nowMicros);
     HeartbeatResponse response = reconciler.onHeartbeat(machine, heartbeat, nowMicros);
     respond(requestId, machine, response, nowMicros);
     recordExits(heartbeat, nowMicros);
@@ -138,7 +138,7 @@
     for (Heartbeat.TaskStatus task : heartbeat.tasks()) {
       Job job = clusterState.jobs().get(task.name().jobId());
       if (task.state() == Heartbeat.TaskState.EXITED && job != null) {
-        recordWriter.pump(job, nowMicros);
+        recordWriter.writeIfDue(job, nowMicros);
         if (closed.getAsBoolean()) {
           return;
         }
@@ -167,7 +167,7 @@
             MachinePhase.BOOTING,
             nowMicros);
     machine.requireToken();
-    clusterState.add(machine);
+    clusterState.addMachine(machine);
     return machine;
   }
 }
--- a/src/main/java/org/dewreach/model/JobPhase.java
+++ b/src/main/java/org/dewreach/model/JobPhase.java
@@ -7,13 +7,13 @@
   /** Accepted: its tasks are to run. */
   ACTIVE,
   /**
-   * Its user asked to cancel it: nothing is started and its tasks are stopped. It is told and
-   * written once these are gone, or are sure to be gone in time.
+   * Its user asked to cancel it: nothing is started and its tasks are stopped. The cancellation is
+   * written and confirmed once these are gone, or are sure to be gone in time.
    */
   CANCEL_REQUESTED,
   /** To be cancelled; the record is being written. */
   CANCEL_COMMITTING,
-  /** Withdrawn durably; tasks may still have to be stopped. */
+  /** Cancelled durably; tasks may still have to be stopped. */
   CANCELLED,
   /** All tasks are done; the final state is being written. */
   FINALIZING,
--- a/src/main/java/org/dewreach/request/JobRequestHandler.java
+++ b/src/main/java/org/dewreach/request/JobRequestHandler.java
@@ -147,7 +147,7 @@
 
   /** The job's final state is durable. */
   public void onEnded(Job job) {
-    finalStates.ended(job.id(), new FinalState(job.finalState(), job.doneCount()));
+    finalStates.addEnded(job.id(), new FinalState(job.finalState(), job.doneCount()));
     cancellations.onEndDurable(job, job.finalState());
     pendingQueries.onEndDurable(job.id());
   }
--- a/src/main/java/org/dewreach/request/StoredJobReader.java
+++ b/src/main/java/org/dewreach/request/StoredJobReader.java
@@ -140,7 +140,7 @@
 
   private StoredJob decodeEnded(String jobId, KeyValue entry) throws MalformedException {
     FinalState ended = FinalStateRecord.decode(entry.value());
-    finalStates.read(jobId, ended);
+    finalStates.addLookedUp(jobId, ended);
     return new StoredJob(
         jobId, entry.key(), entry.revision(), null, ended.jobState(), ended.done());
   }
--- a/src/main/java/org/dewreach/scheduling/JobPlacement.java
+++ b/src/main/java/org/dewreach/scheduling/JobPlacement.java
@@ -96,7 +96,7 @@
       return List.of(job.bound().values().iterator().next().machine().zone());
     }
     List<String> zones = new ArrayList<>();
-    for (Machine machine : clusterState.list().machines()) {
+    for (Machine machine : clusterState.sortedMachines().machines()) {
       if (!zones.contains(machine.zone())) {
         zones.add(machine.zone());
       }
@@ -114,7 +114,9 @@
     while (placed.size() < count && index >= 0) {
       DirectStartFilter neverStarted = new DirectStartFilter(new TaskName(job.id(), index));
       Machine machine =
-          clusterState.list().firstFit(spec, allowed.and(neverStarted), startWithinMicros);
+          clusterState
+              .sortedMachines()
+              .firstFit(spec, allowed.and(neverStarted), startWithinMicros);
       if (machine == null) {
         blockedByDirectStart |= neverStarted.excludedAny;
         // Guards against one task that may not go there again keeping its job, and all like it,
--- a/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -43,7 +43,7 @@
 
   /** Stops at most one task of each cordoned machine; the next passes place it again. */
   public void consolidate(long nowMicros) {
-    clusterState.list().invalidateIndex();
+    clusterState.sortedMachines().invalidateIndex();
     Set<Machine> targets = new HashSet<>();
     for (Machine machine : cordonedEmptiestFirst()) {
       Task movable = movableTask(machine, nowMicros);
@@ -99,7 +99,7 @@
     JobSpec spec = task.spec();
     Machine machine =
         clusterState
-            .list()
+            .sortedMachines()
             .firstFit(spec, other -> !taken.contains(other) && startsAtOnce(spec, other));
     return machine != null ? machine : uncordonOneFor(task);
   }
@@ -131,7 +131,7 @@
           && startsAtOnce(spec, machine)) {
         LOG.info("machine uncordoned: machine={} forTask={}", machine.name(), task.name());
         machine.cordoned(false);
-        clusterState.list().updateCapacity(machine);
+        clusterState.sortedMachines().updateCapacity(machine);
         return machine;
       }
     }
--- a/src/test/java/org/dewreach/sim/BadInputTest.java
+++ b/src/test/java/org/dewreach/sim/BadInputTest.java
@@ -205,7 +205,7 @@
    * known, so 503 is right there for whatever depends on that. Without a leader the state service
    * tells.
    *
-   * <p>Guards: {@code SubmissionHandler.refuseUnlessKnown} and {@code
+   * <p>Guards: {@code SubmissionHandler.rejectUnlessKnown} and {@code
    * LeaderlessRequestHandler.respondUnlessKnown}; {@code Responder.respondRetry}, which says when
    * to come back.
    */
--- a/src/test/java/org/dewreach/testing/ClusterFixture.java
+++ b/src/test/java/org/dewreach/testing/ClusterFixture.java
@@ -66,7 +66,7 @@
 
   /** Adds a machine. */
   public Machine add(Machine machine) {
-    state.add(machine);
+    state.addMachine(machine);
     return machine;
   }
 
@@ -82,7 +82,7 @@
 
   private Job add(JobSpec spec, boolean submittedThisTerm) {
     Job job = new Job(spec, 0, submittedThisTerm, JobPhase.ACTIVE);
-    state.jobs().put(job.id(), job);
+    state.addJob(job);
     return job;
   }
 
