--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -1,7 +1,6 @@
 package org.dewreach.controller;
 
 import java.util.ArrayList;
-import java.util.List;
 import org.dewreach.heartbeat.DirectCommandSender;
 import org.dewreach.heartbeat.HeartbeatHandler;
 import org.dewreach.leadership.LeaseDelegations;
@@ -19,23 +18,20 @@
 import org.dewreach.request.UserRequest;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.ClusterStateLoader;
+import org.dewreach.state.DurabilityListener;
 import org.dewreach.state.JobRecordWriter;
 import org.dewreach.state.LeaderlessJobImporter;
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.store.CommitQueue;
-import org.dewreach.store.ConditionalWrite;
-import org.dewreach.store.Keys;
-import org.dewreach.store.Mutation;
 import org.dewreach.wire.Heartbeat;
 import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.JobKind;
-import org.dewreach.wire.MachineType;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** One term of this node as leader, from winning the leader key to losing it. */
-final class LeadershipTerm implements JobRecordWriter.Listener {
+final class LeadershipTerm implements DurabilityListener {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipTerm.class);
 
   private static final long PROGRESS_INTERVAL_MICROS = 250_000;
@@ -167,9 +163,7 @@
     if (phase == Phase.RECOVERING) {
       updateRecovery(nowMicros);
     }
-    if (catalog.takeFromCloud()) {
-      saveCatalog(nowMicros);
-    }
+    catalog.saveIfRefreshed(queue, nowMicros);
     registry.tick(nowMicros);
     jobImporter.tick(nowMicros);
     placement.tick(phase == Phase.ACTIVE, nowMicros);
@@ -202,19 +196,9 @@
     }
   }
 
-  private void saveCatalog(long nowMicros) {
-    queue.add(
-        nowMicros,
-        new ConditionalWrite(
-            List.of(),
-            List.of(new Mutation(Keys.CATALOG, MachineType.catalogNode(catalog.types()))),
-            false,
-            (now, outcome, revision) -> {}));
-  }
-
   private void advanceJobs(long nowMicros) {
     for (Job job : new ArrayList<>(clusterState.jobs().values())) {
-      recordWriter.pump(job, nowMicros);
+      recordWriter.writeIfDue(job, nowMicros);
       if (phase == Phase.CLOSED) {
         return;
       }
@@ -274,7 +258,7 @@
   public void onAccepted(Job job, long nowMicros) {
     LOG.info("job accepted: job={} tasks={}", job.id(), job.spec().tasks());
     if (job.spec().jobKind() == JobKind.SERVICE) {
-      clusterState.services().arrived(job.spec(), nowMicros);
+      clusterState.serviceRate().arrived(job.spec(), nowMicros);
     }
     clusterState.requestPlacement();
     requestHandler.onAccepted(job);
@@ -293,18 +277,18 @@
   @Override
   public void onEnded(Job job, long nowMicros) {
     LOG.info("job ended: job={} state={}", job.id(), job.finalState());
-    clusterState.jobs().remove(job.id());
+    clusterState.removeJob(job);
     requestHandler.onEnded(job);
   }
 
   @Override
-  public void onMarked(long nowMicros) {
+  public void onMachinesRegistered(long nowMicros) {
     clusterState.requestPlacement();
   }
 
   @Override
-  public void onBroken(String why, long nowMicros) {
-    LOG.error("records do not match, giving up the lead: term={} reason={}", number, why);
+  public void onRecordConflict(String reason, long nowMicros) {
+    LOG.error("records do not match, giving up the lead: term={} reason=\"{}\"", number, reason);
     control.onKeyLost();
   }
 
--- a/src/main/java/org/dewreach/controller/TermComponents.java
+++ b/src/main/java/org/dewreach/controller/TermComponents.java
@@ -11,6 +11,7 @@
 import org.dewreach.request.JobRequestHandler;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.ClusterStateLoader;
+import org.dewreach.state.DurabilityListener;
 import org.dewreach.state.JobRecordWriter;
 import org.dewreach.state.LeaderlessJobImporter;
 import org.dewreach.state.MachineRegistry;
@@ -33,7 +34,7 @@
    * @param closed tells whether the term is over
    */
   record Callbacks(
-      JobRecordWriter.Listener records,
+      DurabilityListener records,
       Consumer<String> onImportFailed,
       DirectCommandSender.ReplyListener directReplies,
       BooleanSupplier closed) {}
--- a/src/main/java/org/dewreach/controller/TermReporter.java
+++ b/src/main/java/org/dewreach/controller/TermReporter.java
@@ -55,7 +55,7 @@
         freeCpus,
         boundTasks(),
         unplacedTaskCount(unplaced),
-        queue.waiting(),
+        queue.pendingWrites(),
         queue.transactionAgeMicros(nowMicros) / MICROS_PER_MS);
   }
 
@@ -67,7 +67,7 @@
         clusterState.machines().size(),
         boundTasks(),
         unplacedTaskCount(unplaced),
-        queue.waiting());
+        queue.pendingWrites());
   }
 
   private int boundTasks() {
--- a/src/main/java/org/dewreach/request/CancellationHandler.java
+++ b/src/main/java/org/dewreach/request/CancellationHandler.java
@@ -89,7 +89,7 @@
     List.copyOf(job.bound().values())
         .forEach(task -> clusterState.stop(task, "job cancelled", nowMicros));
     clusterState.requestPlacement();
-    recordWriter.pump(job, nowMicros);
+    recordWriter.writeIfDue(job, nowMicros);
   }
 
   private static boolean isStoppingTooLong(Job job, long nowMicros) {
--- a/src/main/java/org/dewreach/request/JobLookup.java
+++ b/src/main/java/org/dewreach/request/JobLookup.java
@@ -121,7 +121,7 @@
       onUnknown.accept(RetryReason.RECORD_MALFORMED);
       return;
     }
-    finalStates.read(jobId, finalState);
+    finalStates.addLookedUp(jobId, finalState);
     onResult.accept(Optional.of(new Found(finalState.jobState(), finalState.done())));
   }
 }
--- a/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
@@ -40,7 +40,7 @@
   public void migrate(long nowMicros) {
     double earned = replicas() * tuning.movedShare() * roundIntervalMicros / MICROS_PER_SECOND;
     moveBudget = Math.min(MAX_SAVED_MOVES, moveBudget + earned);
-    clusterState.list().invalidateIndex();
+    clusterState.sortedMachines().invalidateIndex();
     for (Machine machine : clusterState.machines().values()) {
       if (moveBudget < 1) {
         return;
@@ -88,7 +88,7 @@
 
   private boolean canStartAtOnce(JobSpec spec) {
     return clusterState
-            .list()
+            .sortedMachines()
             .firstFit(
                 spec,
                 machine -> SortFirstFit.permitted(spec, machine) && machine.fetchMicros(spec) == 0)
--- a/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -43,7 +43,7 @@
 
   /** Stops at most one task of each cordoned machine; the next passes place it again. */
   public void consolidate(long nowMicros) {
-    clusterState.list().invalidateIndex();
+    clusterState.sortedMachines().invalidateIndex();
     Set<Machine> targets = new HashSet<>();
     for (Machine machine : cordonedEmptiestFirst()) {
       Task movable = movableTask(machine, nowMicros);
@@ -99,14 +99,12 @@
     JobSpec spec = task.spec();
     Machine machine =
         clusterState
-            .list()
+            .sortedMachines()
             .firstFit(spec, other -> !taken.contains(other) && startsAtOnce(spec, other));
     return machine != null ? machine : uncordonOneFor(task);
   }
 
-  /**
-   * Work that leaves room to services on ordinary machines is sure of its room on spot ones only.
-   */
+  /** On on-demand machines, work that leaves room for services may find none when it is placed. */
   private static boolean startsAtOnce(JobSpec spec, Machine machine) {
     return SortFirstFit.permitted(spec, machine)
         && machine.fetchMicros(spec) == 0
@@ -133,7 +131,7 @@
           && startsAtOnce(spec, machine)) {
         LOG.info("machine uncordoned: machine={} forTask={}", machine.name(), task.name());
         machine.cordoned(false);
-        clusterState.list().updateCapacity(machine);
+        clusterState.sortedMachines().updateCapacity(machine);
         return machine;
       }
     }
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -71,7 +71,7 @@
             clusterState.jobs().values(),
             job -> job.startable() && job.pending() > 0 && !unseen.containsKey(job),
             nowMicros + wallOffsetMicros);
-    clusterState.list().invalidateIndex();
+    clusterState.sortedMachines().invalidateIndex();
     Pass pass = new Pass(nowMicros, bootMicros);
     queue.forEach(pass::place);
     unseen.forEach((job, tasks) -> clusterState.quotas().add(job.spec(), -tasks));
@@ -120,7 +120,7 @@
       this.wallMicros = nowMicros + wallOffsetMicros;
       this.headroom =
           new ServiceHeadroom(
-              clusterState, clusterState.services().headroomCpus(bootMicros, nowMicros));
+              clusterState, clusterState.serviceRate().headroomCpus(bootMicros, nowMicros));
     }
 
     boolean isFull() {
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -42,7 +42,10 @@
     return cluster.add(ClusterFixture.newUpMachine(name, BOX, spot));
   }
 
-  /** Guards against starting what may run on a machine that is not heard, and against its quota. */
+  /**
+   * Guards against starting what may run on a machine that sends no heartbeats, and against
+   * exceeding the quota.
+   */
   @Test
   void tasksThatMayRunUnseenAreNotStartedAndCountAgainstTheQuota() {
     box("m1", true);
@@ -88,7 +91,7 @@
     box("m1", false);
     JobSpec service = JobSpecBuilder.service("req-9").cpus(8).build();
     for (int i = 0; i < 100; i++) {
-      clusterState.services().arrived(service, S);
+      clusterState.serviceRate().arrived(service, S);
     }
     Job job = submitted("req-1", 4);
     placer.placeTasks(30 * S, each -> true, 60 * S);
