--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -51,7 +51,7 @@
   }
 
   private final Outbox outbox;
-  private final KeyValueStore state;
+  private final KeyValueStore store;
   private final String self;
   private final String zone;
 
@@ -75,9 +75,9 @@
   private long nextProbeAt;
 
   /** Without a delegation yet. */
-  public DelegateRenewer(Outbox outbox, KeyValueStore state, Settings settings) {
+  public DelegateRenewer(Outbox outbox, KeyValueStore store, Settings settings) {
     this.outbox = outbox;
-    this.state = state;
+    this.store = store;
     this.self = settings.name();
     this.zone = settings.zone();
   }
@@ -99,7 +99,7 @@
     if (lost && nowMicros < delegatedUntil && nowMicros >= nextProbeAt) {
       nextProbeAt = nowMicros + REQUEST_INTERVAL_MICROS;
       // A node that reaches the key-value store is not cut off, and learns there who leads.
-      state.get(
+      store.get(
           Keys.LEADER,
           (now, result) -> {
             if (!(result instanceof RequestFailure)) {
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -48,7 +48,7 @@
     void onDeposed(long nowMicros, long term);
   }
 
-  private final KeyValueStore state;
+  private final KeyValueStore store;
   private final String self;
   private final String boot;
   private final RandomGenerator random;
@@ -77,21 +77,21 @@
    * @param random spreads the claims of several nodes in time
    */
   public Election(
-      KeyValueStore state,
+      KeyValueStore store,
       Outbox outbox,
       List<String> others,
       String self,
       String boot,
       RandomGenerator random,
       Listener listener) {
-    this.state = state;
+    this.store = store;
     this.self = self;
     this.boot = boot;
     this.random = random;
     this.listener = listener;
-    this.claim = new LeaderClaim(state, self, boot);
+    this.claim = new LeaderClaim(store, self, boot);
     this.authority =
-        new LeaderAuthority(state, outbox, others, self, this::onRenewed, this::onLeaseEnded);
+        new LeaderAuthority(store, outbox, others, self, this::onRenewed, this::onLeaseEnded);
   }
 
   /** What this controller is in the election now. */
@@ -219,7 +219,7 @@
 
   private void readLeaderKey() {
     readInFlight = true;
-    state.get(Keys.LEADER, this::onLeaderKeyRead);
+    store.get(Keys.LEADER, this::onLeaderKeyRead);
   }
 
   private void onLeaderKeyRead(long nowMicros, ReadResult result) {
@@ -301,7 +301,7 @@
     claim.abandon();
     become(ElectionState.FOLLOWING, "revoking an old lease");
     readInFlight = true;
-    state.revokeLease(
+    store.revokeLease(
         holderLeaseId,
         (now, result) -> {
           readInFlight = false;
@@ -311,7 +311,7 @@
 
   private void watchLeaderKey() {
     watchInFlight = true;
-    state.watch(
+    store.watch(
         Keys.LEADER,
         seenRevision,
         WATCH_MS,
--- a/src/main/java/org/dewreach/leadership/LeaderAuthority.java
+++ b/src/main/java/org/dewreach/leadership/LeaderAuthority.java
@@ -69,7 +69,7 @@
     GRANTS
   }
 
-  private final KeyValueStore state;
+  private final KeyValueStore store;
   private final Outbox outbox;
   private final List<String> others;
   private final String self;
@@ -95,13 +95,13 @@
    * @param onLeaseEnded takes the time at which the key-value store reported the lease expired
    */
   LeaderAuthority(
-      KeyValueStore state,
+      KeyValueStore store,
       Outbox outbox,
       List<String> others,
       String self,
       LongConsumer onRenewed,
       LongConsumer onLeaseEnded) {
-    this.state = state;
+    this.store = store;
     this.outbox = outbox;
     this.others = others;
     this.self = self;
@@ -225,7 +225,7 @@
   private void renew(long nowMicros) {
     renewalInFlight = true;
     long forTerm = term;
-    state.renewLease(
+    store.renewLease(
         leaseId,
         RENEW_TIMEOUT_MICROS,
         (now, result) -> {
--- a/src/main/java/org/dewreach/leadership/LeaderClaim.java
+++ b/src/main/java/org/dewreach/leadership/LeaderClaim.java
@@ -17,7 +17,7 @@
 
   private static final long MICROS_PER_MS = 1_000;
 
-  private final KeyValueStore state;
+  private final KeyValueStore store;
   private final String self;
   private final String boot;
   private long leaseId;
@@ -28,15 +28,15 @@
    *
    * @param boot identifies this process among those of the same name
    */
-  LeaderClaim(KeyValueStore state, String self, String boot) {
-    this.state = state;
+  LeaderClaim(KeyValueStore store, String self, String boot) {
+    this.store = store;
     this.self = self;
     this.boot = boot;
   }
 
   /** Opens the lease; its time counts from now. */
   void openLease(long nowMicros, ResultHandler<LeaseResult> handler) {
-    state.grantLease(
+    store.grantLease(
         LeaderAuthority.LEASE_TTL_MICROS / MICROS_PER_MS,
         TIMEOUT_MICROS,
         (now, result) -> {
@@ -50,7 +50,7 @@
 
   /** Writes the leader key with the lease, unless the key is there. */
   void writeKey(ResultHandler<TransactionResult> handler) {
-    state.commit(
+    store.commit(
         List.of(Precondition.absent(Keys.LEADER)),
         List.of(Mutation.put(Keys.LEADER, new LeaderRecord(self, boot).encode())),
         leaseId,
@@ -85,7 +85,7 @@
     if (leaseId > 0) {
       long old = leaseId;
       leaseId = 0;
-      state.revokeLease(old, (now, result) -> {});
+      store.revokeLease(old, (now, result) -> {});
     }
   }
 }
