--- a/src/main/java/org/dewreach/controller/Controller.java
+++ b/src/main/java/org/dewreach/controller/Controller.java
@@ -50,7 +50,7 @@
     this.outbox = new Outbox(this::effectsValidUntil);
     this.services = NodeServices.create(settings, tuning, outbox, wallOffsetMicros);
     this.leadership = new Leadership(services, clock, boot, random);
-    this.finalStateWatcher = new FinalStateWatcher(services.state(), services.finalStates());
+    this.finalStateWatcher = new FinalStateWatcher(services.store(), services.finalStates());
     this.leaderDiscovery =
         new LeaderDiscovery(outbox, settings, leadership.election(), leadership.delegateRenewer());
     this.userRequests = new UserRequestRouter(services, leadership, clock, boot);
--- a/src/main/java/org/dewreach/controller/Leadership.java
+++ b/src/main/java/org/dewreach/controller/Leadership.java
@@ -40,7 +40,7 @@
             boot,
             random,
             this);
-    this.delegateRenewer = new DelegateRenewer(services.outbox(), services.state(), settings);
+    this.delegateRenewer = new DelegateRenewer(services.outbox(), services.store(), settings);
   }
 
   Election election() {
--- a/src/main/java/org/dewreach/controller/NodeServices.java
+++ b/src/main/java/org/dewreach/controller/NodeServices.java
@@ -14,7 +14,7 @@
  * @param settings the node's settings
  * @param tuning the site's tuning
  * @param outbox collects effects
- * @param state the state service, over the general connections
+ * @param store the key-value store, over the general connections
  * @param cloud the cloud's machines
  * @param catalog the machine types
  * @param finalStates the final states known to be durable
@@ -24,7 +24,7 @@
     Settings settings,
     Tuning tuning,
     Outbox outbox,
-    KeyValueStore state,
+    KeyValueStore store,
     CloudClient cloud,
     MachineTypeCatalog catalog,
     FinalStates finalStates,
@@ -33,15 +33,15 @@
   /** Services that send through the given outbox, and have read nothing yet. */
   static NodeServices create(
       Settings settings, Tuning tuning, Outbox outbox, long wallOffsetMicros) {
-    KeyValueStore state = new KeyValueStore(outbox);
+    KeyValueStore store = new KeyValueStore(outbox);
     CloudClient cloud = new CloudClient(outbox, settings.cloudLimits().rps());
     return new NodeServices(
         settings,
         tuning,
         outbox,
-        state,
+        store,
         cloud,
-        new MachineTypeCatalog(state, cloud),
+        new MachineTypeCatalog(store, cloud),
         new FinalStates(),
         wallOffsetMicros);
   }
--- a/src/main/java/org/dewreach/controller/NodeStats.java
+++ b/src/main/java/org/dewreach/controller/NodeStats.java
@@ -13,7 +13,7 @@
  * @param openCalls calls without an outcome yet
  * @param userRequests users' requests
  * @param finalStates how many final states the node knows
- * @param finalStatesRevision the revision of the state service up to which it knows them
+ * @param finalStatesRevision the revision of the key-value store up to which it knows them
  * @param termStats numbers of the term that the node leads, or null
  */
 record NodeStats(
--- a/src/main/java/org/dewreach/controller/TermComponents.java
+++ b/src/main/java/org/dewreach/controller/TermComponents.java
@@ -82,14 +82,14 @@
     this.recordWriter = new JobRecordWriter(queue, cancellationGate, callbacks.records());
     this.loader =
         new ClusterStateLoader(
-            services.state(),
+            services.store(),
             clusterState,
             registry,
             services.catalog(),
             services.wallOffsetMicros());
     this.jobImporter =
         new LeaderlessJobImporter(
-            services.state(), clusterState, recordWriter, callbacks.onImportFailed());
+            services.store(), clusterState, recordWriter, callbacks.onImportFailed());
     this.requestHandler = newRequestHandler();
     this.commandSender =
         new DirectCommandSender(
@@ -106,7 +106,7 @@
   private CommitQueue newCommitQueue(LeadershipControl control) {
     double writeRps = settings.stateLimits().writeRps() * WRITE_RATE_SHARE;
     return new CommitQueue(
-        services.state(),
+        services.store(),
         new Precondition(Keys.LEADER, term),
         settings.stateLimits().txnOps(),
         new TokenBucket(writeRps, writeRps),
@@ -132,7 +132,7 @@
         clusterState,
         recordWriter,
         jobImporter,
-        services.state(),
+        services.store(),
         services.finalStates(),
         services.catalog(),
         settings,
--- a/src/main/java/org/dewreach/controller/UserRequestRouter.java
+++ b/src/main/java/org/dewreach/controller/UserRequestRouter.java
@@ -42,7 +42,7 @@
     this.limits = new UserRequestLimits(clock);
     this.leaderlessHandler =
         new LeaderlessRequestHandler(
-            services.state(),
+            services.store(),
             finalStates,
             services.catalog(),
             services.settings(),
--- a/src/main/java/org/dewreach/port/Outbox.java
+++ b/src/main/java/org/dewreach/port/Outbox.java
@@ -62,7 +62,7 @@
       ReplyHandler handler) {
     long callId = ++lastCallId;
     open.put(callId, handler);
-    // The state service fences writes itself, and the cloud's requests do no harm when late.
+    // The key-value store fences writes itself, and the cloud's requests do no harm when late.
     long notAfter = target instanceof Target.Worker ? authorityUntil.getAsLong() : Effect.ANY_TIME;
     outbox.add(new Effect.Call(callId, target, pool, method, path, body, timeoutMicros, notAfter));
   }
--- a/src/main/java/org/dewreach/port/Target.java
+++ b/src/main/java/org/dewreach/port/Target.java
@@ -2,13 +2,13 @@
 
 /** Whom a call is addressed to. */
 public sealed interface Target {
-  /** The state service. */
+  /** The key-value store. */
   Target STATE = new State();
 
   /** The cloud. */
   Target CLOUD = new Cloud();
 
-  /** The state service. */
+  /** The key-value store. */
   record State() implements Target {}
 
   /** The cloud. */
--- a/src/main/java/org/dewreach/request/JobLookup.java
+++ b/src/main/java/org/dewreach/request/JobLookup.java
@@ -24,7 +24,7 @@
 final class JobLookup {
   private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
 
-  /** Share of the state service's rate that lookups may take. A default of this project. */
+  /** Share of the key-value store's rate that lookups may take. A default of this project. */
   private static final double RATE_SHARE = 0.3;
 
   /**
@@ -37,19 +37,19 @@
 
   private final ClusterState clusterState;
   private final LeaderlessJobImporter jobImporter;
-  private final KeyValueStore state;
+  private final KeyValueStore store;
   private final TokenBucket budget;
   private final FinalStates finalStates;
 
   JobLookup(
       ClusterState clusterState,
       LeaderlessJobImporter jobImporter,
-      KeyValueStore state,
+      KeyValueStore store,
       FinalStates finalStates,
       Settings settings) {
     this.clusterState = clusterState;
     this.jobImporter = jobImporter;
-    this.state = state;
+    this.store = store;
     this.finalStates = finalStates;
     double rps = settings.stateLimits().rps() * RATE_SHARE;
     this.budget = new TokenBucket(rps, rps);
@@ -72,7 +72,7 @@
       onUnknown.accept(RetryReason.STATE_RATE);
       return;
     }
-    state.get(
+    store.get(
         Keys.leaderlessJob(jobId),
         (now, result) -> {
           if (result instanceof KeyValue newJob) {
@@ -95,7 +95,7 @@
 
   private void findEnded(
       String jobId, Consumer<Optional<Found>> onResult, Consumer<RetryReason> onUnknown) {
-    state.get(
+    store.get(
         Keys.finalState(jobId),
         (now, result) -> {
           if (result instanceof ReadResult.Absent) {
--- a/src/main/java/org/dewreach/request/JobRequestHandler.java
+++ b/src/main/java/org/dewreach/request/JobRequestHandler.java
@@ -35,14 +35,14 @@
       ClusterState clusterState,
       JobRecordWriter recordWriter,
       LeaderlessJobImporter jobImporter,
-      KeyValueStore state,
+      KeyValueStore store,
       FinalStates finalStates,
       MachineTypeCatalog catalog,
       Settings settings,
       long wallOffsetMicros) {
     this.clusterState = clusterState;
     this.recordWriter = recordWriter;
-    this.lookup = new JobLookup(clusterState, jobImporter, state, finalStates, settings);
+    this.lookup = new JobLookup(clusterState, jobImporter, store, finalStates, settings);
     this.finalStates = finalStates;
     this.pendingQueries = new PendingQueries(recordWriter);
     this.submissions =
--- a/src/main/java/org/dewreach/request/LeaderDiscovery.java
+++ b/src/main/java/org/dewreach/request/LeaderDiscovery.java
@@ -8,7 +8,7 @@
 import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
 
-/** Asks the other nodes who leads while the state service does not tell. */
+/** Asks the other nodes who leads while the key-value store does not tell. */
 public final class LeaderDiscovery {
   /** A node started in an outage asks the others soon. */
   private static final long STARTED_ALONE_MICROS = 1_000_000;
--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -26,7 +26,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves users straight from the state service while no leader is reachable.
+ * Serves users straight from the key-value store while no leader is reachable.
  *
  * <p>Reading is always safe. A new job is written under a key of its own, from which only a leader
  * imports it, in one transaction; so it needs no leader to be accepted or cancelled, and nobody
@@ -38,12 +38,12 @@
   private static final long WRITE_TIMEOUT_MICROS = 1_500_000;
 
   /**
-   * Share of the state service's rates that one node without a leader takes. A default of this
+   * Share of the key-value store's rates that one node without a leader takes. A default of this
    * project.
    */
   private static final double STATE_RATE_SHARE = 0.25;
 
-  private final KeyValueStore state;
+  private final KeyValueStore store;
   private final MachineTypeCatalog catalog;
   private final Settings settings;
   private final String boot;
@@ -61,21 +61,21 @@
    * @param wallOffsetMicros time of day minus event time
    */
   public LeaderlessRequestHandler(
-      KeyValueStore state,
+      KeyValueStore store,
       FinalStates finalStates,
       MachineTypeCatalog catalog,
       Settings settings,
       String boot,
       LongSupplier clock,
       long wallOffsetMicros) {
-    this.state = state;
+    this.store = store;
     this.catalog = catalog;
     this.settings = settings;
     this.boot = boot;
     this.clock = clock;
     this.wallOffsetMicros = wallOffsetMicros;
     double readRps = settings.stateLimits().rps() * STATE_RATE_SHARE;
-    this.reader = new StoredJobReader(state, finalStates, readRps, clock);
+    this.reader = new StoredJobReader(store, finalStates, readRps, clock);
     double writeRps = settings.stateLimits().writeRps() * STATE_RATE_SHARE;
     this.writeBudget = new TokenBucket(writeRps, writeRps);
   }
@@ -159,7 +159,7 @@
             Keys.leaderlessJob(jobId),
             LeaderlessJobRecord.encode(
                 spec, acceptedWallMicros, false, new BitSet(), nextWriteId()));
-    state.commit(
+    store.commit(
         List.of(
             new Precondition(Keys.leaderlessJob(jobId), 0),
             new Precondition(Keys.job(jobId), 0),
@@ -197,7 +197,7 @@
             job.key(),
             LeaderlessJobRecord.encode(
                 live.spec(), live.acceptedWallMicros(), true, live.done(), nextWriteId()));
-    state.commit(
+    store.commit(
         List.of(new Precondition(job.key(), job.revision())),
         List.of(put),
         0,
--- a/src/main/java/org/dewreach/request/PendingQueries.java
+++ b/src/main/java/org/dewreach/request/PendingQueries.java
@@ -16,7 +16,7 @@
  *
  * <p>If it takes longer, the job's last durable state is told, for as long as the write is
  * certainly not applied. Guards against jobs that cannot be queried while nothing can be written:
- * their ends wait for as long as an outage of the state service lasts.
+ * their ends wait for as long as an outage of the key-value store lasts.
  *
  * <p>While the write may be applied without our knowing, the user is told to retry. Guards against
  * telling an older state than another node has told: it may have read the new record while the
--- a/src/main/java/org/dewreach/request/RetryReason.java
+++ b/src/main/java/org/dewreach/request/RetryReason.java
@@ -18,11 +18,11 @@
   WRITE_QUEUE_FULL,
   /** The tasks of a cancelled job may still run or start. */
   TASKS_NOT_GONE,
-  /** The rate for reading the state service, or for writing without a leader, is used up. */
+  /** The rate for reading the key-value store, or for writing without a leader, is used up. */
   STATE_RATE,
-  /** The state service did not answer a read. */
+  /** The key-value store did not answer a read. */
   READ_FAILED,
-  /** The state service did not confirm a write. */
+  /** The key-value store did not confirm a write. */
   WRITE_NOT_CONFIRMED,
   /** The machine types are not known yet. */
   NO_CATALOG,
--- a/src/main/java/org/dewreach/request/StoredJobReader.java
+++ b/src/main/java/org/dewreach/request/StoredJobReader.java
@@ -18,11 +18,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads jobs from the state service, wherever their records are. */
+/** Reads jobs from the key-value store, wherever their records are. */
 final class StoredJobReader {
   private static final Logger LOG = LoggerFactory.getLogger(StoredJobReader.class);
 
-  private final KeyValueStore state;
+  private final KeyValueStore store;
   private final FinalStates finalStates;
   private final TokenBucket budget;
   private final LongSupplier clock;
@@ -33,8 +33,8 @@
    * @param rps reads per second that it may make
    * @param clock tells event time
    */
-  StoredJobReader(KeyValueStore state, FinalStates finalStates, double rps, LongSupplier clock) {
-    this.state = state;
+  StoredJobReader(KeyValueStore store, FinalStates finalStates, double rps, LongSupplier clock) {
+    this.store = store;
     this.finalStates = finalStates;
     this.budget = new TokenBucket(rps, rps);
     this.clock = clock;
@@ -82,7 +82,7 @@
    * Reads a job. All reads are paid for at the start, and those not needed are refunded.
    *
    * <p>Guards against the requests that reach a controller while it stands still: each was counted
-   * as one read and took up to four, so all at once were more than the state service allows.
+   * as one read and took up to four, so all at once were more than the key-value store allows.
    *
    * @param onUnknown receives why the job could not be read
    */
@@ -108,7 +108,7 @@
       return;
     }
     List<String> rest = keys.subList(1, keys.size());
-    state.get(
+    store.get(
         keys.get(0),
         (now, result) -> {
           if (result instanceof ReadResult.Absent) {
