--- /dev/null
+++ b/src/test/java/org/dewreach/model/JobTest.java
@@ -0,0 +1,91 @@
+package org.dewreach.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.BitSet;
+import org.dewreach.testing.ClusterFixture;
+import org.dewreach.testing.JobSpecBuilder;
+import org.dewreach.wire.JobState;
+import org.junit.jupiter.api.Test;
+
+/** The states of a job and the counts of its tasks: {@link Job}. */
+class JobTest {
+  private final Machine machine =
+      ClusterFixture.newUpMachine("m1", ClusterFixture.type("box", 8, 32, 0), false);
+  private final Job job =
+      new Job(JobSpecBuilder.array("req-1").tasks(3).build(), 0, true, JobPhase.PERSISTING);
+
+  private Task bind(int index) {
+    Task task = new Task(job, index, 1, machine, TaskPhase.ASSIGNED, 0);
+    job.bind(task);
+    return task;
+  }
+
+  @Test
+  void aJobGoesThroughItsStatesInOrderOnly() {
+    assertThrows(IllegalStateException.class, () -> job.become(JobPhase.CANCEL_REQUESTED));
+    job.become(JobPhase.ACTIVE);
+    assertThrows(IllegalStateException.class, () -> job.become(JobPhase.PERSISTING));
+    assertThrows(IllegalStateException.class, () -> job.become(JobPhase.ENDED));
+    job.become(JobPhase.CANCEL_REQUESTED);
+    job.become(JobPhase.CANCEL_COMMITTING);
+    assertThrows(IllegalStateException.class, () -> job.become(JobPhase.FINALIZING));
+    job.become(JobPhase.CANCELLED);
+    assertNull(job.finalState());
+    job.become(JobPhase.FINALIZING);
+    assertEquals(JobState.CANCELLED, job.finalState());
+    job.become(JobPhase.ENDED);
+  }
+
+  @Test
+  void aJobWhoseCancellationIsNotWrittenYetMayStillComplete() {
+    job.become(JobPhase.ACTIVE);
+    job.become(JobPhase.CANCEL_REQUESTED);
+    assertFalse(job.startable());
+    assertTrue(job.mayStillComplete());
+    job.become(JobPhase.FINALIZING);
+    assertEquals(JobState.DONE, job.finalState());
+    assertEquals(JobState.PENDING, job.jobState(), "not done for its user until that is durable");
+    job.become(JobPhase.ENDED);
+    assertEquals(JobState.DONE, job.jobState());
+  }
+
+  @Test
+  void aTaskIsPendingUnlessItIsDoneOrBound() {
+    Task first = bind(0);
+    assertEquals(2, job.pending());
+    assertEquals(1, job.nextPending());
+    assertTrue(job.markDone(0));
+    assertFalse(job.markDone(0), "known already");
+    assertEquals(2, job.pending(), "bound or done, it counts once");
+    job.unbind(first);
+    assertEquals(2, job.pending());
+    Task second = bind(1);
+    assertEquals(2, job.nextPending());
+    job.unbind(second);
+    assertEquals(1, job.nextPending());
+    assertEquals(2, job.pendingAfter(1));
+    assertEquals(-1, job.pendingAfter(2));
+  }
+
+  @Test
+  void aTaskIsBoundOnce() {
+    bind(0);
+    assertThrows(IllegalStateException.class, () -> bind(0));
+    assertEquals(1, job.boundInZone("a"));
+  }
+
+  @Test
+  void restoredProgressIsDoneAndDurable() {
+    BitSet saved = new BitSet();
+    saved.set(0, 3);
+    job.restoreProgress(saved);
+    assertTrue(job.complete());
+    assertEquals(saved, job.record().done());
+    assertEquals(-1, job.nextPending());
+  }
+}
--- /dev/null
+++ b/src/test/java/org/dewreach/model/MachineTest.java
@@ -0,0 +1,101 @@
+package org.dewreach.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.dewreach.testing.ClusterFixture;
+import org.dewreach.testing.JobSpecBuilder;
+import org.dewreach.wire.MachineType;
+import org.dewreach.wire.Priority;
+import org.dewreach.wire.TaskName;
+import org.junit.jupiter.api.Test;
+
+/** When a machine is idle, schedulable and what it has free: {@link Machine}. */
+class MachineTest {
+  private static final long S = 1_000_000;
+  private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
+
+  private final Machine machine = ClusterFixture.newUpMachine("m1", TYPE, false);
+
+  private Task bind(int index) {
+    Job job =
+        new Job(JobSpecBuilder.array("req-" + index).cpus(0.1).build(), 0, true, JobPhase.ACTIVE);
+    Task task = new Task(job, index, 1, machine, TaskPhase.ASSIGNED, 0);
+    machine.bind(task);
+    return task;
+  }
+
+  @Test
+  void aMachineThatIsGoneStaysGone() {
+    machine.become(MachinePhase.GONE, S);
+    assertThrows(IllegalStateException.class, () -> machine.become(MachinePhase.UP, 2 * S));
+  }
+
+  @Test
+  void aMachineIsIdleSinceItCameUpOrItsLastTaskLeft() {
+    Machine booting = ClusterFixture.newMachine("m2", TYPE, false, MachinePhase.BOOTING);
+    booting.become(MachinePhase.UP, 20 * S);
+    assertEquals(20 * S, booting.idleSince());
+    booting.become(MachinePhase.DRAINING, 30 * S);
+    booting.become(MachinePhase.UP, 40 * S);
+    assertEquals(20 * S, booting.idleSince(), "it was up all the time");
+    booting.become(MachinePhase.LOST, 50 * S);
+    booting.become(MachinePhase.UP, 60 * S);
+    assertEquals(60 * S, booting.idleSince());
+    Task task = bind(0);
+    machine.unbind(task, 70 * S);
+    assertEquals(70 * S, machine.idleSince());
+  }
+
+  @Test
+  void anEmptyMachineHasAllItsCapacityWhateverTheRounding() {
+    Task first = bind(0);
+    Task second = bind(1);
+    Task third = bind(2);
+    assertTrue(machine.hasTaskBelow(Priority.HIGH));
+    machine.unbind(first, S);
+    machine.unbind(second, S);
+    machine.unbind(third, S);
+    assertEquals(8.0, machine.freeCpus());
+    assertFalse(machine.hasTaskBelow(Priority.HIGH));
+  }
+
+  @Test
+  void nothingIsPlacedOnAMachineThatCannotBeReliedOn() {
+    assertTrue(machine.schedulable());
+    machine.cordoned(true);
+    assertFalse(machine.schedulable());
+    assertTrue(machine.schedulableOnceUncordoned());
+    machine.cordoned(false);
+    machine.failures().quarantine(S);
+    assertFalse(machine.schedulable());
+    machine.failures().endQuarantine();
+    machine.reclaimAt(30 * S);
+    assertFalse(machine.schedulable());
+    machine.reclaimAt(-1);
+    machine.heartbeats().markUnreachable();
+    assertFalse(machine.schedulable());
+    machine.heartbeats().recordHeartbeat(S);
+    machine.heartbeats().restartCheck(RestartCheck.CONFIRMED);
+    assertFalse(machine.schedulable());
+    machine.heartbeats().restartCheck(RestartCheck.CHECKING);
+    assertTrue(machine.schedulable());
+    machine.recorded(false);
+    assertFalse(machine.schedulable());
+  }
+
+  @Test
+  void aNewIncarnationForgetsDirectStarts() {
+    TaskName task = new TaskName("req-1", 0);
+    machine.recordSequence(4, 1);
+    machine.directCommands().recordStart(task, 7);
+    machine.recordSequence(4, 2);
+    assertTrue(machine.directCommands().hasStartedTask(task));
+    assertTrue(machine.directCommands().hasStartedAttempt(7));
+    machine.recordSequence(5, 0);
+    assertFalse(machine.directCommands().hasStartedTask(task));
+    assertEquals(0, machine.directCommands().startCount());
+  }
+}
