--- a/src/main/java/org/dewreach/autoscaling/PoolSelector.java
+++ b/src/main/java/org/dewreach/autoscaling/PoolSelector.java
@@ -1,5 +1,6 @@
 package org.dewreach.autoscaling;
 
+import java.util.ArrayList;
 import java.util.List;
 import org.dewreach.model.Admission;
 import org.dewreach.placement.FreeCapacity;
@@ -22,6 +23,7 @@
   private static final double LATE_COST_FACTOR = 2;
 
   private final List<MachineType> catalog;
+  private final List<MachinePool> pools;
   private final boolean onDemandForAll;
   private final RefusalBackoff refusals;
   private final long nowMicros;
@@ -34,11 +36,24 @@
   PoolSelector(
       List<MachineType> catalog, boolean onDemandForAll, RefusalBackoff refusals, long nowMicros) {
     this.catalog = catalog;
+    this.pools = pools(catalog);
     this.onDemandForAll = onDemandForAll;
     this.refusals = refusals;
     this.nowMicros = nowMicros;
   }
 
+  /** Spot pools before on-demand ones: of pools with equal costs the first one is chosen. */
+  private static List<MachinePool> pools(List<MachineType> catalog) {
+    List<MachinePool> pools = new ArrayList<>();
+    for (MachineType type : catalog) {
+      for (String zone : type.zones()) {
+        pools.add(new MachinePool(type, zone, true));
+        pools.add(new MachinePool(type, zone, false));
+      }
+    }
+    return pools;
+  }
+
   /** All machine types on offer. */
   List<MachineType> catalog() {
     return catalog;
@@ -48,24 +63,15 @@
   MachinePool cheapest(RequirementGroup group, int tasks, ZoneAllowance allowance) {
     MachinePool best = null;
     double bestCost = Double.POSITIVE_INFINITY;
-    for (MachineType type : catalog) {
-      if (!Admission.fits(group.requirement().spec(), type)) {
+    for (MachinePool pool : pools) {
+      int tasksInZone = Math.min(tasks, allowance.remaining(pool.zone()));
+      if (tasksInZone <= 0 || !allowed(pool, group.requirement().spec())) {
         continue;
       }
-      for (String zone : type.zones()) {
-        int tasksInZone = Math.min(tasks, allowance.remaining(zone));
-        if (tasksInZone <= 0) {
-          continue;
-        }
-        // Spot first: at equal cost the first one is taken.
-        for (boolean spot : new boolean[] {true, false}) {
-          MachinePool pool = new MachinePool(type, zone, spot);
-          double cost = costPerTask(pool, group, tasksInZone);
-          if (cost < bestCost - COST_TOLERANCE) {
-            best = pool;
-            bestCost = cost;
-          }
-        }
+      double cost = costPerTask(pool, group, tasksInZone);
+      if (cost < bestCost - COST_TOLERANCE) {
+        best = pool;
+        bestCost = cost;
       }
     }
     return best;
@@ -73,17 +79,15 @@
 
   private boolean allowed(MachinePool pool, JobSpec spec) {
     boolean spotOnly = spec.spot() && !onDemandForAll;
-    return pool.permittedBy(spec)
+    return Admission.fits(spec, pool.type())
+        && pool.permittedBy(spec)
         && refusals.available(pool, nowMicros)
         && (pool.spot() || !spotOnly);
   }
 
-  /** What a machine of the pool costs per task, with its start-up; infinite if not allowed. */
-  private double costPerTask(MachinePool pool, RequirementGroup group, int maxTasks) {
+  /** What a machine of the pool costs per task, with its start-up. */
+  private static double costPerTask(MachinePool pool, RequirementGroup group, int maxTasks) {
     CapacityRequirement requirement = group.requirement();
-    if (!allowed(pool, requirement.spec())) {
-      return Double.POSITIVE_INFINITY;
-    }
     MachineType type = pool.type();
     int tasks = FreeCapacity.of(type).take(requirement.spec(), maxTasks);
     // Until it has booted and fetched its images, a machine is paid for and of no use.
