--- a/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
@@ -49,7 +49,7 @@
   /** Marks a machine to be released with the next request. */
   public void markForRelease(Machine machine, String reason, long nowMicros) {
     LOG.info(
-        "machine phase changed: machine={} from={} to={} reason={}",
+        "machine phase changed: machine={} from={} to={} reason=\"{}\"",
         machine.name(),
         machine.phase(),
         MachinePhase.TERMINATING,
--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -94,7 +94,7 @@
       if (spare == null) {
         break;
       }
-      LOG.info("machine cordoned: machine={} reason=spare_capacity", spare.name());
+      LOG.info("machine cordoned: machine={} reason=\"spare capacity\"", spare.name());
       spare.cordoned(true);
     }
     spareCapacitySince = nowMicros - SPARE_CAPACITY_PERIOD_MICROS / 2;
@@ -103,7 +103,7 @@
   private void uncordonAll() {
     for (Machine machine : clusterState.machines().values()) {
       if (machine.cordoned() && machine.phase() == MachinePhase.UP) {
-        LOG.info("machine uncordoned: machine={} reason=unplaced_tasks", machine.name());
+        LOG.info("machine uncordoned: machine={} reason=\"unplaced tasks\"", machine.name());
         machine.cordoned(false);
         clusterState.requestPlacement();
       }
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
@@ -116,7 +116,7 @@
     long reclaimMicros = observation.heartbeat().reclaimMicros();
     if (reclaimMicros >= 0 && machine.reclaimAt() < 0) {
       LOG.info(
-          "machine reclaim announced: machine={} inMs={}",
+          "machine reclaim announced: machine={} in_ms={}",
           machine.name(),
           reclaimMicros / MICROS_PER_MS);
       machine.reclaimAt(observation.nowMicros() + reclaimMicros);
--- a/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
+++ b/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
@@ -41,7 +41,7 @@
     machine.failures().recordFailure(job.id());
     if (isFaulty(machine, job) && !machine.quarantined()) {
       LOG.info(
-          "machine quarantined: machine={} failedTasks={}",
+          "machine quarantined: machine={} failed_tasks={}",
           machine.name(),
           machine.failures().failureCount());
       machine.failures().quarantine(nowMicros);
@@ -65,7 +65,7 @@
       Machine machine = clusterState.machines().get(name);
       boolean blamed = machine != null && machine.failures().jobs().remove(job.id());
       if (blamed && machine.quarantined() && !isFaulty(machine, job)) {
-        LOG.info("machine quarantine ended: machine={} failingJob={}", name, job.id());
+        LOG.info("machine quarantine ended: machine={} failing_job={}", name, job.id());
         machine.failures().endQuarantine();
         stopDraining(machine, nowMicros);
         clusterState.requestPlacement();
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -84,7 +84,8 @@
 
   private void become(Phase next, String why) {
     if (phase != next) {
-      LOG.info("delegate phase changed: term={} from={} to={} reason={}", term, phase, next, why);
+      LOG.info(
+          "delegate phase changed: term={} from={} to={} reason=\"{}\"", term, phase, next, why);
       phase = next;
     }
   }
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -140,7 +140,7 @@
 
   private void become(ElectionState next, String why) {
     if (phase != next) {
-      LOG.info("election state changed: from={} to={} reason={}", phase, next, why);
+      LOG.info("election state changed: from={} to={} reason=\"{}\"", phase, next, why);
       phase = next;
     }
   }
--- a/src/main/java/org/dewreach/membership/CloudReconciler.java
+++ b/src/main/java/org/dewreach/membership/CloudReconciler.java
@@ -82,7 +82,7 @@
     if (result instanceof MachineListResult.Page page) {
       reconcilePage(page, nowMicros);
     } else if (result instanceof CloudFailure failure && failure.decodingFailed()) {
-      LOG.error("machine list not understood: error={}", failure.decodingError());
+      LOG.error("machine list malformed: cause=\"{}\"", failure.decodingError());
     }
   }
 
--- a/src/main/java/org/dewreach/membership/MachineDrainer.java
+++ b/src/main/java/org/dewreach/membership/MachineDrainer.java
@@ -62,7 +62,7 @@
   private void drain(Machine machine, String reason, long nowMicros) {
     if (machine.phase() == MachinePhase.UP) {
       LOG.info(
-          "machine phase changed: machine={} from={} to={} reason={}",
+          "machine phase changed: machine={} from={} to={} reason=\"{}\"",
           machine.name(),
           machine.phase(),
           MachinePhase.DRAINING,
--- a/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
+++ b/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
@@ -84,7 +84,7 @@
   /** Guards against renting a whole zone anew that is back within a minute, images and all. */
   private void markLost(Machine machine, long nowMicros) {
     LOG.info(
-        "machine phase changed: machine={} from={} to={} reason={}",
+        "machine phase changed: machine={} from={} to={} reason=\"{}\"",
         machine.name(),
         machine.phase(),
         MachinePhase.LOST,
--- a/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -130,7 +130,7 @@
           && machine.schedulableOnceUncordoned()
           && SortFirstFit.covers(machine, spec)
           && startsAtOnce(spec, machine)) {
-        LOG.info("machine uncordoned: machine={} forTask={}", machine.name(), task.name());
+        LOG.info("machine uncordoned: machine={} for_task={}", machine.name(), task.name());
         machine.cordoned(false);
         clusterState.sortedMachines().updateCapacity(machine);
         return machine;
