--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -5,12 +5,9 @@
 import org.dewreach.port.Outbox;
 import org.dewreach.store.KeyValue;
 import org.dewreach.store.KeyValueStore;
-import org.dewreach.store.Keys;
 import org.dewreach.store.LeaseGrant;
 import org.dewreach.store.ReadResult;
-import org.dewreach.store.RequestFailure;
 import org.dewreach.store.TransactionResult;
-import org.dewreach.store.WatchBatch;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -25,11 +22,6 @@
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-  private static final long WATCH_MS = 8_000;
-
-  /** Pause before the key is read again after an error, or after this node gave up the lead. */
-  private static final long READ_RETRY_MICROS = 300_000;
-
   /** Pause before the key is read again when it stays unclear whether a claim was applied. */
   private static final long VERIFY_RETRY_MICROS = 200_000;
 
@@ -48,25 +40,20 @@
     void onDeposed(long nowMicros, long term);
   }
 
-  private final KeyValueStore store;
   private final String self;
   private final String boot;
   private final RandomGenerator random;
   private final Listener listener;
+  private final LeaderKeyReader leaderKey;
   private final LeaderClaim claim;
   private final LeaderAuthority authority;
 
   private ElectionState phase = ElectionState.FOLLOWING;
   private String leader;
   private boolean leaderAbsent;
-  private long seenRevision;
   private long leaderRevision;
   private long claimNotBefore;
-  private boolean readInFlight;
-  private boolean watchInFlight;
-  private long nextReadAt;
   private long claimAt;
-  private long lastContact = -1;
   private FollowerGrants followerGrants;
 
   /**
@@ -84,14 +71,17 @@
       String boot,
       RandomGenerator random,
       Listener listener) {
-    this.store = store;
     this.self = self;
     this.boot = boot;
     this.random = random;
     this.listener = listener;
+    this.leaderKey =
+        new LeaderKeyReader(
+            store, this::onLeaderKeyRead, () -> phase == ElectionState.FOLLOWING, this::tick);
     this.claim = new LeaderClaim(store, self, boot);
     this.authority =
-        new LeaderAuthority(store, outbox, others, self, this::onRenewed, this::onLeaseEnded);
+        new LeaderAuthority(
+            store, outbox, others, self, leaderKey::recordContact, this::onLeaseEnded);
   }
 
   /** What this controller is in the election now. */
@@ -135,7 +125,7 @@
 
   /** When the key-value store last answered this node, or -1. */
   public long lastContact() {
-    return lastContact;
+    return leaderKey.lastContact();
   }
 
   private void become(ElectionState next, String why) {
@@ -159,8 +149,8 @@
         }
       }
       case FOLLOWING -> {
-        if (!readInFlight && !watchInFlight && nowMicros >= nextReadAt) {
-          readLeaderKey();
+        if (leaderKey.readDue(nowMicros)) {
+          leaderKey.read();
         }
       }
       default -> {
@@ -187,7 +177,7 @@
   /** True while it is not known who leads, and it may turn out to be this node. */
   public boolean undecided() {
     return switch (phase) {
-      case FOLLOWING -> lastContact < 0;
+      case FOLLOWING -> lastContact() < 0;
       case WAITING, OPENING, CLAIMING, VERIFYING -> true;
       case LEADING -> !authority.active();
     };
@@ -217,16 +207,7 @@
     return phase == ElectionState.LEADING ? authority.term() : leaderRevision;
   }
 
-  private void readLeaderKey() {
-    readInFlight = true;
-    store.get(Keys.LEADER, this::onLeaderKeyRead);
-  }
-
   private void onLeaderKeyRead(long nowMicros, ReadResult result) {
-    readInFlight = false;
-    if (!(result instanceof RequestFailure)) {
-      lastContact = nowMicros;
-    }
     if (phase != ElectionState.FOLLOWING && phase != ElectionState.VERIFYING) {
       return;
     }
@@ -237,7 +218,7 @@
     } else if (phase == ElectionState.VERIFYING) {
       readAgainAfter(nowMicros, VERIFY_RETRY_MICROS);
     } else {
-      readAgainAfter(nowMicros, READ_RETRY_MICROS);
+      readAgainAfter(nowMicros, LeaderKeyReader.RETRY_PAUSE_MICROS);
     }
   }
 
@@ -251,11 +232,10 @@
     claim.abandon();
     leader = name;
     leaderAbsent = false;
-    seenRevision = entry.revision();
     leaderRevision = entry.revision();
     followerGrants.fenceTermsBelow(entry.revision());
     become(ElectionState.FOLLOWING, "led by " + name);
-    watchLeaderKey();
+    leaderKey.watchFrom(entry.revision());
   }
 
   private void onOwnKey(long nowMicros, String holderBoot, long holderLeaseId, long revision) {
@@ -275,12 +255,11 @@
     claim.abandon();
     leader = null;
     leaderAbsent = true;
-    seenRevision = absent.storeRevision();
     // Every term up to this revision has lost its key.
-    followerGrants.fenceTermsBelow(seenRevision + 1);
+    followerGrants.fenceTermsBelow(absent.storeRevision() + 1);
     if (nowMicros < claimNotBefore) {
       become(ElectionState.FOLLOWING, "another node is to lead");
-      nextReadAt = nowMicros + READ_RETRY_MICROS;
+      leaderKey.readAgainAt(nowMicros + LeaderKeyReader.RETRY_PAUSE_MICROS);
       return;
     }
     claimAt = nowMicros + random.nextLong(MAX_CLAIM_DELAY_MICROS);
@@ -293,44 +272,14 @@
       claim.abandon();
       become(ElectionState.FOLLOWING, "claim unclear");
     }
-    nextReadAt = nowMicros + pause;
+    leaderKey.readAgainAt(nowMicros + pause);
   }
 
   private void revokeOldLease(long holderLeaseId) {
     claim.forget(holderLeaseId);
     claim.abandon();
     become(ElectionState.FOLLOWING, "revoking an old lease");
-    readInFlight = true;
-    store.revokeLease(
-        holderLeaseId,
-        (now, result) -> {
-          readInFlight = false;
-          nextReadAt = now + (result instanceof RequestFailure ? READ_RETRY_MICROS : 0);
-        });
-  }
-
-  private void watchLeaderKey() {
-    watchInFlight = true;
-    store.watch(
-        Keys.LEADER,
-        seenRevision,
-        WATCH_MS,
-        (now, result) -> {
-          watchInFlight = false;
-          if (result instanceof WatchBatch) {
-            lastContact = now;
-          }
-          nextReadAt = now + (result instanceof RequestFailure ? READ_RETRY_MICROS : 0);
-          if (phase == ElectionState.FOLLOWING
-              && result instanceof WatchBatch batch
-              && batch.events().isEmpty()) {
-            // Nothing changed; keep watching from here without readInFlight the key again.
-            seenRevision = Math.max(seenRevision, batch.storeRevision());
-            watchLeaderKey();
-          } else if (phase == ElectionState.FOLLOWING) {
-            tick(now);
-          }
-        });
+    leaderKey.revokeLease(holderLeaseId);
   }
 
   private void openLease(long nowMicros) {
@@ -342,7 +291,7 @@
             writeLeaderKey();
           } else {
             become(ElectionState.FOLLOWING, "no lease: " + result);
-            nextReadAt = now + READ_RETRY_MICROS;
+            leaderKey.readAgainAt(now + LeaderKeyReader.RETRY_PAUSE_MICROS);
           }
         });
   }
@@ -355,7 +304,7 @@
             becomeLeader(now, committed.revision());
           } else {
             become(ElectionState.VERIFYING, "claim not confirmed: " + result);
-            readLeaderKey();
+            leaderKey.read();
           }
         });
   }
@@ -364,16 +313,12 @@
     authority.begin(term, claim.leaseId(), claim.leaseSentAt(), nowMicros);
     leaderAbsent = false;
     leader = self;
-    lastContact = nowMicros;
+    leaderKey.recordContact(nowMicros);
     become(ElectionState.LEADING, "term " + term);
     listener.onElected(nowMicros, term);
     tick(nowMicros);
   }
 
-  private void onRenewed(long nowMicros) {
-    lastContact = nowMicros;
-  }
-
   private void onLeaseEnded(long nowMicros) {
     stepDown(nowMicros, "lease ended");
   }
@@ -383,7 +328,7 @@
     authority.end();
     leader = null;
     become(ElectionState.FOLLOWING, why);
-    nextReadAt = nowMicros;
+    leaderKey.readAgainAt(nowMicros);
     listener.onDeposed(nowMicros, authority.term());
   }
 }
