--- a/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
@@ -10,8 +10,6 @@
 import org.dewreach.model.MachinePhase;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.MachineRegistry;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
  * Releases machines to the cloud and remembers the names of those that are gone.
@@ -20,8 +18,6 @@
  * with the next request.
  */
 public final class ScaleInExecutor {
-  private static final Logger LOG = LoggerFactory.getLogger(ScaleInExecutor.class);
-
   private static final int MAX_MACHINES_PER_REQUEST = 100;
   private static final int MAX_REMEMBERED_NAMES = 4_000;
   private static final long RETRY_DELAY_MICROS = 1_000_000;
@@ -48,14 +44,7 @@
 
   /** Marks a machine to be released with the next request. */
   public void markForRelease(Machine machine, String reason, long nowMicros) {
-    LOG.info(
-        "machine phase changed: machine={} from={} to={} reason=\"{}\"",
-        machine.name(),
-        machine.phase(),
-        MachinePhase.TERMINATING,
-        reason);
-    machine.become(MachinePhase.TERMINATING, nowMicros);
-    clusterState.requestPlacement();
+    clusterState.changePhase(machine, MachinePhase.TERMINATING, reason, nowMicros);
   }
 
   /** Releases the machines that are marked, unless a request is in flight. */
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
@@ -96,13 +96,7 @@
       case BOOTING, UNKNOWN, UNCONFIRMED, LOST -> {
         MachinePhase next = observation.isCurrent() ? MachinePhase.UP : MachinePhase.UNCONFIRMED;
         if (machine.phase() != next) {
-          LOG.info(
-              "machine phase changed: machine={} from={} to={}",
-              machine.name(),
-              machine.phase(),
-              next);
-          machine.become(next, observation.nowMicros());
-          clusterState.requestPlacement();
+          clusterState.changePhase(machine, next, "heartbeat", observation.nowMicros());
         }
       }
       case UP, DRAINING, TERMINATING, GONE -> {
--- a/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
+++ b/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
@@ -79,14 +79,9 @@
    * <p>Guards against a machine that is cleared once {@link MachineDrainer} has begun to drain it:
    * it was given nothing, and never returned, until the term ended.
    */
-  private static void stopDraining(Machine machine, long nowMicros) {
+  private void stopDraining(Machine machine, long nowMicros) {
     if (machine.phase() == MachinePhase.DRAINING && machine.reclaimAt() < 0) {
-      LOG.info(
-          "machine phase changed: machine={} from={} to={}",
-          machine.name(),
-          machine.phase(),
-          MachinePhase.UP);
-      machine.become(MachinePhase.UP, nowMicros);
+      clusterState.changePhase(machine, MachinePhase.UP, "quarantine ended", nowMicros);
     }
   }
 }
--- a/src/main/java/org/dewreach/membership/MachineDrainer.java
+++ b/src/main/java/org/dewreach/membership/MachineDrainer.java
@@ -9,13 +9,9 @@
 import org.dewreach.model.TaskPhase;
 import org.dewreach.state.ClusterState;
 import org.dewreach.wire.JobKind;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /** Drains machines that the cloud reclaims or that are faulty, and releases them once empty. */
 public final class MachineDrainer {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineDrainer.class);
-
   /**
    * Estimates are often wrong by half, so a task is stopped early only if it is this far off. A
    * default of this project.
@@ -61,14 +57,7 @@
 
   private void drain(Machine machine, String reason, long nowMicros) {
     if (machine.phase() == MachinePhase.UP) {
-      LOG.info(
-          "machine phase changed: machine={} from={} to={} reason=\"{}\"",
-          machine.name(),
-          machine.phase(),
-          MachinePhase.DRAINING,
-          reason);
-      machine.become(MachinePhase.DRAINING, nowMicros);
-      clusterState.requestPlacement();
+      clusterState.changePhase(machine, MachinePhase.DRAINING, reason, nowMicros);
     }
     if (machine.phase() != MachinePhase.DRAINING) {
       return;
--- a/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
+++ b/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
@@ -7,13 +7,9 @@
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.state.ClusterState;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /** Acts on machines that are silent, lost or out of reach: most are released in the end. */
 final class MachineHealthMonitor {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
-
   /**
    * Of a large fleet, one machine in this many may be released early in a recovery. A default of
    * this project.
@@ -83,14 +79,7 @@
 
   /** Guards against renting a whole zone anew that is back within a minute, images and all. */
   private void markLost(Machine machine, long nowMicros) {
-    LOG.info(
-        "machine phase changed: machine={} from={} to={} reason=\"{}\"",
-        machine.name(),
-        machine.phase(),
-        MachinePhase.LOST,
-        "lease expired");
-    machine.become(MachinePhase.LOST, nowMicros);
-    clusterState.requestPlacement();
+    clusterState.changePhase(machine, MachinePhase.LOST, "lease expired", nowMicros);
   }
 
   /**
--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -166,6 +166,18 @@
     tasks.forEach(task -> unbind(task, reason, nowMicros));
   }
 
+  /** Changes the phase of a machine that stays in the cluster. */
+  public void changePhase(Machine machine, MachinePhase next, String reason, long nowMicros) {
+    LOG.info(
+        "machine phase changed: machine={} from={} to={} reason=\"{}\"",
+        machine.name(),
+        machine.phase(),
+        next,
+        reason);
+    machine.become(next, nowMicros);
+    requestPlacement();
+  }
+
   /** Removes a machine that is proven gone, and unbinds its tasks. */
   public void removeMachine(Machine machine, String reason, long nowMicros) {
     unbindAll(machine, reason, nowMicros);
