--- a/src/main/java/org/dewreach/config/Tuning.java
+++ b/src/main/java/org/dewreach/config/Tuning.java
@@ -5,8 +5,8 @@
 /**
  * The starting values that are ours to choose, which operators may change by a script.
  *
- * <p>None of them can break a rule: they say how much is rented and kept, and how soon a lane's
- * tasks are to start, never what may run where.
+ * <p>None of them can break a rule: they say how much is rented and kept, and how soon a job
+ * class's tasks are to start, never what may run where.
  *
  * @param idleKeptMicros how long a machine without tasks is kept
  * @param leastPaidMicros age before which returning a machine saves nothing
@@ -14,7 +14,8 @@
  * @param longWaitMicros wait that is long for work that may run on spot machines
  * @param movedShare share of the replicas' time that moving them may take
  * @param headroomSpreads room kept for services, in roots of the arrivals expected
- * @param startWithinMicros per lane, how soon its tasks are to start; overrides the settings' aims
+ * @param startWithinMicros per job class, how soon its tasks are to start; overrides the settings'
+ *     aims
  */
 public record Tuning(
     long idleKeptMicros,
--- a/src/main/java/org/dewreach/controller/package-info.java
+++ b/src/main/java/org/dewreach/controller/package-info.java
@@ -6,6 +6,6 @@
  * {@code LeadershipTerm} is one term as leader, whose parts {@code TermComponents} wires.
  *
  * <p>Not thread-safe; runs on the controller's event loop. No I/O, no clock and no unseeded
- * randomness inside, so production and the tests' simulated world run the same code.
+ * randomness inside, so production and the tests' simulated cluster run the same code.
  */
 package org.dewreach.controller;
--- a/src/main/java/org/dewreach/port/ConnectionPool.java
+++ b/src/main/java/org/dewreach/port/ConnectionPool.java
@@ -1,6 +1,6 @@
 package org.dewreach.port;
 
-/** The connections that a call is sent on: calls of one lane never queue behind the other's. */
+/** The connections that a call is sent on: calls of one pool never queue behind the other's. */
 public enum ConnectionPool {
   /** Everything that may wait: users' requests, the records, workers, the cloud. */
   GENERAL,
--- a/src/main/java/org/dewreach/port/Outbox.java
+++ b/src/main/java/org/dewreach/port/Outbox.java
@@ -51,7 +51,7 @@
     call(target, ConnectionPool.GENERAL, method, path, body, timeoutMicros, handler);
   }
 
-  /** Sends a request over the connections of the given lane. */
+  /** Sends a request over the connections of the given pool. */
   public void call(
       Target target,
       ConnectionPool pool,
