--- a/src/test/java/org/dewreach/compatibility/ControllerUnderTest.java
+++ b/src/test/java/org/dewreach/compatibility/ControllerUnderTest.java
@@ -124,7 +124,7 @@
     return readMessagePack(writeMessagePack(body));
   }
 
-  /** Bodies of users, workers, the cloud and the state service. */
+  /** Bodies of users, workers, the cloud and the key-value store. */
   static byte[] writeCbor(JsonNode body) {
     return Codec.write(body);
   }
--- a/src/test/java/org/dewreach/compatibility/StateServiceCompatibilityTest.java
+++ b/src/test/java/org/dewreach/compatibility/KeyValueStoreCompatibilityTest.java
@@ -8,11 +8,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.dewreach.compatibility.ControllerUnderTest.Sent;
-import org.dewreach.compatibility.ScriptedStateService.Reply;
+import org.dewreach.compatibility.ScriptedKeyValueStore.Reply;
 import org.junit.jupiter.api.Test;
 
-/** Requests to the state service, and what follows from its answers. */
-class StateServiceCompatibilityTest {
+/** Requests to the key-value store, and what follows from its answers. */
+class KeyValueStoreCompatibilityTest {
   private static final String FILE = "state-service.json";
 
   private static ObjectNode job(String name) {
--- a/src/test/java/org/dewreach/compatibility/PeerApiCompatibilityTest.java
+++ b/src/test/java/org/dewreach/compatibility/PeerApiCompatibilityTest.java
@@ -10,7 +10,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.dewreach.compatibility.ControllerUnderTest.Answered;
 import org.dewreach.compatibility.ControllerUnderTest.Sent;
-import org.dewreach.compatibility.ScriptedStateService.Reply;
+import org.dewreach.compatibility.ScriptedKeyValueStore.Reply;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/org/dewreach/compatibility/ScriptedStateService.java
+++ b/src/test/java/org/dewreach/compatibility/ScriptedKeyValueStore.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 
-/** A state service of one process, as far as a controller uses it; leases end only on request. */
-final class ScriptedStateService {
+/** A key-value store of one process, as far as a controller uses it; leases end only on request. */
+final class ScriptedKeyValueStore {
   private static final int FIRST_REVISION = 400;
   private static final long MICROS_PER_MS = 1_000;
 
--- a/src/test/java/org/dewreach/compatibility/ScriptedSite.java
+++ b/src/test/java/org/dewreach/compatibility/ScriptedSite.java
@@ -13,7 +13,7 @@
 import java.util.function.Predicate;
 import org.dewreach.compatibility.ControllerUnderTest.Answered;
 import org.dewreach.compatibility.ControllerUnderTest.Sent;
-import org.dewreach.compatibility.ScriptedStateService.Reply;
+import org.dewreach.compatibility.ScriptedKeyValueStore.Reply;
 
 /** One controller, n0, and everything around it, played by the test in steps of 50 ms. */
 final class ScriptedSite implements ControllerUnderTest.Output {
@@ -27,7 +27,7 @@
   /** Calls that may follow from each other without time passing. */
   private static final int MAX_ROUNDS = 1_000;
 
-  final ScriptedStateService state = new ScriptedStateService();
+  final ScriptedKeyValueStore state = new ScriptedKeyValueStore();
 
   /** Machines as the cloud lists them. */
   final List<ObjectNode> listed = new ArrayList<>();
--- a/src/test/java/org/dewreach/compatibility/ScriptedWorker.java
+++ b/src/test/java/org/dewreach/compatibility/ScriptedWorker.java
@@ -17,7 +17,7 @@
   boolean deaf;
 
   /** Replies to put in the place of its own; null for none. */
-  Function<ControllerUnderTest.Sent, ScriptedStateService.Reply> direct = call -> null;
+  Function<ControllerUnderTest.Sent, ScriptedKeyValueStore.Reply> direct = call -> null;
 
   long tenure = 1;
   long tally;
@@ -96,15 +96,15 @@
   }
 
   /** The reply to a call, or null if none comes. */
-  ScriptedStateService.Reply reply(ControllerUnderTest.Sent call) {
+  ScriptedKeyValueStore.Reply reply(ControllerUnderTest.Sent call) {
     if (deaf) {
       return null;
     }
-    ScriptedStateService.Reply scripted = direct.apply(call);
+    ScriptedKeyValueStore.Reply scripted = direct.apply(call);
     if (scripted != null) {
       return scripted;
     }
-    return new ScriptedStateService.Reply(
+    return new ScriptedKeyValueStore.Reply(
         200, call.path().equals("/do") ? executed(call.body()) : report());
   }
 
--- a/src/test/java/org/dewreach/compatibility/StoredRecordCompatibilityTest.java
+++ b/src/test/java/org/dewreach/compatibility/StoredRecordCompatibilityTest.java
@@ -6,12 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.dewreach.compatibility.ScriptedStateService.Reply;
+import org.dewreach.compatibility.ScriptedKeyValueStore.Reply;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The values that controllers write to the state service. */
+/** The values that controllers write to the key-value store. */
 class StoredRecordCompatibilityTest {
   private static final String FILE = "stored-records.json";
 
@@ -80,7 +80,7 @@
     check("machines rented", site, "dw/machines/0");
   }
 
-  /** The encoded form, which a state service of any version gives back. */
+  /** The encoded form, which a key-value store of any version gives back. */
   @ParameterizedTest
   @ValueSource(
       strings = {
--- a/src/test/java/org/dewreach/compatibility/WorkerApiCompatibilityTest.java
+++ b/src/test/java/org/dewreach/compatibility/WorkerApiCompatibilityTest.java
@@ -8,7 +8,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.dewreach.compatibility.ControllerUnderTest.Answered;
-import org.dewreach.compatibility.ScriptedStateService.Reply;
+import org.dewreach.compatibility.ScriptedKeyValueStore.Reply;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
