--- a/src/test/java/org/dewreach/compatibility/PeerApiCompatibilityTest.java
+++ b/src/test/java/org/dewreach/compatibility/PeerApiCompatibilityTest.java
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void aNodeWithoutTheStateServiceAsksWhoLeads() {
+  void aNodeWithoutTheKeyValueStoreAsksWhoLeads() {
     ScriptedSite site = new ScriptedSite();
     site.state.instead = call -> new Reply(503, null);
     peerAnswers(site, "/peer/leader", "leader answer");
--- a/src/test/java/org/dewreach/compatibility/UserApiCompatibilityTest.java
+++ b/src/test/java/org/dewreach/compatibility/UserApiCompatibilityTest.java
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void withoutTheStateService() {
+  void withoutTheKeyValueStore() {
     ScriptedSite site = new ScriptedSite();
     site.state.instead = call -> new Reply(503, null);
     site.run(S);
