--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -99,11 +99,6 @@
     return leaderAbsent && phase != ElectionState.LEADING;
   }
 
-  /** The term that this node leads or last led, or 0. */
-  public long term() {
-    return authority.term();
-  }
-
   /** True while no other term can act: by the lease, or by every node's grant. */
   public boolean hasAuthority(long nowMicros) {
     return phase == ElectionState.LEADING && authority.holds(nowMicros);
--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -30,6 +30,12 @@
   private final long term;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final Map<String, Machine> machines = new LinkedHashMap<>();
+
+  /** Made once: every pass and every heartbeat reads the jobs and machines. */
+  private final Map<String, Job> jobsView = Collections.unmodifiableMap(jobs);
+
+  private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
+
   private final SortFirstFit sortedMachines = new SortFirstFit();
   private final Quotas quotas;
   private final ServiceRate serviceRate;
@@ -46,12 +52,12 @@
 
   /** The jobs that have not ended, by id, for reading. */
   public Map<String, Job> jobs() {
-    return Collections.unmodifiableMap(jobs);
+    return jobsView;
   }
 
   /** All machines by name, for reading. */
   public Map<String, Machine> machines() {
-    return Collections.unmodifiableMap(machines);
+    return machinesView;
   }
 
   /** All machines in the order in which placement walks them. */
