--- a/src/main/java/org/dewreach/autoscaling/RentalDemand.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.dewreach.autoscaling.FleetPlanner.Need;
+import org.dewreach.autoscaling.ScalingPlanner.Need;
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
 import org.dewreach.model.Job;
@@ -10,13 +10,13 @@
 import org.dewreach.model.MachinePhase;
 import org.dewreach.model.Task;
 import org.dewreach.placement.QueueOrder;
-import org.dewreach.scheduling.Dispatcher;
+import org.dewreach.scheduling.TaskPlacer;
 import org.dewreach.state.ClusterState;
 import org.dewreach.wire.JobKind;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 
 /** Derives from the waiting tasks what is worth renting machines for. */
-public final class RentalDemand {
+public final class CapacityDemand {
   private static final double MICROS_PER_SECOND = 1e6;
 
   /** What a task takes besides its own run. */
@@ -37,7 +37,7 @@
   private final QueueOrder order;
   private final long wallOffsetMicros;
 
-  public RentalDemand(
+  public CapacityDemand(
       ClusterState clusterState, Settings settings, Tuning tuning, long wallOffsetMicros) {
     this.clusterState = clusterState;
     this.tuning = tuning;
@@ -46,9 +46,9 @@
   }
 
   /** The waiting tasks that are worth machines of their own. */
-  List<Need> needs(List<Dispatcher.Waiting> waiting, long nowMicros) {
+  List<Need> needs(List<TaskPlacer.Waiting> waiting, long nowMicros) {
     List<Need> needs = new ArrayList<>();
-    for (Dispatcher.Waiting item : waiting) {
+    for (TaskPlacer.Waiting item : waiting) {
       int tasks = worthRenting(item, nowMicros);
       if (tasks > 0) {
         Job job = item.job();
@@ -59,11 +59,11 @@
   }
 
   /** True if the machines that are there would work on the waiting batch tasks for too long. */
-  boolean longBacklog(List<Dispatcher.Waiting> waiting, long nowMicros) {
+  boolean longBacklog(List<TaskPlacer.Waiting> waiting, long nowMicros) {
     double backlog = 0;
     double patience = 0;
-    for (Dispatcher.Waiting item : waiting) {
-      JobRequest spec = item.job().spec();
+    for (TaskPlacer.Waiting item : waiting) {
+      JobSpec spec = item.job().spec();
       if (spec.spot()) {
         double work =
             item.tasks()
@@ -95,9 +95,9 @@
   }
 
   /** How many of the waiting tasks are worth a machine of their own, rather than a wait. */
-  private int worthRenting(Dispatcher.Waiting item, long nowMicros) {
+  private int worthRenting(TaskPlacer.Waiting item, long nowMicros) {
     Job job = item.job();
-    JobRequest spec = job.spec();
+    JobSpec spec = job.spec();
     if (spec.jobKind() == JobKind.SERVICE) {
       return item.tasks();
     }
--- a/src/main/java/org/dewreach/autoscaling/MachineReturner.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
@@ -4,34 +4,34 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import org.dewreach.cloud.CloudService;
+import org.dewreach.cloud.CloudClient;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.state.ClusterState;
-import org.dewreach.state.FleetRegister;
+import org.dewreach.state.MachineRegistry;
 import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Returns machines to the cloud and remembers those that are gone. */
-public final class MachineReturner {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineReturner.class);
+public final class ScaleInExecutor {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleInExecutor.class);
 
   private static final int MAX_RETURNED_PER_CALL = 100;
   private static final int MAX_REMEMBERED_NAMES = 4_000;
   private static final long RETRY_DELAY_MICROS = 1_000_000;
 
   private final ClusterState clusterState;
-  private final FleetRegister register;
-  private final CloudService cloud;
+  private final MachineRegistry registry;
+  private final CloudClient cloud;
   private final Set<String> goneNames = new LinkedHashSet<>();
   private boolean inFlight;
   private long nextTryAt;
   private boolean closed;
 
-  public MachineReturner(ClusterState clusterState, FleetRegister register, CloudService cloud) {
+  public ScaleInExecutor(ClusterState clusterState, MachineRegistry registry, CloudClient cloud) {
     this.clusterState = clusterState;
-    this.register = register;
+    this.registry = registry;
     this.cloud = cloud;
   }
 
@@ -43,8 +43,8 @@
   /** Marks a machine to be returned with the next call. */
   public void giveUp(Machine machine, String why, long nowMicros) {
     LOG.info("machine {} is to be returned: {}", machine.name(), why);
-    machine.become(MachinePhase.RETURNING, nowMicros);
-    clusterState.touch();
+    machine.become(MachinePhase.TERMINATING, nowMicros);
+    clusterState.requestPlacement();
   }
 
   /** Returns the machines that are marked, unless a call is in flight. */
@@ -64,7 +64,7 @@
   private List<String> markedNames() {
     List<String> names = new ArrayList<>();
     for (Machine machine : clusterState.machines().values()) {
-      if (machine.phase() == MachinePhase.RETURNING && names.size() < MAX_RETURNED_PER_CALL) {
+      if (machine.phase() == MachinePhase.TERMINATING && names.size() < MAX_RETURNED_PER_CALL) {
         names.add(machine.name());
       }
     }
@@ -90,7 +90,7 @@
 
   private void forget(Machine machine, String why, long nowMicros) {
     clusterState.gone(machine, why, nowMicros);
-    register.forget(machine, nowMicros);
+    registry.forget(machine, nowMicros);
     goneNames.add(machine.name());
     if (goneNames.size() > MAX_REMEMBERED_NAMES) {
       goneNames.remove(goneNames.iterator().next());
--- a/src/main/java/org/dewreach/autoscaling/MachineRetirement.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -5,16 +5,16 @@
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.model.Task;
-import org.dewreach.scheduling.Dispatcher;
+import org.dewreach.scheduling.TaskPlacer;
 import org.dewreach.state.ClusterState;
-import org.dewreach.state.MachineCatalog;
+import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.wire.MachineType;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Lets machines that are not needed run empty, and returns those that are idle. */
-public final class MachineRetirement {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineRetirement.class);
+public final class ScaleInPolicy {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleInPolicy.class);
 
   /**
    * Room has to be there this long before a machine is let run empty. A default of this project.
@@ -42,17 +42,20 @@
   private static final long FIRST_REPORT_MICROS = 5_000_000;
 
   private final ClusterState clusterState;
-  private final MachineCatalog catalog;
+  private final MachineTypeCatalog catalog;
   private final Tuning tuning;
-  private final MachineReturner returner;
+  private final ScaleInExecutor scaleIn;
   private long spareCapacitySince;
 
-  public MachineRetirement(
-      ClusterState clusterState, MachineCatalog catalog, Tuning tuning, MachineReturner returner) {
+  public ScaleInPolicy(
+      ClusterState clusterState,
+      MachineTypeCatalog catalog,
+      Tuning tuning,
+      ScaleInExecutor scaleIn) {
     this.clusterState = clusterState;
     this.catalog = catalog;
     this.tuning = tuning;
-    this.returner = returner;
+    this.scaleIn = scaleIn;
   }
 
   /** Typical time until a machine rented now is of use. */
@@ -68,10 +71,10 @@
    * Lets a few machines at a time run empty when the others have had room enough for their tasks
    * for a while. The dearest goes first, among equals the last of the list, which fills last.
    */
-  public void retire(long nowMicros, List<Dispatcher.Waiting> waiting) {
+  public void retire(long nowMicros, List<TaskPlacer.Waiting> waiting) {
     if (!waiting.isEmpty()) {
       spareCapacitySince = nowMicros;
-      reuseRetiring();
+      uncordonAll();
       return;
     }
     if (nowMicros - spareCapacitySince <= SPARE_CAPACITY_PERIOD_MICROS) {
@@ -87,18 +90,18 @@
         break;
       }
       LOG.info("machine {} is to run empty", spare.name());
-      spare.retiring(true);
+      spare.cordoned(true);
     }
     spareCapacitySince = nowMicros - SPARE_CAPACITY_PERIOD_MICROS / 2;
   }
 
   /** Takes the machines that run empty into use again. */
-  private void reuseRetiring() {
+  private void uncordonAll() {
     for (Machine machine : clusterState.machines().values()) {
-      if (machine.retiring() && machine.phase() == MachinePhase.UP) {
+      if (machine.cordoned() && machine.phase() == MachinePhase.UP) {
         LOG.info("machine {} is needed again", machine.name());
-        machine.retiring(false);
-        clusterState.touch();
+        machine.cordoned(false);
+        clusterState.requestPlacement();
       }
     }
   }
@@ -110,7 +113,7 @@
     double headroom = clusterState.services().headroomCpus(bootMicros(), nowMicros);
     Machine best = null;
     for (Machine machine : clusterState.list().machines()) {
-      if (!machine.usable() || nowMicros - machine.knownSince() < tuning.leastPaidMicros()) {
+      if (!machine.schedulable() || nowMicros - machine.knownSince() < tuning.leastPaidMicros()) {
         continue;
       }
       double services = serviceCpus(machine);
@@ -146,12 +149,12 @@
   /** Returns the machines that have been idle for longer than they are kept. */
   public void returnIdle(long nowMicros) {
     for (Machine machine : clusterState.machines().values()) {
-      long kept = machine.retiring() ? 0 : tuning.idleKeptMicros();
+      long kept = machine.cordoned() ? 0 : tuning.idleKeptMicros();
       if (machine.phase() == MachinePhase.UP
           && machine.tasks().isEmpty()
           && nowMicros - machine.idleSince() > kept
           && nowMicros - machine.knownSince() > tuning.leastPaidMicros()) {
-        returner.giveUp(machine, "idle", nowMicros);
+        scaleIn.giveUp(machine, "idle", nowMicros);
       }
     }
   }
--- a/src/main/java/org/dewreach/autoscaling/MachineRenter.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
@@ -6,23 +6,23 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.dewreach.autoscaling.FleetPlanner.Kind;
-import org.dewreach.autoscaling.FleetPlanner.Need;
-import org.dewreach.autoscaling.FleetPlanner.Rental;
-import org.dewreach.cloud.CloudService;
+import org.dewreach.autoscaling.ScalingPlanner.Kind;
+import org.dewreach.autoscaling.ScalingPlanner.Need;
+import org.dewreach.autoscaling.ScalingPlanner.Rental;
+import org.dewreach.cloud.CloudClient;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.scheduling.Dispatcher;
+import org.dewreach.scheduling.TaskPlacer;
 import org.dewreach.state.ClusterState;
-import org.dewreach.state.FleetRegister;
-import org.dewreach.state.MachineCatalog;
+import org.dewreach.state.MachineRegistry;
+import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Rents machines for waiting tasks, and repeats requests whose outcome is not known. */
-public final class MachineRenter {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineRenter.class);
+public final class ScaleOutExecutor {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleOutExecutor.class);
 
   private static final int MAX_RENTAL_REQUESTS = 6;
   private static final int MAX_RENT_TRIES = 4;
@@ -44,31 +44,31 @@
 
   private final long term;
   private final ClusterState clusterState;
-  private final FleetRegister register;
-  private final CloudService cloud;
-  private final MachineCatalog catalog;
-  private final RentalDemand demand;
-  private final MachineReturner returner;
-  private final FleetPlanner planner = new FleetPlanner();
+  private final MachineRegistry registry;
+  private final CloudClient cloud;
+  private final MachineTypeCatalog catalog;
+  private final CapacityDemand demand;
+  private final ScaleInExecutor scaleIn;
+  private final ScalingPlanner planner = new ScalingPlanner();
   private final Map<String, RentalRequest> rentalRequests = new LinkedHashMap<>();
   private long lastRequest;
   private boolean closed;
 
-  public MachineRenter(
+  public ScaleOutExecutor(
       long term,
       ClusterState clusterState,
-      FleetRegister register,
-      CloudService cloud,
-      MachineCatalog catalog,
-      RentalDemand demand,
-      MachineReturner returner) {
+      MachineRegistry registry,
+      CloudClient cloud,
+      MachineTypeCatalog catalog,
+      CapacityDemand demand,
+      ScaleInExecutor scaleIn) {
     this.term = term;
     this.clusterState = clusterState;
-    this.register = register;
+    this.registry = registry;
     this.cloud = cloud;
     this.catalog = catalog;
     this.demand = demand;
-    this.returner = returner;
+    this.scaleIn = scaleIn;
   }
 
   /** Ignores all later answers of the cloud. */
@@ -77,7 +77,7 @@
   }
 
   /** Repeats requests that are due, then rents for what waits. Called once a round. */
-  public void rent(long nowMicros, List<Dispatcher.Waiting> waiting) {
+  public void rent(long nowMicros, List<TaskPlacer.Waiting> waiting) {
     retry(nowMicros);
     if (catalog.types().isEmpty() || rentalRequests.size() >= MAX_RENTAL_REQUESTS) {
       return;
@@ -186,12 +186,12 @@
   }
 
   private void addRented(String name, Kind kind, long nowMicros) {
-    if (!clusterState.machines().containsKey(name) && !returner.isGone(name)) {
+    if (!clusterState.machines().containsKey(name) && !scaleIn.isGone(name)) {
       Machine machine =
           new Machine(
               name, "", kind.type(), kind.zone(), kind.spot(), MachinePhase.BOOTING, nowMicros);
       clusterState.add(machine);
-      register.note(machine, nowMicros);
+      registry.note(machine, nowMicros);
     }
   }
 }
--- a/src/main/java/org/dewreach/autoscaling/FleetPlanner.java
+++ b/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
@@ -14,14 +14,14 @@
 import org.dewreach.model.MachinePhase;
 import org.dewreach.placement.FreeCapacity;
 import org.dewreach.placement.SortFirstFit;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MachineType;
 
 /**
  * Chooses what to rent: the tasks that fit nowhere are first fitted, by the same rule, on machines
  * that are still booting; for the rest the cheapest kind for the queue's own mix is taken.
  */
-public final class FleetPlanner {
+public final class ScalingPlanner {
   private static final double EPS = 1e-9;
   private static final long FIRST_PAUSE_MICROS = 8_000_000;
   private static final long MAX_PAUSE_MICROS = 40_000_000;
@@ -56,11 +56,10 @@
    * @param slackMicros how long their start can wait without making them late
    * @param boundInZone the job's tasks that are bound to machines already, by zone
    */
-  public record Need(
-      JobRequest spec, int tasks, long slackMicros, Map<String, Integer> boundInZone) {
+  public record Need(JobSpec spec, int tasks, long slackMicros, Map<String, Integer> boundInZone) {
 
     /** A need of a job without bound tasks. */
-    public Need(JobRequest spec, int tasks, long slackMicros) {
+    public Need(JobSpec spec, int tasks, long slackMicros) {
       this(spec, tasks, slackMicros, Map.of());
     }
 
@@ -96,7 +95,7 @@
     }
 
     /** Takes room for as many tasks as fit and may be in its zone, and tells how many. */
-    int take(JobRequest spec, int most, ZoneAllowance allowance) {
+    int take(JobSpec spec, int most, ZoneAllowance allowance) {
       int taken = freeCapacity.take(spec, Math.min(most, allowance.in(kind.zone())));
       allowance.use(kind.zone(), taken);
       return taken;
@@ -283,7 +282,7 @@
     for (Machine machine : machines) {
       if (fits < need.tasks()
           && machine.zone().equals(zone)
-          && machine.usable()
+          && machine.schedulable()
           && SortFirstFit.permitted(need.spec(), machine)) {
         fits += FreeCapacity.free(machine).take(need.spec(), need.tasks() - fits);
       }
@@ -321,17 +320,17 @@
 
   /** A machine that will soon give room. One long overdue is not counted on. */
   private static boolean comes(Machine machine, long nowMicros) {
-    return (machine.phase() == MachinePhase.BOOTING || machine.phase() == MachinePhase.GREETED)
-        && !machine.setAside()
+    return (machine.phase() == MachinePhase.BOOTING || machine.phase() == MachinePhase.UNCONFIRMED)
+        && !machine.quarantined()
         && nowMicros - machine.knownSince() < 2 * machine.type().bootMicros() + BOOT_MARGIN_MICROS;
   }
 
-  private static boolean permitted(JobRequest spec, Kind kind) {
+  private static boolean permitted(JobSpec spec, Kind kind) {
     return SortFirstFit.permitted(spec, kind.type().name(), kind.zone(), kind.spot());
   }
 
   private Kind cheapest(Group group, int tasks, ZoneAllowance allowance, Market market) {
-    JobRequest spec = group.need().spec();
+    JobSpec spec = group.need().spec();
     Kind best = null;
     double bestCost = Double.POSITIVE_INFINITY;
     for (MachineType type : market.catalog()) {
--- a/src/main/java/org/dewreach/autoscaling/ZoneAllowance.java
+++ b/src/main/java/org/dewreach/autoscaling/ZoneAllowance.java
@@ -25,7 +25,7 @@
   }
 
   /** At most half of the job's tasks, rounded up, in each zone, the bound ones included. */
-  static ZoneAllowance atMostHalf(FleetPlanner.Need need) {
+  static ZoneAllowance atMostHalf(ScalingPlanner.Need need) {
     int half = (need.spec().tasks() + 1) / 2;
     ZoneAllowance allowance = new ZoneAllowance(half);
     need.boundInZone()
--- a/src/main/java/org/dewreach/cli/Rehearsal.java
+++ b/src/main/java/org/dewreach/cli/ClassLoadingRun.java
@@ -17,7 +17,7 @@
 import org.dewreach.config.SettingsException;
 import org.dewreach.config.SettingsReader;
 import org.dewreach.config.Tuning;
-import org.dewreach.controller.Core;
+import org.dewreach.controller.Controller;
 import org.dewreach.net.Bodies;
 import org.dewreach.net.HttpClient;
 import org.dewreach.net.HttpServer;
@@ -33,8 +33,8 @@
  * <p>Starting is charged to the same small share of a core as serving: a controller that comes back
  * twice as fast is missed half as long. Nothing outside the process but loopback is touched.
  */
-final class Rehearsal {
-  private static final Logger LOG = LoggerFactory.getLogger(Rehearsal.class);
+final class ClassLoadingRun {
+  private static final Logger LOG = LoggerFactory.getLogger(ClassLoadingRun.class);
   private static final String CLASS_SUFFIX = ".class";
   private static final int MAX_CONNECTIONS = 10;
   private static final long TIMEOUT_MICROS = 2_000_000;
@@ -77,13 +77,13 @@
       max_connections = 100
       """;
 
-  private Rehearsal() {}
+  private ClassLoadingRun() {}
 
   static void run() {
     try {
       loadOwnClasses();
       Settings settings = SettingsReader.parse(SETTINGS);
-      Core core = new Core(settings, Tuning.DEFAULT, "rehearsal", new Random(1), 0);
+      Controller core = new Controller(settings, Tuning.DEFAULT, "rehearsal", new Random(1), 0);
       core.handle(0, new Event.Tick());
       talk();
     } catch (IOException
@@ -98,7 +98,8 @@
 
   private static void loadOwnClasses()
       throws IOException, URISyntaxException, ReflectiveOperationException {
-    Path jar = Path.of(Rehearsal.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+    Path jar =
+        Path.of(ClassLoadingRun.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     try (JarFile file = new JarFile(jar.toFile())) {
       for (JarEntry entry : (Iterable<JarEntry>) file.stream()::iterator) {
         String name = entry.getName();
--- a/src/main/java/org/dewreach/cli/JobCommands.java
+++ b/src/main/java/org/dewreach/cli/JobCommands.java
@@ -16,7 +16,7 @@
 import org.dewreach.net.Bodies;
 import org.dewreach.net.HttpClient;
 import org.dewreach.wire.HttpStatus;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MalformedException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -113,7 +113,7 @@
       try {
         JsonNode body = new ObjectMapper().readTree(Files.readString(file));
         // The same check as the controller's, but with the reason.
-        JobRequest.parse(body);
+        JobSpec.parse(body);
         return send("POST", "/work", body);
       } catch (JsonProcessingException e) {
         return Main.complain(file + ": not JSON", Main.BAD_SETTINGS);
@@ -133,7 +133,7 @@
 
     @Override
     public Integer call() {
-      return JobRequest.isId(id)
+      return JobSpec.isId(id)
           ? send("GET", "/work/" + id, null)
           : Main.complain("not a job id: " + id, Main.BAD_SETTINGS);
     }
@@ -147,7 +147,7 @@
 
     @Override
     public Integer call() {
-      return JobRequest.isId(id)
+      return JobSpec.isId(id)
           ? send("POST", "/work/" + id + "/abort", null)
           : Main.complain("not a job id: " + id, Main.BAD_SETTINGS);
     }
--- a/src/main/java/org/dewreach/cli/Main.java
+++ b/src/main/java/org/dewreach/cli/Main.java
@@ -87,7 +87,7 @@
   @Override
   public Integer call() {
     if (rehearse) {
-      Rehearsal.run();
+      ClassLoadingRun.run();
       return 0;
     }
     if (config == null) {
--- a/src/main/java/org/dewreach/cloud/CloudService.java
+++ b/src/main/java/org/dewreach/cloud/CloudClient.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import org.dewreach.port.Calls;
+import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
-import org.dewreach.store.RateBudget;
+import org.dewreach.store.TokenBucket;
 import org.dewreach.wire.Codec;
 
 /** The requests of the cloud. Callers ask {@link #mayCall} first: the rate is small. */
-public final class CloudService {
+public final class CloudClient {
   private static final long TIMEOUT_MICROS = 5_000_000;
 
   /** Part of the rate that the leader uses: a follower fetches the catalog now and then. */
@@ -18,17 +18,17 @@
   /** Machines on a page of the list. */
   private static final int PAGE_SIZE = 500;
 
-  private final Calls calls;
-  private final RateBudget budget;
+  private final Outbox outbox;
+  private final TokenBucket budget;
 
   /**
    * A client within a rate.
    *
    * @param rps requests that the cloud takes in a second
    */
-  public CloudService(Calls calls, double rps) {
-    this.calls = calls;
-    this.budget = new RateBudget(rps * LEADER_SHARE, rps);
+  public CloudClient(Outbox outbox, double rps) {
+    this.outbox = outbox;
+    this.budget = new TokenBucket(rps * LEADER_SHARE, rps);
   }
 
   /** True if the rate allows a request now. */
@@ -37,9 +37,9 @@
   }
 
   /** Reads the catalog. */
-  public void catalog(long nowMicros, Calls.ReplyHandler handler) {
+  public void catalog(long nowMicros, Outbox.ReplyHandler handler) {
     budget.take(nowMicros, 1);
-    calls.call(Target.CLOUD, "GET", "/catalog", null, TIMEOUT_MICROS, handler);
+    outbox.call(Target.CLOUD, "GET", "/catalog", null, TIMEOUT_MICROS, handler);
   }
 
   /**
@@ -54,21 +54,21 @@
       String zone,
       boolean spot,
       int count,
-      Calls.ReplyHandler handler) {
+      Outbox.ReplyHandler handler) {
     budget.take(nowMicros, 1);
     ObjectNode body = Codec.map();
     body.put("hire", request).put("build", type).put("site", zone);
     body.put("loaners", spot).put("count", count);
-    calls.call(Target.CLOUD, "POST", "/rentals", body, TIMEOUT_MICROS, handler);
+    outbox.call(Target.CLOUD, "POST", "/rentals", body, TIMEOUT_MICROS, handler);
   }
 
   /** Returns machines. */
-  public void giveBack(long nowMicros, List<String> machines, Calls.ReplyHandler handler) {
+  public void giveBack(long nowMicros, List<String> machines, Outbox.ReplyHandler handler) {
     budget.take(nowMicros, 1);
     ObjectNode body = Codec.map();
     ArrayNode hosts = body.putArray("hosts");
     machines.forEach(hosts::add);
-    calls.call(Target.CLOUD, "POST", "/rentals/return", body, TIMEOUT_MICROS, handler);
+    outbox.call(Target.CLOUD, "POST", "/rentals/return", body, TIMEOUT_MICROS, handler);
   }
 
   /**
@@ -76,9 +76,9 @@
    *
    * @param after the last machine of the page before, or null
    */
-  public void list(long nowMicros, String after, Calls.ReplyHandler handler) {
+  public void list(long nowMicros, String after, Outbox.ReplyHandler handler) {
     budget.take(nowMicros, 1);
     String path = "/rentals?" + (after == null ? "" : "after=" + after + "&") + "most=" + PAGE_SIZE;
-    calls.call(Target.CLOUD, "GET", path, null, TIMEOUT_MICROS, handler);
+    outbox.call(Target.CLOUD, "GET", path, null, TIMEOUT_MICROS, handler);
   }
 }
--- a/src/main/java/org/dewreach/config/Settings.java
+++ b/src/main/java/org/dewreach/config/Settings.java
@@ -76,17 +76,17 @@
 
     /**
      * How long a node may answer workers without its leader. A job whose tasks it may keep alive
-     * for longer than {@link #goneInTimeMicros} is not told to be withdrawn before.
+     * for longer than {@link #cancellationBoundMicros} is not told to be cancelled before.
      */
     public long maxDelegationMicros() {
-      return goneInTimeMicros() > 0 ? MAX_DELEGATION_MICROS : 0;
+      return cancellationBoundMicros() > 0 ? MAX_DELEGATION_MICROS : 0;
     }
 
     /**
      * How long from now a worker may still be answered, so that its tasks are gone with its lease
      * before a cancellation that is told now is late.
      */
-    public long goneInTimeMicros() {
+    public long cancellationBoundMicros() {
       return cancelMicros
           - leaseMicros
           - leaseMicros / CLOCK_DRIFT_DIVISOR
--- a/src/main/java/org/dewreach/controller/CancellationGate.java
+++ b/src/main/java/org/dewreach/controller/CancellationGate.java
@@ -37,10 +37,11 @@
       // told, and so that it can be told before long.
       long until =
           switch (job.phase()) {
-            case HALTING -> job.withdrawAskedAt() + workers.maxDelegationMicros();
-            case WITHDRAWING, WITHDRAWN -> job.withdrawnAt() + workers.goneInTimeMicros();
-            // When a withdrawn job is being finished its tasks are gone.
-            case ACCEPTING, LIVE, FINISHING, OVER -> Long.MAX_VALUE;
+            case CANCEL_REQUESTED -> job.cancelRequestedAt() + workers.maxDelegationMicros();
+            case CANCEL_COMMITTING, CANCELLED ->
+                job.cancelledAt() + workers.cancellationBoundMicros();
+            // When a cancelled job is being finished its tasks are gone.
+            case PERSISTING, ACTIVE, FINALIZING, ENDED -> Long.MAX_VALUE;
           };
       if (until - nowMicros < delegatedMicros && mayRunIn(job, zone)) {
         delegatedMicros = until - nowMicros;
@@ -54,7 +55,7 @@
   }
 
   /**
-   * True if a withdrawal that is told now is kept, whoever answers the workers meanwhile: no task
+   * True if a cancellation that is told now is kept, whoever answers the workers meanwhile: no task
    * starts any more, and those that run are gone in time.
    *
    * <p>Guards against a machine that goes on after it hung, or hears a start late: what was to
@@ -62,10 +63,10 @@
    */
   @Override
   public boolean goneInTime(Job job, long nowMicros) {
-    if (!recovery.allSeen(job) || job.mayBegin()) {
+    if (!recovery.allSeen(job) || job.mayStartLater()) {
       return false;
     }
-    long latest = nowMicros + Math.max(0, settings.workers().goneInTimeMicros());
+    long latest = nowMicros + Math.max(0, settings.workers().cancellationBoundMicros());
     return settings.zones().stream()
         .noneMatch(zone -> mayRunIn(job, zone) && delegations.delegatedUntil(zone) > latest);
   }
--- a/src/main/java/org/dewreach/controller/Core.java
+++ b/src/main/java/org/dewreach/controller/Controller.java
@@ -4,42 +4,42 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.random.RandomGenerator;
-import org.dewreach.cloud.CloudService;
+import org.dewreach.cloud.CloudClient;
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
-import org.dewreach.heartbeat.WaitingReports;
+import org.dewreach.heartbeat.PendingHeartbeats;
 import org.dewreach.history.FinalState;
 import org.dewreach.history.FinalStateWatcher;
 import org.dewreach.history.FinalStates;
 import org.dewreach.leadership.DelegateRenewer;
 import org.dewreach.leadership.Election;
 import org.dewreach.peer.Forwarded;
-import org.dewreach.port.Calls;
 import org.dewreach.port.ConnectionPool;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
-import org.dewreach.request.Answer;
+import org.dewreach.port.Outbox;
+import org.dewreach.request.ConcurrencyLimiter;
 import org.dewreach.request.LeaderDiscovery;
 import org.dewreach.request.LeaderForwarder;
 import org.dewreach.request.LeaderlessRequestHandler;
-import org.dewreach.request.LoadLimiter;
+import org.dewreach.request.Responder;
 import org.dewreach.request.RetryReason;
-import org.dewreach.request.UserLoad;
 import org.dewreach.request.UserRequest;
+import org.dewreach.request.UserRequestLimits;
 import org.dewreach.request.UserRequestParser;
-import org.dewreach.state.MachineCatalog;
-import org.dewreach.store.StateService;
+import org.dewreach.state.MachineTypeCatalog;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.wire.Codec;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.Heartbeat;
+import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.JobState;
 import org.dewreach.wire.MalformedException;
-import org.dewreach.wire.WorkerReport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** One controller: routes events to the election, to the term it leads, or to the leader. */
-public final class Core implements Election.Listener {
-  private static final Logger LOG = LoggerFactory.getLogger(Core.class);
+public final class Controller implements Election.Listener {
+  private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
   private static final long SUMMARY_INTERVAL_MICROS = 30_000_000;
 
@@ -50,10 +50,10 @@
 
   private final Settings settings;
   private final Tuning tuning;
-  private final Calls calls = new Calls(this::actsUntil);
-  private final StateService state = new StateService(calls);
-  private final CloudService cloud;
-  private final MachineCatalog catalog;
+  private final Outbox outbox = new Outbox(this::actsUntil);
+  private final KeyValueStore state = new KeyValueStore(outbox);
+  private final CloudClient cloud;
+  private final MachineTypeCatalog catalog;
   private final Election election;
   private final FinalStates finalStates = new FinalStates();
   private final FinalStateWatcher finalStateWatcher = new FinalStateWatcher(state, finalStates);
@@ -64,8 +64,8 @@
   private final long wallOffsetMicros;
   private LeadershipTerm term;
   private long now;
-  private final UserLoad userLoad = new UserLoad(() -> now);
-  private final WaitingReports waitingReports;
+  private final UserRequestLimits userLoad = new UserRequestLimits(() -> now);
+  private final PendingHeartbeats waitingReports;
   private long nextSummary;
   private boolean ready;
   private long nextOwnDelegation;
@@ -77,7 +77,7 @@
    * @param boot a text that no other process has, also not an earlier one of this node
    * @param wallOffsetMicros time of day minus event time
    */
-  public Core(
+  public Controller(
       Settings settings,
       Tuning tuning,
       String boot,
@@ -86,25 +86,25 @@
     this.settings = settings;
     this.tuning = tuning;
     this.wallOffsetMicros = wallOffsetMicros;
-    this.cloud = new CloudService(calls, settings.cloudLimits().rps());
-    this.catalog = new MachineCatalog(state, cloud);
+    this.cloud = new CloudClient(outbox, settings.cloudLimits().rps());
+    this.catalog = new MachineTypeCatalog(state, cloud);
     this.election =
         new Election(
             // Guards against a renewal that waits behind users' reads and comes after the hold
             // ended.
-            new StateService(calls, ConnectionPool.LEADERSHIP),
-            calls,
+            new KeyValueStore(outbox, ConnectionPool.LEADERSHIP),
+            outbox,
             settings.members().stream().map(Settings.Member::name).toList(),
             settings.name(),
             boot,
             random,
             this);
-    this.waitingReports = new WaitingReports(settings.limits().maxConnections());
-    this.delegateRenewer = new DelegateRenewer(calls, state, settings);
+    this.waitingReports = new PendingHeartbeats(settings.limits().maxConnections());
+    this.delegateRenewer = new DelegateRenewer(outbox, state, settings);
     this.direct =
         new LeaderlessRequestHandler(state, finalStates, catalog, settings, boot, wallOffsetMicros);
-    this.discovery = new LeaderDiscovery(calls, settings, election, delegateRenewer);
-    this.forwarder = new LeaderForwarder(calls, direct);
+    this.discovery = new LeaderDiscovery(outbox, settings, election, delegateRenewer);
+    this.forwarder = new LeaderForwarder(outbox, direct);
   }
 
   /** Handles one event; the effects are to be carried out in order. */
@@ -117,10 +117,10 @@
     if (event instanceof Event.Request request) {
       onRequest(request);
     } else if (event instanceof Event.Reply reply) {
-      calls.reply(now, reply);
+      outbox.reply(now, reply);
     }
     tick();
-    return calls.drain();
+    return outbox.drain();
   }
 
   private void tick() {
@@ -179,7 +179,7 @@
     term =
         new LeadershipTerm(
             number,
-            calls,
+            outbox,
             state,
             cloud,
             finalStates,
@@ -221,16 +221,16 @@
     // Once this node has known a way to serve, troubles of the others show in single answers: a
     // health check that flaps would take it out for longer than the trouble lasts.
     ready |= election.lastContact() >= 0;
-    calls.respond(request.requestId(), ready ? 200 : 503, null);
+    outbox.respond(request.requestId(), ready ? 200 : 503, null);
   }
 
   private void onReport(Event.Request request) {
-    WorkerReport report;
+    Heartbeat report;
     try {
-      report = WorkerReport.parse(request.body());
+      report = Heartbeat.parse(request.body());
     } catch (MalformedException e) {
       LOG.info("report not understood: {}", e.getMessage());
-      calls.respond(request.requestId(), 400, null);
+      outbox.respond(request.requestId(), 400, null);
       return;
     }
     if (undecided() && !waitingReports.full()) {
@@ -248,36 +248,36 @@
     return election.deciding() || term != null && !term.loaded();
   }
 
-  private void answerReport(long requestId, WorkerReport report) {
+  private void answerReport(long requestId, Heartbeat report) {
     if (term != null && election.hasAuthority(now)) {
       term.report(requestId, report, now);
       return;
     }
     if (delegateRenewer.answers(report, now)) {
-      calls.respondUntil(requestId, 200, delegateRenewer.answer(), delegateRenewer.until());
+      outbox.respondUntil(requestId, 200, delegateRenewer.answer(), delegateRenewer.until());
       return;
     }
     String leader = election.leader();
     if (leader != null && !leader.equals(settings.name())) {
-      calls.respond(requestId, 421, Codec.map().put("steward", leader));
+      outbox.respond(requestId, 421, Codec.map().put("steward", leader));
     } else {
-      calls.respond(requestId, 503, null);
+      outbox.respond(requestId, 503, null);
     }
   }
 
   private void onUser(Event.Request request) {
     UserRequest parsed = UserRequestParser.parse(request.method(), request.path(), request.body());
     if (parsed == null) {
-      calls.respond(request.requestId(), known(request) ? 400 : 404, null);
+      outbox.respond(request.requestId(), known(request) ? 400 : 404, null);
       return;
     }
     if (parsed instanceof UserRequest.Submit submit && submit.jobId() == null) {
-      calls.respond(request.requestId(), 400, null);
+      outbox.respond(request.requestId(), 400, null);
       return;
     }
-    if (parsed.jobId() != null && !JobRequest.isId(parsed.jobId())) {
+    if (parsed.jobId() != null && !JobSpec.isId(parsed.jobId())) {
       // No job of such a name can have been accepted.
-      calls.respond(request.requestId(), 404, null);
+      outbox.respond(request.requestId(), 404, null);
       return;
     }
     FinalState finalState = finalStates.get(parsed.jobId());
@@ -287,14 +287,14 @@
       return;
     }
     if (userLoad.sheds(parsed)) {
-      calls.respondRetry(request.requestId(), 503, null, LoadLimiter.BUSY_RETRY_S);
+      outbox.respondRetry(request.requestId(), 503, null, ConcurrencyLimiter.BUSY_RETRY_S);
       return;
     }
     dispatch(request, parsed, userLoad.enter(parsed, answer(request.requestId())));
   }
 
   /** The answer to any request about a job that has ended: what it ended as. */
-  private static void sendFinalState(UserRequest request, FinalState found, Answer answer) {
+  private static void sendFinalState(UserRequest request, FinalState found, Responder answer) {
     String id = request.jobId();
     boolean counts = request instanceof UserRequest.Query;
     JobState jobState = found.jobState();
@@ -302,7 +302,7 @@
   }
 
   /** Gives a user's request to the term of this node, to the leader, or serves it without one. */
-  private void dispatch(Event.Request request, UserRequest parsed, Answer answer) {
+  private void dispatch(Event.Request request, UserRequest parsed, Responder answer) {
     if (term != null) {
       // Before a leader may act, or knows what is there, jobs are kept and read without it.
       if (term.loaded() && election.hasAuthority(now)) {
@@ -324,12 +324,12 @@
     return request.path().equals("/work") && request.method().equals("POST");
   }
 
-  private Answer answer(long requestId) {
+  private Responder answer(long requestId) {
     return (status, body, retryAfterS) -> {
       if (retryAfterS > 0) {
-        calls.respondRetry(requestId, status, body, retryAfterS);
+        outbox.respondRetry(requestId, status, body, retryAfterS);
       } else {
-        calls.respond(requestId, status, body);
+        outbox.respond(requestId, status, body);
       }
     };
   }
@@ -339,9 +339,9 @@
    *
    * <p>Refusals too: what the term looked up and did not find, a later one may have taken over.
    */
-  private Answer underAuthority(Answer answer) {
+  private Responder underAuthority(Responder answer) {
     LeadershipTerm asked = term;
-    return new Answer() {
+    return new Responder() {
       @Override
       public void send(int status, JsonNode body, int retryAfterS) {
         boolean tells = status < 500;
@@ -362,7 +362,7 @@
   private ObjectNode stats() {
     ObjectNode node = Codec.map().put("node", settings.name()).put("leader", election.leader());
     node.put("election", election.phase().name()).put("term", termNumber());
-    node.put("open_calls", calls.openCalls());
+    node.put("open_calls", outbox.openCalls());
     userLoad.fill(node);
     node.put("final_states", finalStates.size());
     node.put("final_states_revision", finalStateWatcher.revision());
@@ -378,17 +378,17 @@
     switch (request.path()) {
       case Forwarded.LEADER_PATH -> {
         ObjectNode known = Codec.map().put("leader", election.leader());
-        calls.respond(requestId, 200, known.put("term", election.latestTerm()));
+        outbox.respond(requestId, 200, known.put("term", election.latestTerm()));
       }
-      case STATS_PATH -> calls.respond(requestId, 200, stats());
+      case STATS_PATH -> outbox.respond(requestId, 200, stats());
       case Election.GRANT_PATH, DelegateRenewer.PATH, Forwarded.PATH -> {
         if (body == null) {
-          calls.respond(requestId, 404, null);
+          outbox.respond(requestId, 404, null);
         } else {
           onPeerPost(request.path(), requestId, body);
         }
       }
-      default -> calls.respond(requestId, 404, null);
+      default -> outbox.respond(requestId, 404, null);
     }
   }
 
@@ -396,12 +396,12 @@
     switch (path) {
       case Election.GRANT_PATH -> {
         boolean given = election.grant(body.path("term").asLong(), now);
-        calls.respond(requestId, 200, Codec.map().put("given", given));
+        outbox.respond(requestId, 200, Codec.map().put("given", given));
       }
       case DelegateRenewer.PATH -> {
         ObjectNode delegation =
             leading() ? term.onDelegationRequest(body, now) : Codec.map().put("term", 0);
-        calls.respond(requestId, 200, delegation);
+        outbox.respond(requestId, 200, delegation);
       }
       default -> onForwarded(requestId, body);
     }
@@ -412,9 +412,9 @@
     UserRequest parsed =
         UserRequestParser.parse(
             body.path("method").asText(), body.path("path").asText(), body.get("body"));
-    Answer answer =
+    Responder answer =
         (status, answerBody, retryAfterS) ->
-            calls.respond(requestId, 200, Forwarded.answer(status, answerBody, retryAfterS));
+            outbox.respond(requestId, 200, Forwarded.answer(status, answerBody, retryAfterS));
     FinalState finalState =
         parsed == null || parsed.jobId() == null ? null : finalStates.get(parsed.jobId());
     if (finalState != null) {
@@ -423,9 +423,9 @@
     }
     boolean leads = term != null && term.loaded() && election.hasAuthority(now);
     if (parsed == null || parsed.jobId() == null || !leads) {
-      calls.respond(requestId, 200, Forwarded.notLeading());
+      outbox.respond(requestId, 200, Forwarded.notLeading());
     } else if (userLoad.sheds(parsed)) {
-      calls.respond(requestId, 200, Forwarded.busy());
+      outbox.respond(requestId, 200, Forwarded.busy());
     } else {
       term.user(parsed, underAuthority(userLoad.enter(parsed, answer)), now);
     }
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.function.LongPredicate;
 import java.util.function.LongSupplier;
-import org.dewreach.cloud.CloudService;
+import org.dewreach.cloud.CloudClient;
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
 import org.dewreach.heartbeat.DirectCommandSender;
-import org.dewreach.heartbeat.ReportReceiver;
+import org.dewreach.heartbeat.HeartbeatHandler;
 import org.dewreach.history.FinalStates;
 import org.dewreach.leadership.LeaseDelegations;
 import org.dewreach.membership.FleetManager;
@@ -18,27 +18,27 @@
 import org.dewreach.model.Job;
 import org.dewreach.model.JobPhase;
 import org.dewreach.model.Machine;
-import org.dewreach.port.Calls;
-import org.dewreach.request.Answer;
+import org.dewreach.port.Outbox;
 import org.dewreach.request.JobRequestHandler;
+import org.dewreach.request.Responder;
 import org.dewreach.request.RetryReason;
 import org.dewreach.request.UserRequest;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.ClusterStateLoader;
-import org.dewreach.state.FleetRegister;
 import org.dewreach.state.JobRecordWriter;
 import org.dewreach.state.LeaderlessJobImporter;
-import org.dewreach.state.MachineCatalog;
-import org.dewreach.store.Change;
+import org.dewreach.state.MachineRegistry;
+import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.store.CommitQueue;
-import org.dewreach.store.Condition;
+import org.dewreach.store.ConditionalWrite;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.store.RateBudget;
-import org.dewreach.store.StateService;
-import org.dewreach.store.Write;
+import org.dewreach.store.Mutation;
+import org.dewreach.store.Precondition;
+import org.dewreach.store.TokenBucket;
+import org.dewreach.wire.Heartbeat;
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.MachineType;
-import org.dewreach.wire.WorkerReport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -64,25 +64,25 @@
   }
 
   private final long number;
-  private final Calls calls;
-  private final MachineCatalog catalog;
+  private final Outbox outbox;
+  private final MachineTypeCatalog catalog;
   private final LongPredicate authority;
   private final Runnable onBroken;
   private final Runnable onCutOff;
   private final ClusterState clusterState;
   private final CommitQueue queue;
   private final JobRecordWriter recordWriter;
-  private final FleetRegister register;
+  private final MachineRegistry registry;
   private final ClusterStateLoader loader;
   private final RecoveryTracker recovery;
   private final CancellationGate cancellationGate;
-  private final ReportReceiver reportReceiver;
+  private final HeartbeatHandler reportReceiver;
   private final TermSummary summary;
   private final LeaderlessJobImporter jobImporter;
   private final JobRequestHandler users;
   private final LeaseDelegations delegations;
   private final FleetManager fleet;
-  private final PlacementScheduler placement;
+  private final PlacementLoop placement;
   private final DirectCommandSender direct;
   private Phase phase = Phase.LOADING;
   private boolean acted;
@@ -90,11 +90,11 @@
 
   LeadershipTerm(
       long number,
-      Calls calls,
-      StateService state,
-      CloudService cloud,
+      Outbox outbox,
+      KeyValueStore state,
+      CloudClient cloud,
       FinalStates finalStates,
-      MachineCatalog catalog,
+      MachineTypeCatalog catalog,
       Settings settings,
       Tuning tuning,
       LongPredicate authority,
@@ -105,20 +105,20 @@
       long wallOffsetMicros) {
     this.onCutOff = onCutOff;
     this.number = number;
-    this.calls = calls;
+    this.outbox = outbox;
     this.catalog = catalog;
     this.authority = authority;
     this.onBroken = onBroken;
     this.clusterState = new ClusterState(number, settings.teams(), tuning);
     this.queue = newCommitQueue(number, state, settings, onBroken);
-    this.register =
-        new FleetRegister(queue, settings.stateLimits().valueBytes(), wallOffsetMicros, this);
+    this.registry =
+        new MachineRegistry(queue, settings.stateLimits().valueBytes(), wallOffsetMicros, this);
     this.delegations = new LeaseDelegations(number, settings, ownRenewalAt);
     this.fleet = newFleetManager(cloud, settings, tuning, nowMicros, wallOffsetMicros);
     this.recovery = new RecoveryTracker(clusterState, fleet);
     this.cancellationGate = new CancellationGate(clusterState, settings, delegations, recovery);
     this.recordWriter = new JobRecordWriter(queue, cancellationGate, this);
-    this.loader = new ClusterStateLoader(state, clusterState, register, catalog, wallOffsetMicros);
+    this.loader = new ClusterStateLoader(state, clusterState, registry, catalog, wallOffsetMicros);
     this.jobImporter =
         new LeaderlessJobImporter(state, clusterState, recordWriter, this::onNotTakenOver);
     this.users =
@@ -134,34 +134,34 @@
     this.direct =
         new DirectCommandSender(
             number,
-            calls,
+            outbox,
             clusterState,
             this::directReport,
             settings.limits().connectionsToWorkers());
     this.reportReceiver = newReportReceiver();
     this.summary = new TermSummary(number, clusterState, queue);
     this.placement =
-        new PlacementScheduler(
+        new PlacementLoop(
             clusterState, fleet, recovery, direct, settings, tuning, wallOffsetMicros);
   }
 
   private static CommitQueue newCommitQueue(
-      long number, StateService state, Settings settings, Runnable onBroken) {
+      long number, KeyValueStore state, Settings settings, Runnable onBroken) {
     double writes = settings.stateLimits().writeRps() * WRITE_RATE_SHARE;
     return new CommitQueue(
         state,
-        new Condition(Keys.LEADER, number),
+        new Precondition(Keys.LEADER, number),
         settings.stateLimits().txnOps(),
-        new RateBudget(writes, writes),
+        new TokenBucket(writes, writes),
         onBroken);
   }
 
   private FleetManager newFleetManager(
-      CloudService cloud, Settings settings, Tuning tuning, long nowMicros, long wallOffsetMicros) {
+      CloudClient cloud, Settings settings, Tuning tuning, long nowMicros, long wallOffsetMicros) {
     return new FleetManager(
         number,
         clusterState,
-        register,
+        registry,
         delegations,
         cloud,
         catalog,
@@ -171,14 +171,14 @@
         wallOffsetMicros);
   }
 
-  private ReportReceiver newReportReceiver() {
-    return new ReportReceiver(
+  private HeartbeatHandler newReportReceiver() {
+    return new HeartbeatHandler(
         number,
-        calls,
+        outbox,
         clusterState,
         catalog,
         fleet,
-        register,
+        registry,
         recordWriter,
         direct,
         () -> phase == Phase.CLOSED);
@@ -244,7 +244,7 @@
     if (catalog.takeFromCloud()) {
       saveCatalog(nowMicros);
     }
-    register.tick(nowMicros);
+    registry.tick(nowMicros);
     jobImporter.tick(nowMicros);
     placement.tick(phase == Phase.ACTIVE, nowMicros);
     boolean everyTaskKnown = phase == Phase.ACTIVE || clusterState.machines().isEmpty();
@@ -271,17 +271,17 @@
   private void updateRecovery(long nowMicros) {
     if (recovery.update(nowMicros)) {
       become(Phase.ACTIVE);
-      recordWriter.allowFinishingWithdrawn();
-      clusterState.touch();
+      recordWriter.allowFinalizingCancelled();
+      clusterState.requestPlacement();
     }
   }
 
   private void saveCatalog(long nowMicros) {
     queue.add(
         nowMicros,
-        new Write(
+        new ConditionalWrite(
             List.of(),
-            List.of(new Change(Keys.CATALOG, MachineType.catalogNode(catalog.types()))),
+            List.of(new Mutation(Keys.CATALOG, MachineType.catalogNode(catalog.types()))),
             false,
             (now, outcome, revision) -> {}));
   }
@@ -292,8 +292,8 @@
       if (phase == Phase.CLOSED) {
         return;
       }
-      if (job.phase() == JobPhase.HALTING) {
-        users.onHalting(job, nowMicros);
+      if (job.phase() == JobPhase.CANCEL_REQUESTED) {
+        users.onCancelRequested(job, nowMicros);
       }
     }
   }
@@ -320,19 +320,19 @@
 
   // Reports
 
-  void report(long requestId, WorkerReport report, long nowMicros) {
+  void report(long requestId, Heartbeat report, long nowMicros) {
     // Guards against leases kept alive without knowing which jobs were cancelled: until the cluster
     // state is read, no worker is answered here. An outage that began in that moment would last as
     // long as grants do, and with it the tasks of a cancelled job whose machine had hung.
     if (!loaded() || !authority.test(nowMicros) || report.token() > number) {
-      calls.respond(requestId, 503, null);
+      outbox.respond(requestId, 503, null);
       return;
     }
     reportReceiver.take(requestId, report, nowMicros);
   }
 
   /** The answer to a direct command; it carries no orders back and extends no lease. */
-  private void directReport(Machine machine, WorkerReport report, long nowMicros) {
+  private void directReport(Machine machine, Heartbeat report, long nowMicros) {
     if (phase != Phase.CLOSED && authority.test(nowMicros)) {
       reportReceiver.takeDirect(machine, report, nowMicros);
     }
@@ -340,7 +340,7 @@
 
   // Users
 
-  void user(UserRequest request, Answer answer, long nowMicros) {
+  void user(UserRequest request, Responder answer, long nowMicros) {
     if (!loaded() || !authority.test(nowMicros)) {
       answer.later(RetryReason.NO_AUTHORITY);
     } else {
@@ -354,7 +354,7 @@
     if (job.spec().jobKind() == JobKind.SERVICE) {
       clusterState.services().arrived(job.spec(), nowMicros);
     }
-    clusterState.touch();
+    clusterState.requestPlacement();
     users.onAccepted(job);
   }
 
@@ -363,21 +363,21 @@
   }
 
   @Override
-  public void onWithdrawn(Job job, long nowMicros) {
+  public void onCancelled(Job job, long nowMicros) {
     LOG.info("job {} withdrawn", job.id());
-    users.onWithdrawn(job);
+    users.onCancelled(job);
   }
 
   @Override
-  public void onOver(Job job, long nowMicros) {
+  public void onEnded(Job job, long nowMicros) {
     LOG.info("job {} over: {}", job.id(), job.finalState().word());
     clusterState.jobs().remove(job.id());
-    users.onOver(job);
+    users.onEnded(job);
   }
 
   @Override
   public void onMarked(long nowMicros) {
-    clusterState.touch();
+    clusterState.requestPlacement();
   }
 
   @Override
--- a/src/main/java/org/dewreach/controller/PlacementScheduler.java
+++ b/src/main/java/org/dewreach/controller/PlacementLoop.java
@@ -7,12 +7,12 @@
 import org.dewreach.membership.FleetManager;
 import org.dewreach.membership.RecoveryTracker;
 import org.dewreach.placement.QueueOrder;
-import org.dewreach.scheduling.Dispatcher;
 import org.dewreach.scheduling.Preemption;
+import org.dewreach.scheduling.TaskPlacer;
 import org.dewreach.state.ClusterState;
 
 /** Decides when a placement pass is made, and makes it. */
-final class PlacementScheduler {
+final class PlacementLoop {
   /** Placement looks at changes that came close together in one pass. */
   private static final long PLACEMENT_INTERVAL_MICROS = 80_000;
 
@@ -26,12 +26,12 @@
   private final FleetManager fleet;
   private final RecoveryTracker recovery;
   private final DirectCommandSender direct;
-  private final Dispatcher dispatcher;
+  private final TaskPlacer placer;
   private final Preemption preemption;
   private long lastPass;
-  private List<Dispatcher.Waiting> waiting = List.of();
+  private List<TaskPlacer.Waiting> waiting = List.of();
 
-  PlacementScheduler(
+  PlacementLoop(
       ClusterState clusterState,
       FleetManager fleet,
       RecoveryTracker recovery,
@@ -44,8 +44,8 @@
     this.recovery = recovery;
     this.direct = direct;
     this.preemption = new Preemption(clusterState);
-    this.dispatcher =
-        new Dispatcher(
+    this.placer =
+        new TaskPlacer(
             clusterState,
             new QueueOrder(settings.teams(), settings.objectives()),
             settings.objectives(),
@@ -54,7 +54,7 @@
   }
 
   /** The jobs whose tasks found no place in the last pass. */
-  List<Dispatcher.Waiting> waiting() {
+  List<TaskPlacer.Waiting> waiting() {
     return waiting;
   }
 
@@ -65,11 +65,12 @@
    */
   void tick(boolean mayPreempt, long nowMicros) {
     boolean due = nowMicros - lastPass >= MAX_PLACEMENT_INTERVAL_MICROS;
-    if (nowMicros - lastPass < intervalMicros() || !(clusterState.takeChanged() || due)) {
+    if (nowMicros - lastPass < intervalMicros()
+        || !(clusterState.pollPlacementRequested() || due)) {
       return;
     }
     lastPass = nowMicros;
-    waiting = dispatcher.pass(nowMicros, recovery::allSeen, fleet.bootMicros());
+    waiting = placer.pass(nowMicros, recovery::allSeen, fleet.bootMicros());
     if (mayPreempt) {
       preemption.evictIdleConnection(waiting, nowMicros);
     }
--- a/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
@@ -9,47 +9,49 @@
 import org.dewreach.model.DirectStart;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.model.RestartSuspicion;
+import org.dewreach.model.RestartCheck;
 import org.dewreach.model.Task;
 import org.dewreach.model.TaskPhase;
-import org.dewreach.port.Calls;
+import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
 import org.dewreach.state.ClusterState;
 import org.dewreach.wire.Codec;
+import org.dewreach.wire.Heartbeat;
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.MalformedException;
 import org.dewreach.wire.WorkerCommand;
-import org.dewreach.wire.WorkerReport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends starts and halts to workers at once, instead of waiting for their next report.
+ * Sends starts and stops to workers at once, instead of waiting for their next report.
  *
  * <p>Such a command may arrive minutes late, or again. Two things make that harmless. A start
  * without an answer is repeated in report responses until the worker shows the attempt, so the late
  * copy finds the attempt known and has no effect. And an attempt that was ever started directly is
- * not cleared on its worker while the session lasts: a copy that arrives after its exit finds it
- * known as well. Nor is the task placed on that machine again in the session, since a new attempt
- * could take the place of the old one there. So that the reports stay small, only so many attempts
- * of a session are started directly; the others wait for the report.
+ * not cleared on its worker while the incarnation lasts: a copy that arrives after its exit finds
+ * it known as well. Nor is the task placed on that machine again in the incarnation, since a new
+ * attempt could take the place of the old one there. So that the reports stay small, only so many
+ * attempts of a incarnation are started directly; the others wait for the report.
  */
 public final class DirectCommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(DirectCommandSender.class);
   private static final long TIMEOUT_MICROS = 2_500_000;
 
-  /** Direct starts in one session, for services and for other work. A default of this project. */
+  /**
+   * Direct starts in one incarnation, for services and for other work. A default of this project.
+   */
   private static final int MAX_SERVICES = 80;
 
   private static final int MAX_OTHERS = 40;
 
   /** Takes the report that answers a command. */
   public interface Reports {
-    void on(Machine machine, WorkerReport report, long nowMicros);
+    void on(Machine machine, Heartbeat report, long nowMicros);
   }
 
   private final long term;
-  private final Calls calls;
+  private final Outbox outbox;
   private final ClusterState clusterState;
   private final Reports reports;
   private final int mostInFlight;
@@ -63,10 +65,10 @@
    *     machine's next report
    */
   public DirectCommandSender(
-      long term, Calls calls, ClusterState clusterState, Reports reports, int mostInFlight) {
+      long term, Outbox outbox, ClusterState clusterState, Reports reports, int mostInFlight) {
     this.mostInFlight = mostInFlight;
     this.term = term;
-    this.calls = calls;
+    this.outbox = outbox;
     this.clusterState = clusterState;
     this.reports = reports;
   }
@@ -77,13 +79,13 @@
 
   public void send(long nowMicros) {
     // Only machines with something new: looking at all of them in each pass cost more than placing.
-    Iterator<Machine> it = clusterState.toCommand().iterator();
+    Iterator<Machine> it = clusterState.machinesToCommand().iterator();
     while (it.hasNext() && inFlight < mostInFlight) {
       Machine machine = it.next();
       boolean reachable =
           (machine.phase() == MachinePhase.UP || machine.phase() == MachinePhase.DRAINING)
               && machine.recorded()
-              && machine.session() >= 0;
+              && machine.incarnation() >= 0;
       if (!reachable) {
         it.remove();
       } else if (!machine.directCommands().inFlight()
@@ -102,13 +104,13 @@
    * was bound there stays bound until the machine is returned, which is done at once.
    */
   void askForCount(Machine machine) {
-    if (machine.restartSuspicion() != RestartSuspicion.NONE) {
+    if (machine.restartSuspicion() != RestartCheck.NONE) {
       return;
     }
-    machine.restartSuspicion(RestartSuspicion.CHECKING);
-    long session = machine.session();
+    machine.restartSuspicion(RestartCheck.CHECKING);
+    long incarnation = machine.incarnation();
     long sequence = machine.sequence();
-    calls.call(
+    outbox.call(
         new Target.Worker(machine.address()),
         "GET",
         "/status",
@@ -119,12 +121,12 @@
             return;
           }
           try {
-            WorkerReport report = WorkerReport.parse(answer);
+            Heartbeat report = Heartbeat.parse(answer);
             boolean lower =
-                report.session() < session
-                    || report.session() == session && report.sequence() < sequence;
+                report.incarnation() < incarnation
+                    || report.incarnation() == incarnation && report.sequence() < sequence;
             if (report.machine().equals(machine.name())) {
-              machine.restartSuspicion(lower ? RestartSuspicion.CONFIRMED : RestartSuspicion.NONE);
+              machine.restartSuspicion(lower ? RestartCheck.CONFIRMED : RestartCheck.NONE);
             }
           } catch (MalformedException e) {
             LOG.info("status of {} not understood: {}", machine.name(), e.getMessage());
@@ -141,10 +143,10 @@
         started.add(task);
         machine.directCommands().started(task.name(), task.attempt());
       } else if (task.phase() == TaskPhase.STOPPING
-          && !task.haltSentDirectly()
+          && !task.stopSentDirectly()
           && task.spec().checkpointMicros() == 0) {
-        task.markHaltSentDirectly();
-        commands.add(new WorkerCommand.Halt(task.name(), task.attempt(), 0));
+        task.markStopSentDirectly();
+        commands.add(new WorkerCommand.Stop(task.name(), task.attempt(), 0));
       }
     }
     if (commands.isEmpty()) {
@@ -154,13 +156,13 @@
       task.become(TaskPhase.STARTING, nowMicros);
       task.direct(DirectStart.SENT);
     }
-    ObjectNode body = Codec.map().put("warrant", term).put("tenure", machine.session());
+    ObjectNode body = Codec.map().put("warrant", term).put("tenure", machine.incarnation());
     ArrayNode list = body.putArray("orders");
     commands.forEach(command -> list.add(command.toNode()));
     LOG.debug("direct to {}: {}", machine.name(), commands);
     machine.directCommands().inFlight(true);
     inFlight++;
-    calls.call(
+    outbox.call(
         new Target.Worker(machine.address()),
         "POST",
         "/do",
@@ -188,12 +190,12 @@
     if (!answered) {
       LOG.info("machine {}: direct command without answer ({})", machine.name(), status);
       machine.directCommands().notBefore(nowMicros + TIMEOUT_MICROS);
-      machine.notReached();
-      clusterState.touch();
+      machine.commandUnanswered();
+      clusterState.requestPlacement();
       return;
     }
     try {
-      WorkerReport report = WorkerReport.parse(answer);
+      Heartbeat report = Heartbeat.parse(answer);
       if (report.machine().equals(machine.name())) {
         reports.on(machine, report, nowMicros);
       }
--- a/src/main/java/org/dewreach/heartbeat/ReportReceiver.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -6,87 +6,87 @@
 import org.dewreach.model.Job;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.port.Calls;
+import org.dewreach.port.Outbox;
 import org.dewreach.state.ClusterState;
-import org.dewreach.state.FleetRegister;
 import org.dewreach.state.JobRecordWriter;
-import org.dewreach.state.MachineCatalog;
+import org.dewreach.state.MachineRegistry;
+import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.wire.Codec;
+import org.dewreach.wire.Heartbeat;
 import org.dewreach.wire.MachineType;
-import org.dewreach.wire.WorkerReport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Receives workers' reports: finds their machines, and sorts out late and repeated ones. */
-public final class ReportReceiver {
-  private static final Logger LOG = LoggerFactory.getLogger(ReportReceiver.class);
+public final class HeartbeatHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
   private final long term;
-  private final Calls calls;
+  private final Outbox outbox;
   private final ClusterState clusterState;
-  private final MachineCatalog catalog;
+  private final MachineTypeCatalog catalog;
   private final FleetManager fleet;
-  private final FleetRegister register;
+  private final MachineRegistry registry;
   private final JobRecordWriter recordWriter;
   private final DirectCommandSender direct;
   private final BooleanSupplier closed;
-  private final ReportHandler reports;
+  private final HeartbeatReconciler reports;
 
   /**
    * A receiver of one term.
    *
    * @param closed tells whether the term is over, which a write may find out at any time
    */
-  public ReportReceiver(
+  public HeartbeatHandler(
       long term,
-      Calls calls,
+      Outbox outbox,
       ClusterState clusterState,
-      MachineCatalog catalog,
+      MachineTypeCatalog catalog,
       FleetManager fleet,
-      FleetRegister register,
+      MachineRegistry registry,
       JobRecordWriter recordWriter,
       DirectCommandSender direct,
       BooleanSupplier closed) {
     this.term = term;
-    this.calls = calls;
+    this.outbox = outbox;
     this.clusterState = clusterState;
     this.catalog = catalog;
     this.fleet = fleet;
-    this.register = register;
+    this.registry = registry;
     this.recordWriter = recordWriter;
     this.direct = direct;
     this.closed = closed;
-    this.reports = new ReportHandler(term, clusterState);
+    this.reports = new HeartbeatReconciler(term, clusterState);
   }
 
   /** Takes a report and answers it; the caller has made sure that this term may do so. */
-  public void take(long requestId, WorkerReport report, long nowMicros) {
+  public void take(long requestId, Heartbeat report, long nowMicros) {
     Machine machine = clusterState.machines().get(report.machine());
     if (machine == null) {
       machine = met(report, nowMicros);
       if (machine == null) {
-        calls.respond(requestId, 503, null);
+        outbox.respond(requestId, 503, null);
         return;
       }
     }
-    if (machine.phase() == MachinePhase.LOST && report.session() <= machine.session()) {
+    if (machine.phase() == MachinePhase.LOST && report.incarnation() <= machine.incarnation()) {
       // Held up on the way since before its lease was over.
-      calls.respond(requestId, 503, null);
+      outbox.respond(requestId, 503, null);
       return;
     }
-    if (!machine.isNewer(report.session(), report.sequence())) {
+    if (!machine.isNewer(report.incarnation(), report.sequence())) {
       answerStale(requestId, machine, report, nowMicros);
       return;
     }
-    register.mark(machine, nowMicros);
+    registry.mark(machine, nowMicros);
     var response = reports.take(machine, report, true, nowMicros);
     machine.answered(nowMicros);
-    calls.respond(requestId, 200, response);
+    outbox.respond(requestId, 200, response);
     pumpExited(report, nowMicros);
   }
 
   /** Answers a report that was held up on the way, or passed by the answer to a direct command. */
-  private void answerStale(long requestId, Machine machine, WorkerReport report, long nowMicros) {
+  private void answerStale(long requestId, Machine machine, Heartbeat report, long nowMicros) {
     if (report.token() == 0 && machine.accountedFor()) {
       direct.askForCount(machine);
     }
@@ -94,12 +94,12 @@
     if (fleet.isSilent(machine, nowMicros)) {
       // Only copies are left of it, or its worker restarted with an old count: an answer would
       // keep that alive without end.
-      calls.respond(requestId, 503, null);
+      outbox.respond(requestId, 503, null);
       return;
     }
     // The worker may still wait for the answer, and its lease counts from the sending.
     machine.answered(nowMicros);
-    calls.respond(requestId, 200, noOrders());
+    outbox.respond(requestId, 200, noOrders());
   }
 
   private ObjectNode noOrders() {
@@ -109,12 +109,13 @@
   }
 
   /** The answer to a direct command; it carries no orders back and extends no lease. */
-  public void takeDirect(Machine machine, WorkerReport report, long nowMicros) {
+  public void takeDirect(Machine machine, Heartbeat report, long nowMicros) {
     if (machine.phase() != MachinePhase.GONE
-        && (machine.phase() != MachinePhase.LOST || report.session() > machine.session())
-        && machine.isNewer(report.session(), report.sequence())) {
-      if (report.session() > machine.session()) {
-        // Guards against taking the lease of this session for over with that of the one before: it
+        && (machine.phase() != MachinePhase.LOST || report.incarnation() > machine.incarnation())
+        && machine.isNewer(report.incarnation(), report.sequence())) {
+      if (report.incarnation() > machine.incarnation()) {
+        // Guards against taking the lease of this incarnation for over with that of the one before:
+        // it
         // began without any answer of ours, at the latest now.
         machine.answered(nowMicros);
       }
@@ -123,9 +124,9 @@
     }
   }
 
-  private void pumpExited(WorkerReport report, long nowMicros) {
-    for (WorkerReport.ReportedTask task : report.tasks()) {
-      if (task.state() == WorkerReport.TaskState.EXITED) {
+  private void pumpExited(Heartbeat report, long nowMicros) {
+    for (Heartbeat.TaskStatus task : report.tasks()) {
+      if (task.state() == Heartbeat.TaskState.EXITED) {
         Job job = clusterState.jobs().get(task.name().jobId());
         if (job != null) {
           recordWriter.pump(job, nowMicros);
@@ -138,7 +139,7 @@
   }
 
   /** A machine that nobody expected: a late rental, or one that the list does not show yet. */
-  private Machine met(WorkerReport report, long nowMicros) {
+  private Machine met(Heartbeat report, long nowMicros) {
     MachineType type = catalog.type(report.type());
     if (type == null || fleet.isGone(report.machine())) {
       return null;
@@ -153,7 +154,7 @@
             report.spot(),
             MachinePhase.BOOTING,
             nowMicros);
-    machine.toProve();
+    machine.requireToken();
     clusterState.add(machine);
     return machine;
   }
--- a/src/main/java/org/dewreach/heartbeat/ReportHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
@@ -15,13 +15,13 @@
 import org.dewreach.model.TaskPhase;
 import org.dewreach.state.ClusterState;
 import org.dewreach.wire.Codec;
+import org.dewreach.wire.Heartbeat;
+import org.dewreach.wire.Heartbeat.Cause;
+import org.dewreach.wire.Heartbeat.TaskState;
+import org.dewreach.wire.Heartbeat.TaskStatus;
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.TaskName;
 import org.dewreach.wire.WorkerCommand;
-import org.dewreach.wire.WorkerReport;
-import org.dewreach.wire.WorkerReport.Cause;
-import org.dewreach.wire.WorkerReport.ReportedTask;
-import org.dewreach.wire.WorkerReport.TaskState;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -32,8 +32,8 @@
  * surely whether the commands of a response were carried out. {@link DirectCommandSender} says what
  * holds for those sent directly.
  */
-final class ReportHandler {
-  private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
+final class HeartbeatReconciler {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
 
   /** Keeps a response well within 64 KiB. */
   private static final int MAX_ORDERS = 300;
@@ -50,7 +50,7 @@
   private static final long RUNS_WELL_MICROS = 30_000_000;
 
   /**
-   * The other attempt that a worker tells of is halted with its next reports. A default of this
+   * The other attempt that a worker tells of is stopped with its next reports. A default of this
    * project.
    */
   private static final long IN_USE_PAUSE_MICROS = 10_000_000;
@@ -58,7 +58,7 @@
   private final long term;
   private final ClusterState clusterState;
 
-  ReportHandler(long term, ClusterState clusterState) {
+  HeartbeatReconciler(long term, ClusterState clusterState) {
     this.term = term;
     this.clusterState = clusterState;
   }
@@ -68,14 +68,16 @@
    *
    * @param answerable false if the report answers a direct command, so that no response follows
    */
-  ObjectNode take(Machine machine, WorkerReport report, boolean answerable, long nowMicros) {
-    boolean sessionOver = machine.session() >= 0 && report.session() > machine.session();
-    if (sessionOver) {
-      clusterState.unbindAll(machine, "its worker began session " + report.session(), nowMicros);
+  ObjectNode take(Machine machine, Heartbeat report, boolean answerable, long nowMicros) {
+    boolean incarnationOver =
+        machine.incarnation() >= 0 && report.incarnation() > machine.incarnation();
+    if (incarnationOver) {
+      clusterState.unbindAll(
+          machine, "its worker began session " + report.incarnation(), nowMicros);
     }
-    boolean first = machine.session() < 0;
-    long previousAt = machine.lastReport();
-    machine.heard(report.session(), report.sequence());
+    boolean first = machine.incarnation() < 0;
+    long previousAt = machine.lastHeartbeat();
+    machine.heard(report.incarnation(), report.sequence());
     if (answerable) {
       machine.reported(nowMicros);
     }
@@ -83,38 +85,38 @@
     // Commands of earlier terms may still arrive until the worker has seen our token, unless none
     // were ever sent to it. A report with another token may also be a late copy, from seconds to
     // minutes old, of a machine that is gone or does other things now: nothing is concluded from
-    // it but what is true for ever (a task has completed, an earlier session is over).
+    // it but what is true for ever (a task has completed, an earlier incarnation is over).
     boolean sure =
         report.token() == term
-            || report.token() == 0 && !machine.commandedBefore() && !machine.hasToProve();
+            || report.token() == 0 && !machine.commandedByEarlierTerm() && !machine.requiresToken();
     if (sure) {
       machine.markAccountedFor();
     }
     if (answerable && !first) {
-      judgeHearing(machine, report, sessionOver, previousAt);
+      judgeHearing(machine, report, incarnationOver, previousAt);
     }
     settlePhase(machine, report, sure, nowMicros);
-    List<WorkerCommand> halts = new ArrayList<>();
-    List<WorkerCommand> clears = new ArrayList<>();
+    List<WorkerCommand> stops = new ArrayList<>();
+    List<WorkerCommand> removals = new ArrayList<>();
     Set<TaskName> seen = new HashSet<>();
-    for (ReportedTask reported : report.tasks()) {
+    for (TaskStatus reported : report.tasks()) {
       seen.add(reported.name());
-      read(machine, reported, sure, halts, clears, nowMicros);
+      read(machine, reported, sure, stops, removals, nowMicros);
     }
     List<WorkerCommand> starts = new ArrayList<>();
     if (sure) {
       for (Task task : List.copyOf(machine.tasks())) {
         settleBound(
-            machine, task, seen.contains(task.name()), answerable, starts, halts, nowMicros);
+            machine, task, seen.contains(task.name()), answerable, starts, stops, nowMicros);
       }
     }
     ObjectNode response = Codec.map().put("warrant", term);
     ArrayNode commands = response.putArray("orders");
-    // Without a report that is sure there are only halts of what is withdrawn. Guards against
+    // Without a report that is sure there are only stops of what is cancelled. Guards against
     // leases
     // renewed by one new leader after the other, of which each waits for a report with its token.
     if (answerable && machine.recorded()) {
-      for (List<WorkerCommand> group : sure ? List.of(halts, clears, starts) : List.of(halts)) {
+      for (List<WorkerCommand> group : sure ? List.of(stops, removals, starts) : List.of(stops)) {
         for (WorkerCommand command : group) {
           if (commands.size() < MAX_ORDERS) {
             LOG.debug("order to {}: {}", machine.name(), command);
@@ -132,7 +134,7 @@
    * is placed there never starts, and what runs there dies with its lease.
    */
   private void judgeHearing(
-      Machine machine, WorkerReport report, boolean sessionOver, long previousAt) {
+      Machine machine, Heartbeat report, boolean incarnationOver, long previousAt) {
     boolean tokenMissing = report.token() != term;
     boolean startMissing = false;
     if (!tokenMissing) {
@@ -147,11 +149,11 @@
       }
     }
     boolean was = machine.missesReplies();
-    machine.replyTaken(!tokenMissing && !startMissing && !sessionOver);
+    machine.recordReply(!tokenMissing && !startMissing && !incarnationOver);
     if (machine.missesReplies() != was) {
       LOG.info(
           "machine {} {}", machine.name(), was ? "takes answers again" : "does not take answers");
-      clusterState.touch();
+      clusterState.requestPlacement();
     }
   }
 
@@ -164,32 +166,32 @@
     }
   }
 
-  private void settlePhase(Machine machine, WorkerReport report, boolean sure, long nowMicros) {
+  private void settlePhase(Machine machine, Heartbeat report, boolean sure, long nowMicros) {
     switch (machine.phase()) {
-      case BOOTING, UNHEARD, GREETED, LOST -> {
-        MachinePhase next = sure ? MachinePhase.UP : MachinePhase.GREETED;
+      case BOOTING, UNKNOWN, UNCONFIRMED, LOST -> {
+        MachinePhase next = sure ? MachinePhase.UP : MachinePhase.UNCONFIRMED;
         if (machine.phase() != next) {
           LOG.info("machine {} {} -> {}", machine.name(), machine.phase(), next);
           machine.become(next, nowMicros);
-          clusterState.touch();
+          clusterState.requestPlacement();
         }
       }
-      case UP, DRAINING, RETURNING, GONE -> {
+      case UP, DRAINING, TERMINATING, GONE -> {
         // stays what it is
       }
     }
-    if (report.recallMicros() >= 0 && machine.recallAt() < 0) {
-      LOG.info("machine {} will be taken in {} ms", machine.name(), report.recallMicros() / 1000);
-      machine.recallAt(nowMicros + report.recallMicros());
+    if (report.reclaimMicros() >= 0 && machine.reclaimAt() < 0) {
+      LOG.info("machine {} will be taken in {} ms", machine.name(), report.reclaimMicros() / 1000);
+      machine.reclaimAt(nowMicros + report.reclaimMicros());
     }
   }
 
   private void read(
       Machine machine,
-      ReportedTask reported,
+      TaskStatus reported,
       boolean sure,
-      List<WorkerCommand> halts,
-      List<WorkerCommand> clears,
+      List<WorkerCommand> stops,
+      List<WorkerCommand> removals,
       long nowMicros) {
     TaskName name = reported.name();
     Job job = clusterState.jobs().get(name.jobId());
@@ -212,36 +214,36 @@
           machine.directCommands().wasStarted(reported.attempt())
               || reported.cause() == Cause.DONE
                   && job != null
-                  && (job.isOpen() || job.phase() == JobPhase.FINISHING)
+                  && (job.isOpen() || job.phase() == JobPhase.FINALIZING)
                   && !job.durable().get(name.index());
       if (!keep) {
-        clears.add(new WorkerCommand.Clear(name, reported.attempt()));
+        removals.add(new WorkerCommand.Remove(name, reported.attempt()));
       }
       return;
     }
     if (!sure) {
       // It may be a late copy: a task bound by it would be stopped where it really runs. But an
-      // attempt of a withdrawn job is not wanted, however old the report is.
-      if (job != null && job.phase() == JobPhase.WITHDRAWN) {
-        halts.add(new WorkerCommand.Halt(name, reported.attempt(), 0));
+      // attempt of a cancelled job is not wanted, however old the report is.
+      if (job != null && job.phase() == JobPhase.CANCELLED) {
+        stops.add(new WorkerCommand.Stop(name, reported.attempt(), 0));
       }
       return;
     }
-    if (job != null && !job.bound().containsKey(name.index()) && job.phase() != JobPhase.OVER) {
+    if (job != null && !job.bound().containsKey(name.index()) && job.phase() != JobPhase.ENDED) {
       adopt(machine, job, reported, nowMicros);
     } else {
       LOG.info("machine {}: stray {} attempt {}", machine.name(), name, reported.attempt());
-      halts.add(new WorkerCommand.Halt(name, reported.attempt(), 0));
+      stops.add(new WorkerCommand.Stop(name, reported.attempt(), 0));
     }
   }
 
   /** A task that an earlier leader started. */
-  private void adopt(Machine machine, Job job, ReportedTask reported, long nowMicros) {
+  private void adopt(Machine machine, Job job, TaskStatus reported, long nowMicros) {
     TaskPhase phase =
         switch (reported.state()) {
           case PULLING -> TaskPhase.PULLING;
           case RUNNING -> TaskPhase.RUNNING;
-          case FLUSHING -> TaskPhase.STOPPING;
+          case SAVING -> TaskPhase.STOPPING;
           case EXITED -> throw new IllegalArgumentException("exited tasks are not adopted");
         };
     clusterState.bind(job, reported.name().index(), reported.attempt(), machine, phase, nowMicros);
@@ -264,7 +266,7 @@
           task.job().succeeded();
         }
       }
-      case FLUSHING -> task.become(TaskPhase.STOPPING, nowMicros);
+      case SAVING -> task.become(TaskPhase.STOPPING, nowMicros);
       case EXITED -> throw new IllegalArgumentException("handled by onExit");
     }
   }
@@ -280,14 +282,14 @@
       case ERROR -> {
         job.failedOn(machine.name(), nowMicros);
         LOG.info("task {} failed on {}", task.name(), machine.name());
-        if (job.doubtful()) {
+        if (job.suspect()) {
           clear(job, nowMicros);
         } else {
           machine.faults().erred(job.id());
-          if (faulty(machine, job) && !machine.setAside()) {
+          if (faulty(machine, job) && !machine.quarantined()) {
             LOG.info(
                 "machine {} set aside: {} tasks failed", machine.name(), machine.faults().errors());
-            machine.faults().setAside(nowMicros);
+            machine.faults().quarantined(nowMicros);
           }
         }
       }
@@ -309,30 +311,30 @@
   /**
    * A job that fails wherever it goes says nothing about the machines.
    *
-   * <p>Guards against healthy machines that are set aside, and rented again, because two jobs with
-   * a mistake met there.
+   * <p>Guards against healthy machines that are quarantined, and rented again, because two jobs
+   * with a mistake met there.
    */
   private void clear(Job job, long nowMicros) {
     for (String name : job.suspects(nowMicros)) {
       Machine machine = clusterState.machines().get(name);
       boolean blamed = machine != null && machine.faults().jobs().remove(job.id());
-      if (blamed && machine.setAside() && !faulty(machine, job)) {
+      if (blamed && machine.quarantined() && !faulty(machine, job)) {
         LOG.info("machine {} is given tasks again: job {} fails everywhere", name, job.id());
-        machine.faults().notSetAside();
+        machine.faults().endQuarantine();
         resume(machine, nowMicros);
-        clusterState.touch();
+        clusterState.requestPlacement();
       }
     }
   }
 
   /**
-   * A machine that only drains because it was set aside takes tasks again.
+   * A machine that only drains because it was quarantined takes tasks again.
    *
    * <p>Guards against a machine that is cleared once {@link MachineDrainer} has begun to drain it:
    * it was given nothing, and never returned, until the term ended.
    */
   private static void resume(Machine machine, long nowMicros) {
-    if (machine.phase() == MachinePhase.DRAINING && machine.recallAt() < 0) {
+    if (machine.phase() == MachinePhase.DRAINING && machine.reclaimAt() < 0) {
       machine.become(MachinePhase.UP, nowMicros);
     }
   }
@@ -346,10 +348,10 @@
       boolean shown,
       boolean answerable,
       List<WorkerCommand> starts,
-      List<WorkerCommand> halts,
+      List<WorkerCommand> stops,
       long nowMicros) {
     Job job = task.job();
-    boolean wanted = job.phase() == JobPhase.LIVE && !job.done().get(task.index());
+    boolean wanted = job.phase() == JobPhase.ACTIVE && !job.done().get(task.index());
     if (!wanted && task.phase() != TaskPhase.STOPPING) {
       clusterState.stop(task, "not wanted any more", nowMicros);
     }
@@ -368,12 +370,12 @@
       }
       case STOPPING -> {
         if (shown) {
-          halts.add(
-              new WorkerCommand.Halt(task.name(), task.attempt(), grace(machine, task, nowMicros)));
+          stops.add(
+              new WorkerCommand.Stop(task.name(), task.attempt(), grace(machine, task, nowMicros)));
         } else if (task.mayStartLate()) {
           // Once the worker knows the attempt, the late start has no effect.
           starts.add(new WorkerCommand.Start(task.name(), task.attempt()));
-          starts.add(new WorkerCommand.Halt(task.name(), task.attempt(), 0));
+          starts.add(new WorkerCommand.Stop(task.name(), task.attempt(), 0));
         } else if (answerable) {
           // The answer to a direct command proves nothing here: the response with the start may
           // still be on its way. Only the next report was sent after it was taken or dropped.
@@ -387,7 +389,7 @@
   }
 
   private static long grace(Machine machine, Task task, long nowMicros) {
-    if (task.job().phase() != JobPhase.LIVE || task.spec().checkpointMicros() == 0) {
+    if (task.job().phase() != JobPhase.ACTIVE || task.spec().checkpointMicros() == 0) {
       return 0;
     }
     long grace = task.spec().saveMicros() + GRACE_SLACK_MICROS;
--- a/src/main/java/org/dewreach/heartbeat/WaitingReports.java
+++ b/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.dewreach.wire.WorkerReport;
+import org.dewreach.wire.Heartbeat;
 
 /**
  * Workers' reports that came while it was being decided who leads.
@@ -11,15 +11,15 @@
  * controllers that took it past the end of its lease. A moment later it can be answered, or told
  * where to go.
  */
-public final class WaitingReports {
+public final class PendingHeartbeats {
   /** Well within the 4 s that a worker waits. A default of this project. */
   private static final long MAX_WAIT_MICROS = 1_500_000;
 
-  private record Waiting(long requestId, WorkerReport report, long sinceMicros) {}
+  private record Waiting(long requestId, Heartbeat report, long sinceMicros) {}
 
   /** Answers a report. */
   public interface Answerer {
-    void answer(long requestId, WorkerReport report);
+    void answer(long requestId, Heartbeat report);
   }
 
   private final int most;
@@ -30,7 +30,7 @@
    *
    * @param most reports at once; a connection carries one at a time, so no more than connections
    */
-  public WaitingReports(int most) {
+  public PendingHeartbeats(int most) {
     this.most = most;
   }
 
@@ -42,7 +42,7 @@
     return waiting.isEmpty();
   }
 
-  public void add(long requestId, WorkerReport report, long nowMicros) {
+  public void add(long requestId, Heartbeat report, long nowMicros) {
     waiting.add(new Waiting(requestId, report, nowMicros));
   }
 
--- a/src/main/java/org/dewreach/history/FinalState.java
+++ b/src/main/java/org/dewreach/history/FinalState.java
@@ -9,7 +9,7 @@
 /**
  * How a job ended, as its final record in the state service has it.
  *
- * @param jobState done or withdrawn
+ * @param jobState done or cancelled
  * @param done how many of its tasks were done
  */
 public record FinalState(JobState jobState, int done) {
--- a/src/main/java/org/dewreach/history/FinalStateWatcher.java
+++ b/src/main/java/org/dewreach/history/FinalStateWatcher.java
@@ -1,8 +1,8 @@
 package org.dewreach.history;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.store.StateService;
 import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
@@ -43,7 +43,7 @@
     WATCHING
   }
 
-  private final StateService state;
+  private final KeyValueStore state;
   private final FinalStates finalStates;
   private Phase phase = Phase.LISTING;
   private long nextRequestAt;
@@ -51,7 +51,7 @@
   private long revision = -1;
 
   /** A watcher that adds what it finds to the given states. */
-  public FinalStateWatcher(StateService state, FinalStates finalStates) {
+  public FinalStateWatcher(KeyValueStore state, FinalStates finalStates) {
     this.state = state;
     this.finalStates = finalStates;
   }
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -5,13 +5,13 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.dewreach.config.Settings;
-import org.dewreach.port.Calls;
+import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.store.StateService;
 import org.dewreach.wire.Codec;
+import org.dewreach.wire.Heartbeat;
 import org.dewreach.wire.HttpStatus;
-import org.dewreach.wire.WorkerReport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -45,13 +45,13 @@
   /** Whether reports are answered here in the leader's stead. */
   private enum Phase {
     /** In contact, or without a right to it. */
-    RESTING,
+    IDLE,
     /** Out of contact: answering. */
     ANSWERING
   }
 
-  private final Calls calls;
-  private final StateService state;
+  private final Outbox outbox;
+  private final KeyValueStore state;
   private final String self;
   private final String zone;
 
@@ -60,7 +60,7 @@
 
   private boolean led;
 
-  private Phase phase = Phase.RESTING;
+  private Phase phase = Phase.IDLE;
   private long term;
   private long until;
   private long contactAt;
@@ -72,8 +72,8 @@
   private long probeAt;
 
   /** Without any right yet. */
-  public DelegateRenewer(Calls calls, StateService state, Settings settings) {
-    this.calls = calls;
+  public DelegateRenewer(Outbox outbox, KeyValueStore state, Settings settings) {
+    this.outbox = outbox;
     this.state = state;
     this.self = settings.name();
     this.zone = settings.zone();
@@ -105,7 +105,7 @@
           });
     }
     if (phase == Phase.ANSWERING && !mayAnswer(nowMicros)) {
-      become(Phase.RESTING, nowMicros < until ? "in contact again" : "its time is over");
+      become(Phase.IDLE, nowMicros < until ? "in contact again" : "its time is over");
     }
   }
 
@@ -113,7 +113,7 @@
     ObjectNode body = Codec.map().put("node", self).put("up", nowMicros);
     body.put("answered_ago", answeredAt < 0 ? -1 : nowMicros - answeredAt);
     body.put("echo", leader.equals(echoOf) ? echo : -1);
-    calls.call(
+    outbox.call(
         new Target.Member(leader),
         "POST",
         PATH,
@@ -179,7 +179,7 @@
   }
 
   /** True if the report is to be answered here, in the leader's stead. */
-  public boolean answers(WorkerReport report, long nowMicros) {
+  public boolean answers(Heartbeat report, long nowMicros) {
     if (!report.zone().equals(zone) || report.token() > term) {
       return false;
     }
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.random.RandomGenerator;
-import org.dewreach.port.Calls;
+import org.dewreach.port.Outbox;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.store.StateService;
 import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -47,7 +47,7 @@
     void onDeposed(long nowMicros, long term);
   }
 
-  private final StateService state;
+  private final KeyValueStore state;
   private final String self;
   private final String boot;
   private final RandomGenerator random;
@@ -76,8 +76,8 @@
    * @param random spreads the claims of several nodes in time
    */
   public Election(
-      StateService state,
-      Calls calls,
+      KeyValueStore state,
+      Outbox outbox,
       List<String> others,
       String self,
       String boot,
@@ -90,7 +90,7 @@
     this.listener = listener;
     this.claim = new LeaderClaim(state, self, boot);
     this.authority =
-        new LeaderAuthority(state, calls, others, self, this::onRenewed, this::onLeaseEnded);
+        new LeaderAuthority(state, outbox, others, self, this::onRenewed, this::onLeaseEnded);
   }
 
   /** What this controller is in the election now. */
--- a/src/main/java/org/dewreach/leadership/LeaderAuthority.java
+++ b/src/main/java/org/dewreach/leadership/LeaderAuthority.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongConsumer;
-import org.dewreach.port.Calls;
 import org.dewreach.port.ConnectionPool;
+import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
-import org.dewreach.store.StateService;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.wire.Codec;
 import org.dewreach.wire.HttpStatus;
 import org.slf4j.Logger;
@@ -67,8 +67,8 @@
     GRANTS
   }
 
-  private final StateService state;
-  private final Calls calls;
+  private final KeyValueStore state;
+  private final Outbox outbox;
   private final List<String> others;
   private final String self;
   private final LongConsumer onRenewed;
@@ -93,14 +93,14 @@
    * @param onLeaseEnded told the time at which the state service answered that the lease has ended
    */
   LeaderAuthority(
-      StateService state,
-      Calls calls,
+      KeyValueStore state,
+      Outbox outbox,
       List<String> others,
       String self,
       LongConsumer onRenewed,
       LongConsumer onLeaseEnded) {
     this.state = state;
-    this.calls = calls;
+    this.outbox = outbox;
     this.others = others;
     this.self = self;
     this.onRenewed = onRenewed;
@@ -200,7 +200,7 @@
 
   private void requestGrant(String other, long askedAt) {
     long forTerm = term;
-    calls.call(
+    outbox.call(
         new Target.Member(other),
         ConnectionPool.LEADERSHIP,
         "POST",
--- a/src/main/java/org/dewreach/leadership/LeaderClaim.java
+++ b/src/main/java/org/dewreach/leadership/LeaderClaim.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import org.dewreach.port.Calls;
-import org.dewreach.store.Change;
-import org.dewreach.store.Condition;
+import org.dewreach.port.Outbox;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.store.StateService;
+import org.dewreach.store.Mutation;
+import org.dewreach.store.Precondition;
 import org.dewreach.wire.Codec;
 import org.dewreach.wire.HttpStatus;
 
@@ -17,7 +17,7 @@
 
   private static final long MICROS_PER_MS = 1_000;
 
-  private final StateService state;
+  private final KeyValueStore state;
   private final String self;
   private final String boot;
   private long leaseId;
@@ -28,14 +28,14 @@
    *
    * @param boot identifies this process among those of the same name
    */
-  LeaderClaim(StateService state, String self, String boot) {
+  LeaderClaim(KeyValueStore state, String self, String boot) {
     this.state = state;
     this.self = self;
     this.boot = boot;
   }
 
   /** Opens the lease; its time counts from now. */
-  void openLease(long nowMicros, Calls.ReplyHandler handler) {
+  void openLease(long nowMicros, Outbox.ReplyHandler handler) {
     state.openLease(
         LeaderAuthority.LEASE_TTL_MICROS / MICROS_PER_MS,
         TIMEOUT_MICROS,
@@ -49,11 +49,11 @@
   }
 
   /** Writes the leader key with the lease, unless the key is there. */
-  void writeKey(Calls.ReplyHandler handler) {
+  void writeKey(Outbox.ReplyHandler handler) {
     ObjectNode data = Codec.map().put("name", self).put("boot", boot);
     state.commit(
-        List.of(new Condition(Keys.LEADER, 0)),
-        List.of(new Change(Keys.LEADER, data)),
+        List.of(new Precondition(Keys.LEADER, 0)),
+        List.of(new Mutation(Keys.LEADER, data)),
         leaseId,
         TIMEOUT_MICROS,
         handler);
--- a/src/main/java/org/dewreach/membership/CloudMachineLister.java
+++ b/src/main/java/org/dewreach/membership/CloudReconciler.java
@@ -1,14 +1,14 @@
 package org.dewreach.membership;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.dewreach.autoscaling.MachineReturner;
-import org.dewreach.cloud.CloudService;
+import org.dewreach.autoscaling.ScaleInExecutor;
+import org.dewreach.cloud.CloudClient;
 import org.dewreach.config.Settings;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.state.ClusterState;
-import org.dewreach.state.FleetRegister;
-import org.dewreach.state.MachineCatalog;
+import org.dewreach.state.MachineRegistry;
+import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.ListedMachine;
 import org.dewreach.wire.MachineType;
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Reads the cloud's list of machines, to find unknown and failed ones. */
-final class CloudMachineLister {
-  private static final Logger LOG = LoggerFactory.getLogger(CloudMachineLister.class);
+final class CloudReconciler {
+  private static final Logger LOG = LoggerFactory.getLogger(CloudReconciler.class);
 
   /**
    * A large fleet takes several calls of a small rate to list; reports tell most of it. A default
@@ -27,28 +27,28 @@
   private static final long LIST_INTERVAL_MICROS = 5_000_000;
 
   private final ClusterState clusterState;
-  private final FleetRegister register;
-  private final CloudService cloud;
-  private final MachineCatalog catalog;
+  private final MachineRegistry registry;
+  private final CloudClient cloud;
+  private final MachineTypeCatalog catalog;
   private final Settings settings;
-  private final MachineReturner returner;
+  private final ScaleInExecutor scaleIn;
   private boolean inFlight;
   private long nextListAt;
   private boolean closed;
 
-  CloudMachineLister(
+  CloudReconciler(
       ClusterState clusterState,
-      FleetRegister register,
-      CloudService cloud,
-      MachineCatalog catalog,
+      MachineRegistry registry,
+      CloudClient cloud,
+      MachineTypeCatalog catalog,
       Settings settings,
-      MachineReturner returner) {
+      ScaleInExecutor scaleIn) {
     this.clusterState = clusterState;
-    this.register = register;
+    this.registry = registry;
     this.cloud = cloud;
     this.catalog = catalog;
     this.settings = settings;
-    this.returner = returner;
+    this.scaleIn = scaleIn;
   }
 
   /** Ignores all later answers of the cloud. */
@@ -90,7 +90,7 @@
   }
 
   private void onListed(ListedMachine listed, long nowMicros) {
-    if (returner.isGone(listed.name())) {
+    if (scaleIn.isGone(listed.name())) {
       return;
     }
     Machine machine = clusterState.machines().get(listed.name());
@@ -101,9 +101,9 @@
       }
       machine = addListed(listed, type, nowMicros);
     }
-    if (listed.failed() && machine.phase() != MachinePhase.RETURNING) {
+    if (listed.failed() && machine.phase() != MachinePhase.TERMINATING) {
       clusterState.unbindAll(machine, "it failed", nowMicros);
-      returner.giveUp(machine, "failed", nowMicros);
+      scaleIn.giveUp(machine, "failed", nowMicros);
     }
   }
 
@@ -120,7 +120,7 @@
             nowMicros);
     machine.knownSince(nowMicros - listed.ageMicros());
     clusterState.add(machine);
-    register.note(machine, nowMicros);
+    registry.note(machine, nowMicros);
     return machine;
   }
 }
--- a/src/main/java/org/dewreach/membership/FleetManager.java
+++ b/src/main/java/org/dewreach/membership/FleetManager.java
@@ -1,65 +1,66 @@
 package org.dewreach.membership;
 
 import java.util.List;
-import org.dewreach.autoscaling.MachineRenter;
-import org.dewreach.autoscaling.MachineRetirement;
-import org.dewreach.autoscaling.MachineReturner;
-import org.dewreach.autoscaling.RentalDemand;
-import org.dewreach.cloud.CloudService;
+import org.dewreach.autoscaling.CapacityDemand;
+import org.dewreach.autoscaling.ScaleInExecutor;
+import org.dewreach.autoscaling.ScaleInPolicy;
+import org.dewreach.autoscaling.ScaleOutExecutor;
+import org.dewreach.cloud.CloudClient;
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
 import org.dewreach.leadership.LeaseDelegations;
 import org.dewreach.model.Machine;
-import org.dewreach.scheduling.Consolidation;
-import org.dewreach.scheduling.Dispatcher;
-import org.dewreach.scheduling.ServiceMover;
+import org.dewreach.scheduling.ServiceMigrator;
+import org.dewreach.scheduling.TaskConsolidator;
+import org.dewreach.scheduling.TaskPlacer;
 import org.dewreach.state.ClusterState;
-import org.dewreach.state.FleetRegister;
-import org.dewreach.state.MachineCatalog;
+import org.dewreach.state.MachineRegistry;
+import org.dewreach.state.MachineTypeCatalog;
 
 /** Rents, watches and returns machines: runs the parts that do so, one round at a time. */
 public final class FleetManager {
   private static final long ROUND_INTERVAL_MICROS = 1_000_000;
 
-  private final MachineReturner returner;
+  private final ScaleInExecutor scaleIn;
   private final MachineHealthMonitor healthMonitor;
   private final MachineDrainer drainer;
-  private final MachineRetirement retirement;
-  private final ServiceMover serviceMover;
-  private final Consolidation consolidation;
-  private final MachineRenter renter;
-  private final CloudMachineLister lister;
+  private final ScaleInPolicy scaleInPolicy;
+  private final ServiceMigrator serviceMigrator;
+  private final TaskConsolidator consolidation;
+  private final ScaleOutExecutor scaleOut;
+  private final CloudReconciler cloudReconciler;
   private long nextRoundAt;
 
   public FleetManager(
       long term,
       ClusterState clusterState,
-      FleetRegister register,
+      MachineRegistry registry,
       LeaseDelegations delegations,
-      CloudService cloud,
-      MachineCatalog catalog,
+      CloudClient cloud,
+      MachineTypeCatalog catalog,
       Settings settings,
       Tuning tuning,
       long nowMicros,
       long wallOffsetMicros) {
-    this.returner = new MachineReturner(clusterState, register, cloud);
+    this.scaleIn = new ScaleInExecutor(clusterState, registry, cloud);
     this.healthMonitor =
-        new MachineHealthMonitor(clusterState, delegations, settings, returner, nowMicros);
-    this.drainer = new MachineDrainer(clusterState, settings, returner);
-    this.retirement = new MachineRetirement(clusterState, catalog, tuning, returner);
-    this.serviceMover = new ServiceMover(clusterState, tuning, ROUND_INTERVAL_MICROS);
-    this.consolidation = new Consolidation(clusterState);
-    RentalDemand demand = new RentalDemand(clusterState, settings, tuning, wallOffsetMicros);
-    this.renter = new MachineRenter(term, clusterState, register, cloud, catalog, demand, returner);
-    this.lister =
-        new CloudMachineLister(clusterState, register, cloud, catalog, settings, returner);
+        new MachineHealthMonitor(clusterState, delegations, settings, scaleIn, nowMicros);
+    this.drainer = new MachineDrainer(clusterState, settings, scaleIn);
+    this.scaleInPolicy = new ScaleInPolicy(clusterState, catalog, tuning, scaleIn);
+    this.serviceMigrator = new ServiceMigrator(clusterState, tuning, ROUND_INTERVAL_MICROS);
+    this.consolidation = new TaskConsolidator(clusterState);
+    CapacityDemand demand = new CapacityDemand(clusterState, settings, tuning, wallOffsetMicros);
+    this.scaleOut =
+        new ScaleOutExecutor(term, clusterState, registry, cloud, catalog, demand, scaleIn);
+    this.cloudReconciler =
+        new CloudReconciler(clusterState, registry, cloud, catalog, settings, scaleIn);
   }
 
   /** Ignores all later answers of the cloud. */
   public void close() {
-    returner.close();
-    renter.close();
-    lister.close();
+    scaleIn.close();
+    scaleOut.close();
+    cloudReconciler.close();
   }
 
   /** From now on, and not before, this leader alone answers workers. */
@@ -73,7 +74,7 @@
   }
 
   /** Runs a round if one is due. */
-  public void tick(long nowMicros, List<Dispatcher.Waiting> waiting, boolean mayRent) {
+  public void tick(long nowMicros, List<TaskPlacer.Waiting> waiting, boolean mayRent) {
     if (nowMicros < nextRoundAt) {
       return;
     }
@@ -82,14 +83,14 @@
     drainer.drain(nowMicros);
     if (mayRent) {
       // Before all machines are accounted for, what looks idle may be needed in a moment.
-      retirement.retire(nowMicros, waiting);
-      serviceMover.move(nowMicros);
+      scaleInPolicy.retire(nowMicros, waiting);
+      serviceMigrator.move(nowMicros);
       consolidation.move(nowMicros);
-      retirement.returnIdle(nowMicros);
-      renter.rent(nowMicros, waiting);
+      scaleInPolicy.returnIdle(nowMicros);
+      scaleOut.rent(nowMicros, waiting);
     }
-    returner.returnMarked(nowMicros);
-    lister.list(nowMicros);
+    scaleIn.returnMarked(nowMicros);
+    cloudReconciler.list(nowMicros);
   }
 
   /** True if nothing new was heard of the machine for longer than reports take. */
@@ -104,11 +105,11 @@
 
   /** A machine that was returned may still be listed, or heard of, for a while. */
   public boolean isGone(String name) {
-    return returner.isGone(name);
+    return scaleIn.isGone(name);
   }
 
   /** Typical time until a machine rented now is of use. */
   public long bootMicros() {
-    return retirement.bootMicros();
+    return scaleInPolicy.bootMicros();
   }
 }
--- a/src/main/java/org/dewreach/membership/MachineDrainer.java
+++ b/src/main/java/org/dewreach/membership/MachineDrainer.java
@@ -1,7 +1,7 @@
 package org.dewreach.membership;
 
 import java.util.List;
-import org.dewreach.autoscaling.MachineReturner;
+import org.dewreach.autoscaling.ScaleInExecutor;
 import org.dewreach.config.Settings;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
@@ -23,8 +23,8 @@
   private static final double HOPELESS_FACTOR = 1.6;
 
   /**
-   * A machine that is set aside keeps its tasks for so long, in which it may be cleared. A default
-   * of this project.
+   * A machine that is quarantined keeps its tasks for so long, in which it may be cleared. A
+   * default of this project.
    */
   private static final long SUSPECT_MACHINE_GRACE_MICROS = 8_000_000;
 
@@ -36,20 +36,20 @@
 
   private final ClusterState clusterState;
   private final Settings settings;
-  private final MachineReturner returner;
+  private final ScaleInExecutor scaleIn;
 
-  MachineDrainer(ClusterState clusterState, Settings settings, MachineReturner returner) {
+  MachineDrainer(ClusterState clusterState, Settings settings, ScaleInExecutor scaleIn) {
     this.clusterState = clusterState;
     this.settings = settings;
-    this.returner = returner;
+    this.scaleIn = scaleIn;
   }
 
   /** Drains all machines that are recalled or surely faulty, one step further. */
   void drain(long nowMicros) {
     for (Machine machine : List.copyOf(clusterState.machines().values())) {
       boolean faulty = surelyFaulty(machine, nowMicros);
-      boolean leaving = machine.recallAt() >= 0 || faulty;
-      if (leaving && machine.phase() != MachinePhase.RETURNING) {
+      boolean leaving = machine.reclaimAt() >= 0 || faulty;
+      if (leaving && machine.phase() != MachinePhase.TERMINATING) {
         drain(machine, faulty, nowMicros);
       }
     }
@@ -59,16 +59,16 @@
     if (machine.phase() == MachinePhase.UP) {
       LOG.info("machine {} drains: {}", machine.name(), faulty ? "set aside" : "to be taken");
       machine.become(MachinePhase.DRAINING, nowMicros);
-      clusterState.touch();
+      clusterState.requestPlacement();
     }
     if (machine.phase() != MachinePhase.DRAINING) {
       return;
     }
-    if (machine.recallAt() >= 0) {
+    if (machine.reclaimAt() >= 0) {
       stopRecalledTasks(machine, nowMicros);
     }
     if (machine.tasks().isEmpty()) {
-      returner.giveUp(machine, "drained", nowMicros);
+      scaleIn.giveUp(machine, "drained", nowMicros);
     }
   }
 
@@ -79,28 +79,28 @@
       // What cannot save may still complete before the machine is taken. What surely will not
       // had better begin anew elsewhere now than once it is lost.
       if (task.spec().jobKind() == JobKind.SERVICE
-          || saves && nowMicros + lead > machine.recallAt()
-          || !saves && hopeless(task, machine.recallAt() - nowMicros, nowMicros)) {
+          || saves && nowMicros + lead > machine.reclaimAt()
+          || !saves && hopeless(task, machine.reclaimAt() - nowMicros, nowMicros)) {
         clusterState.stop(task, "its machine is to be taken", nowMicros);
       }
     }
   }
 
   /**
-   * True if the jobs that failed on a machine that is set aside have been tried elsewhere.
+   * True if the jobs that failed on a machine that is quarantined have been tried elsewhere.
    *
    * <p>Guards against healthy machines returned for jobs that take a while to fail: the second
    * failure, which shows that it is the job, comes no sooner than the first one did.
    */
   private boolean surelyFaulty(Machine machine, long nowMicros) {
-    if (!machine.setAside()) {
+    if (!machine.quarantined()) {
       return false;
     }
     boolean onTrial =
         machine.faults().jobs().stream()
             .map(clusterState.jobs()::get)
-            .anyMatch(job -> job != null && job.unproven());
-    return nowMicros - machine.faults().setAsideAt()
+            .anyMatch(job -> job != null && job.failedOnce());
+    return nowMicros - machine.faults().quarantinedAt()
         > (onTrial ? MAX_SUSPECT_MACHINE_TRIAL_MICROS : SUSPECT_MACHINE_GRACE_MICROS);
   }
 
--- a/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
+++ b/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
@@ -2,12 +2,12 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.dewreach.autoscaling.MachineReturner;
+import org.dewreach.autoscaling.ScaleInExecutor;
 import org.dewreach.config.Settings;
 import org.dewreach.leadership.LeaseDelegations;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.model.RestartSuspicion;
+import org.dewreach.model.RestartCheck;
 import org.dewreach.state.ClusterState;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -98,7 +98,7 @@
   private final ClusterState clusterState;
   private final LeaseDelegations delegations;
   private final Settings settings;
-  private final MachineReturner returner;
+  private final ScaleInExecutor scaleIn;
   private long startedAt;
   private int cutOffRounds;
 
@@ -106,12 +106,12 @@
       ClusterState clusterState,
       LeaseDelegations delegations,
       Settings settings,
-      MachineReturner returner,
+      ScaleInExecutor scaleIn,
       long nowMicros) {
     this.clusterState = clusterState;
     this.delegations = delegations;
     this.settings = settings;
-    this.returner = returner;
+    this.scaleIn = scaleIn;
     this.startedAt = nowMicros;
   }
 
@@ -122,11 +122,11 @@
 
   /** True if the worker has surely killed all its tasks, or never had any. */
   boolean leaseSurelyOver(Machine machine, long nowMicros) {
-    if (machine.restartSuspicion() != RestartSuspicion.NONE) {
+    if (machine.restartSuspicion() != RestartCheck.NONE) {
       // A worker that restarted has a lease of its own, and takes late copies of our starts.
       return false;
     }
-    long from = Math.max(startedAt, machine.lastAnswer());
+    long from = Math.max(startedAt, machine.lastLeaseRenewal());
     from = Math.max(from, delegations.answeredUntil(machine.zone(), nowMicros));
     long lease = settings.workers().leaseMicros();
     return nowMicros > from + lease + lease / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MICROS;
@@ -138,7 +138,7 @@
   }
 
   private long unheardMicros(Machine machine, long nowMicros) {
-    return nowMicros - Math.max(startedAt, machine.lastReport());
+    return nowMicros - Math.max(startedAt, machine.lastHeartbeat());
   }
 
   private long silentAfterMicros() {
@@ -167,8 +167,8 @@
    * found it: nobody led for ten seconds then, and nearly all leases ran out.
    */
   private long arrivalMicros() {
-    long lastReport = settings.workers().reportMicros() * LAST_REPORT_QUARTERS / QUARTERS;
-    return lastReport
+    long lastHeartbeat = settings.workers().reportMicros() * LAST_REPORT_QUARTERS / QUARTERS;
+    return lastHeartbeat
         + settings.members().size() * LOST_MACHINE_RETRY_MICROS
         + ARRIVAL_MARGIN_MICROS;
   }
@@ -184,28 +184,28 @@
     boolean cutOffNow = findings.most() && nowMicros > startedAt + arrivalMicros();
     cutOffRounds = cutOffNow ? cutOffRounds + 1 : 0;
     giveUpStragglers(findings.heard, nowMicros);
-    findings.silent.removeIf(machine -> machine.phase() == MachinePhase.RETURNING);
+    findings.silent.removeIf(machine -> machine.phase() == MachinePhase.TERMINATING);
     for (Machine machine : findings.silent) {
       onSilent(machine, findings.few(), nowMicros);
     }
     if (findings.few()) {
-      // Nothing placed there starts, and its session will end: the return is proof enough.
+      // Nothing placed there starts, and its incarnation will end: the return is proof enough.
       findings.missesReplies.forEach(
-          machine -> returner.giveUp(machine, "does not take answers", nowMicros));
+          machine -> scaleIn.giveUp(machine, "does not take answers", nowMicros));
     }
   }
 
   private void checkPhase(Machine machine, Findings findings, long nowMicros) {
     switch (machine.phase()) {
-      case UNHEARD, GREETED, UP, DRAINING -> checkReports(machine, findings, nowMicros);
+      case UNKNOWN, UNCONFIRMED, UP, DRAINING -> checkReports(machine, findings, nowMicros);
       case BOOTING -> giveUpIfNeverUp(machine, nowMicros);
       case LOST -> {
         findings.lost++;
         if (unheardMicros(machine, nowMicros) > LOST_MACHINE_KEPT_MICROS) {
-          returner.giveUp(machine, "lost and not back", nowMicros);
+          scaleIn.giveUp(machine, "lost and not back", nowMicros);
         }
       }
-      case RETURNING, GONE -> {
+      case TERMINATING, GONE -> {
         // on its way already
       }
     }
@@ -213,9 +213,9 @@
 
   private void checkReports(Machine machine, Findings findings, long nowMicros) {
     boolean mayHaveRestarted =
-        machine.restartSuspicion() == RestartSuspicion.CHECKING && isSilent(machine, nowMicros);
-    if (machine.restartSuspicion() == RestartSuspicion.CONFIRMED || mayHaveRestarted) {
-      returner.giveUp(machine, "its worker restarted", nowMicros);
+        machine.restartSuspicion() == RestartCheck.CHECKING && isSilent(machine, nowMicros);
+    if (machine.restartSuspicion() == RestartCheck.CONFIRMED || mayHaveRestarted) {
+      scaleIn.giveUp(machine, "its worker restarted", nowMicros);
     } else if (isSilent(machine, nowMicros)) {
       findings.silent.add(machine);
     } else if (machine.missesReplies()) {
@@ -228,7 +228,7 @@
   private void giveUpIfNeverUp(Machine machine, long nowMicros) {
     long patience = BOOT_PATIENCE_FACTOR * machine.type().bootMicros() + BOOT_PATIENCE_MICROS;
     if (nowMicros - machine.knownSince() > patience) {
-      returner.giveUp(machine, "never came up", nowMicros);
+      scaleIn.giveUp(machine, "never came up", nowMicros);
     }
   }
 
@@ -236,7 +236,7 @@
     findings.missed = findings.missesReplies.size();
     for (Machine machine : clusterState.machines().values()) {
       boolean expected =
-          machine.phase() == MachinePhase.UNHEARD
+          machine.phase() == MachinePhase.UNKNOWN
               || machine.phase() == MachinePhase.UP
               || machine.phase() == MachinePhase.DRAINING;
       if (!expected || machine.missesReplies()) {
@@ -244,7 +244,7 @@
       }
       if (unheardMicros(machine, nowMicros) > quietAfterMicros()) {
         // What is placed there now would be bound until it is known what became of it.
-        machine.notReached();
+        machine.commandUnanswered();
         findings.missed++;
       } else {
         findings.reached++;
@@ -257,15 +257,15 @@
       clusterState.unbindAll(machine, "its lease is over", nowMicros);
       machine.markAccountedFor();
       if (few) {
-        returner.giveUp(machine, "silent, lease over", nowMicros);
+        scaleIn.giveUp(machine, "silent, lease over", nowMicros);
       } else {
         // Guards against renting a whole zone anew that is back within a minute, images and all.
         LOG.info("machine {} is lost", machine.name());
         machine.become(MachinePhase.LOST, nowMicros);
-        clusterState.touch();
+        clusterState.requestPlacement();
       }
     } else if (few) {
-      returner.giveUp(machine, "silent", nowMicros);
+      scaleIn.giveUp(machine, "silent", nowMicros);
     }
   }
 
@@ -279,12 +279,12 @@
     }
     List<Machine> unheard = new ArrayList<>();
     for (Machine machine : clusterState.machines().values()) {
-      if (machine.phase() == MachinePhase.UNHEARD) {
+      if (machine.phase() == MachinePhase.UNKNOWN) {
         unheard.add(machine);
       }
     }
     if (unheard.size() <= heard / STRAGGLERS_DIVISOR) {
-      unheard.forEach(machine -> returner.giveUp(machine, "not heard under this term", nowMicros));
+      unheard.forEach(machine -> scaleIn.giveUp(machine, "not heard under this term", nowMicros));
     }
   }
 }
--- a/src/main/java/org/dewreach/membership/RecoveryTracker.java
+++ b/src/main/java/org/dewreach/membership/RecoveryTracker.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.dewreach.autoscaling.FleetPlanner;
+import org.dewreach.autoscaling.ScalingPlanner;
 import org.dewreach.model.Job;
 import org.dewreach.model.Machine;
 import org.dewreach.placement.SortFirstFit;
@@ -23,7 +23,7 @@
   private final List<Machine> unaccounted = new ArrayList<>();
 
   /** One of them of each kind: a job that may run on one may run on all of the kind. */
-  private final Map<FleetPlanner.Kind, Machine> unaccountedKinds = new LinkedHashMap<>();
+  private final Map<ScalingPlanner.Kind, Machine> unaccountedKinds = new LinkedHashMap<>();
 
   public RecoveryTracker(ClusterState clusterState, FleetManager fleet) {
     this.clusterState = clusterState;
@@ -52,7 +52,7 @@
     unaccountedKinds.clear();
     for (Machine machine : unaccounted) {
       unaccountedKinds.putIfAbsent(
-          new FleetPlanner.Kind(machine.type(), machine.zone(), machine.spot()), machine);
+          new ScalingPlanner.Kind(machine.type(), machine.zone(), machine.spot()), machine);
     }
     return unaccounted.isEmpty();
   }
@@ -60,10 +60,10 @@
   /** True if tasks of earlier terms may run there that we do not know of. */
   private boolean mayRunUnseen(Machine machine, long nowMicros) {
     // One that is in no record was never given commands: it may be a late copy's ghost.
-    boolean open = machine.commandedBefore() && !machine.accountedFor();
+    boolean open = machine.commandedByEarlierTerm() && !machine.accountedFor();
     return switch (machine.phase()) {
-      case UNHEARD, GREETED -> open;
-      case RETURNING -> open && !fleet.leaseSurelyOver(machine, nowMicros);
+      case UNKNOWN, UNCONFIRMED -> open;
+      case TERMINATING -> open && !fleet.leaseSurelyOver(machine, nowMicros);
       case BOOTING, UP, LOST, DRAINING, GONE -> false;
     };
   }
@@ -74,7 +74,7 @@
    * these machines: services need not wait for what became of spot machines.
    */
   public boolean allSeen(Job job) {
-    return job.ofThisTerm()
+    return job.submittedThisTerm()
         || unaccountedKinds.values().stream()
             .noneMatch(machine -> SortFirstFit.permitted(job.spec(), machine));
   }
--- a/src/main/java/org/dewreach/model/Admission.java
+++ b/src/main/java/org/dewreach/model/Admission.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.dewreach.config.Settings;
 import org.dewreach.wire.JobKind;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MachineType;
 
 /** Whether a job can ever run (422 if not). */
@@ -17,12 +17,12 @@
 
   /** Why the job can never run, or null if it can. */
   public static String refusal(
-      JobRequest spec, Map<String, Settings.Team> teams, List<MachineType> catalog) {
+      JobSpec spec, Map<String, Settings.Team> teams, List<MachineType> catalog) {
     Settings.Team team = teams.get(spec.team());
     if (team == null) {
       return "unknown team";
     }
-    int together = spec.jobKind() == JobKind.SWEEP ? 1 : spec.tasks();
+    int together = spec.jobKind() == JobKind.ARRAY ? 1 : spec.tasks();
     if (spec.cpus() * together > team.cpusMax() + EPS
         || spec.gpus() * together > team.gpusMax() + EPS) {
       return "more than the team's limit";
@@ -47,7 +47,7 @@
   }
 
   /** True if a task of the job may run on an empty machine of the type. */
-  public static boolean fits(JobRequest spec, MachineType type) {
+  public static boolean fits(JobSpec spec, MachineType type) {
     return (spec.types() == null || spec.types().contains(type.name()))
         && spec.cpus() <= type.cpus() + EPS
         && spec.gpus() <= type.gpus() + EPS
--- a/src/main/java/org/dewreach/model/ImageCache.java
+++ b/src/main/java/org/dewreach/model/ImageCache.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 
 /**
  * The images that a machine has or fetches, as far as its tasks have shown.
@@ -34,7 +34,7 @@
   }
 
   /** Time until a task's image would be there, with the fetches in progress sharing the rate. */
-  long fetchMicros(JobRequest spec) {
+  long fetchMicros(JobSpec spec) {
     Image known = images.get(spec.image());
     if (known != null && known.fetched()) {
       return 0;
@@ -47,12 +47,12 @@
   }
 
   /** The image of a job is there. */
-  void fetched(JobRequest spec) {
+  void fetched(JobSpec spec) {
     images.put(spec.image(), new Image(spec.imageGb(), true));
   }
 
   /** A task needs its image; the least recently used ones make way for it. */
-  void use(JobRequest spec) {
+  void use(JobSpec spec) {
     Image known = images.remove(spec.image());
     images.put(spec.image(), known != null ? known : new Image(spec.imageGb(), false));
     double sum = 0;
--- a/src/main/java/org/dewreach/model/ResourceUsage.java
+++ b/src/main/java/org/dewreach/model/ResourceUsage.java
@@ -1,6 +1,6 @@
 package org.dewreach.model;
 
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.Priority;
 
 /** What the tasks that are bound to a machine take of it. */
@@ -23,7 +23,7 @@
   }
 
   /** A task was bound. */
-  void add(JobRequest spec) {
+  void add(JobSpec spec) {
     tasksByPriority[spec.priority().ordinal()]++;
     cpus += spec.cpus();
     gpus += spec.gpus();
@@ -31,7 +31,7 @@
   }
 
   /** A task has left. */
-  void remove(JobRequest spec) {
+  void remove(JobSpec spec) {
     tasksByPriority[spec.priority().ordinal()]--;
     cpus -= spec.cpus();
     gpus -= spec.gpus();
--- a/src/main/java/org/dewreach/model/RestartSuspicion.java
+++ b/src/main/java/org/dewreach/model/RestartCheck.java
@@ -1,7 +1,7 @@
 package org.dewreach.model;
 
 /** Whether a machine's worker may have restarted with the same name and an old count. */
-public enum RestartSuspicion {
+public enum RestartCheck {
   /** Nothing points to it. */
   NONE,
   /** A report came that is either a late copy of its first or the first of a new worker. */
--- a/src/main/java/org/dewreach/net/Node.java
+++ b/src/main/java/org/dewreach/net/Node.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
-import org.dewreach.controller.Core;
+import org.dewreach.controller.Controller;
 import org.dewreach.port.ConnectionPool;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
@@ -50,7 +50,7 @@
   private final HttpClient services;
   private final HttpClient authority;
   private final HttpClient workers;
-  private final Core core;
+  private final Controller core;
   private final Map<String, Settings.Address> members = new HashMap<>();
   private final Long2ObjectOpenHashMap<HttpServer.Reply> requests = new Long2ObjectOpenHashMap<>();
   private final long startNanos;
@@ -81,7 +81,8 @@
             + Long.toString(ProcessHandle.current().pid(), Character.MAX_RADIX)
             + "-"
             + Long.toString(startNanos, Character.MAX_RADIX);
-    this.core = new Core(settings, tuning, boot, new Random(boot.hashCode()), wallMicros - now());
+    this.core =
+        new Controller(settings, tuning, boot, new Random(boot.hashCode()), wallMicros - now());
     settings.members().forEach(member -> members.put(member.name(), member.address()));
   }
 
--- a/src/main/java/org/dewreach/placement/FreeCapacity.java
+++ b/src/main/java/org/dewreach/placement/FreeCapacity.java
@@ -1,7 +1,7 @@
 package org.dewreach.placement;
 
 import org.dewreach.model.Machine;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MachineType;
 
 /**
@@ -36,28 +36,28 @@
   }
 
   /** True if there is room for one task of the job. */
-  public boolean covers(JobRequest spec) {
+  public boolean covers(JobSpec spec) {
     return spec.cpus() <= cpus + EPS
         && spec.gpus() <= gpus + EPS
         && spec.memoryGb() <= memoryGb + EPS;
   }
 
   /** Gives back the room of one task. */
-  public void add(JobRequest spec) {
+  public void add(JobSpec spec) {
     cpus += spec.cpus();
     gpus += spec.gpus();
     memoryGb += spec.memoryGb();
   }
 
   /** Takes the room of one task, whether it is there or not. */
-  public void take(JobRequest spec) {
+  public void take(JobSpec spec) {
     cpus -= spec.cpus();
     gpus -= spec.gpus();
     memoryGb -= spec.memoryGb();
   }
 
   /** Takes room for as many tasks as fit, at most the number given, and tells how many. */
-  public int take(JobRequest spec, int most) {
+  public int take(JobSpec spec, int most) {
     int count = 0;
     while (count < most && covers(spec)) {
       take(spec);
--- a/src/main/java/org/dewreach/placement/QueueOrder.java
+++ b/src/main/java/org/dewreach/placement/QueueOrder.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 import org.dewreach.config.Settings;
 import org.dewreach.model.Job;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 
 /**
  * The order in which waiting jobs are placed: urgency, then guarantee, then what can still be in
@@ -135,7 +135,7 @@
     if (allowed < 0) {
       return new Place(job, guarantee, 1, 0);
     }
-    JobRequest spec = job.spec();
+    JobSpec spec = job.spec();
     long left = spec.expectedMicros() + START_MICROS;
     long due = job.acceptedWallMicros() + allowed;
     long graceDue = job.acceptedWallMicros() + Math.round(allowed * GRACE_FACTOR);
@@ -149,7 +149,7 @@
   }
 
   /** When the job is to be done, from its acceptance, by its owner or its class; or -1. */
-  public long allowedMicros(JobRequest spec) {
+  public long allowedMicros(JobSpec spec) {
     return spec.dueMicros() >= 0 ? spec.dueMicros() : finishWithin.getOrDefault(spec.lane(), -1L);
   }
 
--- a/src/main/java/org/dewreach/placement/Quotas.java
+++ b/src/main/java/org/dewreach/placement/Quotas.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.dewreach.config.Settings;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 
 /** What each team's bound tasks take. A task counts until it is proven gone. */
 public final class Quotas {
@@ -23,7 +23,7 @@
   }
 
   /** Adds so many tasks of the job to what its team uses; a negative number removes them. */
-  public void add(JobRequest spec, int tasks) {
+  public void add(JobSpec spec, int tasks) {
     Use use = uses.computeIfAbsent(spec.team(), name -> new Use());
     use.cpus += tasks * spec.cpus();
     use.gpus += tasks * spec.gpus();
@@ -36,7 +36,7 @@
   }
 
   /** How many more tasks of the job its team may start, at most the number asked for. */
-  public int freeCapacity(JobRequest spec, int most) {
+  public int freeCapacity(JobSpec spec, int most) {
     Settings.Team team = teams.get(spec.team());
     if (team == null) {
       return 0;
--- a/src/main/java/org/dewreach/placement/ServiceRate.java
+++ b/src/main/java/org/dewreach/placement/ServiceRate.java
@@ -1,6 +1,6 @@
 package org.dewreach.placement;
 
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 
 /**
  * How much room to keep for services that are still to come.
@@ -27,7 +27,7 @@
   }
 
   /** A service was accepted. */
-  public void arrived(JobRequest spec, long nowMicros) {
+  public void arrived(JobSpec spec, long nowMicros) {
     decay(nowMicros);
     perMicro += spec.tasks() / MEMORY_MICROS;
     largestCpus = Math.max(largestCpus, spec.cpus());
--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 import org.dewreach.model.Machine;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 
 /**
  * The list of machines, largest CPU capacity first, and the first one that covers a task.
@@ -65,7 +65,7 @@
       if (at < 0) {
         return;
       }
-      if (machine.usable()) {
+      if (machine.schedulable()) {
         freeCapacity(machine)
             .set(at, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
       } else {
@@ -84,7 +84,7 @@
     onDemandCapacity.clear(machines.size());
     for (int i = 0; i < machines.size(); i++) {
       Machine machine = machines.get(i);
-      if (machine.usable()) {
+      if (machine.schedulable()) {
         freeCapacity(machine)
             .put(i, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
       }
@@ -105,7 +105,7 @@
    * ordinary ones: only these can take the work that may not. Among machines that the rule ranks
    * equal (same CPU and memory) an image that is there already goes before the name.
    */
-  public Machine firstFit(JobRequest spec, Predicate<Machine> allowed) {
+  public Machine firstFit(JobSpec spec, Predicate<Machine> allowed) {
     if (spec.spot()) {
       Machine machine = walk(spec, spotCapacity, allowed);
       if (machine != null) {
@@ -116,12 +116,12 @@
   }
 
   /**
-   * As {@link #firstFit(JobRequest, Predicate)}, for work that is to start within some time. The
-   * paper checks the bandwidth left to a server; here it is the rate at which images are fetched: a
+   * As {@link #firstFit(JobSpec, Predicate)}, for work that is to start within some time. The paper
+   * checks the bandwidth left to a server; here it is the rate at which images are fetched: a
    * machine whose fetches would take too long is passed over while another one can start the task
    * in time, or in two or four times that.
    */
-  public Machine firstFit(JobRequest spec, Predicate<Machine> allowed, long withinMicros) {
+  public Machine firstFit(JobSpec spec, Predicate<Machine> allowed, long withinMicros) {
     for (long within = withinMicros;
         within <= MAX_WITHIN_FACTOR * withinMicros && within > 0;
         within *= 2) {
@@ -136,8 +136,7 @@
   }
 
   /** The walk along the list; the index only leaves out machines that cannot cover the task. */
-  private Machine walk(
-      JobRequest spec, FreeCapacityIndex freeCapacity, Predicate<Machine> allowed) {
+  private Machine walk(JobSpec spec, FreeCapacityIndex freeCapacity, Predicate<Machine> allowed) {
     if (stale) {
       refresh();
     }
@@ -147,7 +146,7 @@
       if (best != null && !ranksEqual(best, machine)) {
         break;
       }
-      if (machine.usable() && covers(machine, spec) && allowed.test(machine)) {
+      if (machine.schedulable() && covers(machine, spec) && allowed.test(machine)) {
         if (machine.hasImage(spec.image())) {
           return machine;
         }
@@ -159,7 +158,7 @@
     return best;
   }
 
-  private static int next(FreeCapacityIndex freeCapacity, int from, JobRequest spec) {
+  private static int next(FreeCapacityIndex freeCapacity, int from, JobSpec spec) {
     return freeCapacity.next(from, spec.cpus(), spec.memoryGb(), spec.gpus());
   }
 
@@ -169,26 +168,26 @@
   }
 
   /** True if the machine has room for one task of the job. */
-  public static boolean covers(Machine machine, JobRequest spec) {
+  public static boolean covers(Machine machine, JobSpec spec) {
     return spec.cpus() <= machine.freeCpus() + EPS
         && spec.memoryGb() <= machine.freeMemoryGb() + EPS
         && spec.gpus() <= machine.freeGpus() + EPS;
   }
 
   /** True if the job's owner allows the machine. */
-  public static boolean permitted(JobRequest spec, Machine machine) {
+  public static boolean permitted(JobSpec spec, Machine machine) {
     return permitted(spec, machine.type().name(), machine.zone(), machine.spot());
   }
 
   /** True if the job's owner allows machines of this type, zone and kind. */
-  public static boolean permitted(JobRequest spec, String type, String zone, boolean spot) {
+  public static boolean permitted(JobSpec spec, String type, String zone, boolean spot) {
     return (spec.types() == null || spec.types().contains(type))
         && (spec.zone() == null || spec.zone().equals(zone))
         && (spec.spot() || !spot);
   }
 
   /** Tasks with the same likeness fit on the same machines. */
-  public static String likeness(JobRequest spec) {
+  public static String likeness(JobSpec spec) {
     return spec.cpus()
         + "|"
         + spec.gpus()
--- a/src/main/java/org/dewreach/port/Calls.java
+++ b/src/main/java/org/dewreach/port/Outbox.java
@@ -8,7 +8,7 @@
 import org.dewreach.wire.HttpStatus;
 
 /** The core's outbox, and the calls whose replies are still to come. */
-public final class Calls {
+public final class Outbox {
   /** Takes the outcome of a call; status 0 means that none came. */
   @FunctionalInterface
   public interface ReplyHandler {
@@ -27,7 +27,7 @@
   private long lastCallId;
 
   /** Calls of a node that needs no authority. */
-  public Calls() {
+  public Outbox() {
     this(() -> Effect.ANY_TIME);
   }
 
@@ -36,7 +36,7 @@
    *
    * @param authorityUntil until when what is decided now may be told to workers and users
    */
-  public Calls(LongSupplier authorityUntil) {
+  public Outbox(LongSupplier authorityUntil) {
     this.authorityUntil = authorityUntil;
   }
 
--- a/src/main/java/org/dewreach/request/LoadLimiter.java
+++ b/src/main/java/org/dewreach/request/ConcurrencyLimiter.java
@@ -12,7 +12,7 @@
  * when they do not. It is fed with event time, so the core stays free of clocks. Health checks and
  * workers are not counted, and so never shed.
  */
-public final class LoadLimiter {
+public final class ConcurrencyLimiter {
   /** After how many seconds a user who was turned away is to ask again. */
   public static final int BUSY_RETRY_S = 2;
 
--- a/src/main/java/org/dewreach/request/CountedAnswer.java
+++ b/src/main/java/org/dewreach/request/CountingResponder.java
@@ -7,7 +7,7 @@
  *
  * @param target where the answer goes
  */
-record CountedAnswer(Answer target, RetryCounts counts) implements Answer {
+record CountingResponder(Responder target, RetryCounts counts) implements Responder {
   @Override
   public void send(int status, JsonNode body, int retryAfterS) {
     target.send(status, body, retryAfterS);
--- a/src/main/java/org/dewreach/request/JobLookup.java
+++ b/src/main/java/org/dewreach/request/JobLookup.java
@@ -6,9 +6,9 @@
 import org.dewreach.history.FinalStates;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.LeaderlessJobImporter;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.store.RateBudget;
-import org.dewreach.store.StateService;
+import org.dewreach.store.TokenBucket;
 import org.dewreach.wire.JobState;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
@@ -35,14 +35,14 @@
 
   private final ClusterState clusterState;
   private final LeaderlessJobImporter jobImporter;
-  private final StateService state;
-  private final RateBudget budget;
+  private final KeyValueStore state;
+  private final TokenBucket budget;
   private final FinalStates finalStates;
 
   JobLookup(
       ClusterState clusterState,
       LeaderlessJobImporter jobImporter,
-      StateService state,
+      KeyValueStore state,
       FinalStates finalStates,
       Settings settings) {
     this.clusterState = clusterState;
@@ -50,7 +50,7 @@
     this.state = state;
     this.finalStates = finalStates;
     double rps = settings.stateLimits().rps() * RATE_SHARE;
-    this.budget = new RateBudget(rps, rps);
+    this.budget = new TokenBucket(rps, rps);
   }
 
   /**
@@ -67,9 +67,9 @@
         Keys.newJob(id),
         (now, status, body) -> {
           if (status == 200) {
-            boolean withdrawn = body.path("data").path("off").asBoolean(false);
+            boolean cancelled = body.path("data").path("off").asBoolean(false);
             jobImporter.adopt(Keys.newJob(id), body.path("data"), body.path("stamp").asLong(), now);
-            then.onResult(new Result(withdrawn ? JobState.WITHDRAWN : JobState.PENDING, 0));
+            then.onResult(new Result(cancelled ? JobState.CANCELLED : JobState.PENDING, 0));
           } else if (status != 404) {
             unknown.accept(RetryReason.READ_FAILED);
           } else if (clusterState.jobs().containsKey(id)) {
--- a/src/main/java/org/dewreach/request/JobRequestHandler.java
+++ b/src/main/java/org/dewreach/request/JobRequestHandler.java
@@ -13,10 +13,10 @@
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.JobRecordWriter;
 import org.dewreach.state.LeaderlessJobImporter;
-import org.dewreach.state.MachineCatalog;
-import org.dewreach.store.StateService;
+import org.dewreach.state.MachineTypeCatalog;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.wire.Codec;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.JobState;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
@@ -26,59 +26,59 @@
 public final class JobRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(JobRequestHandler.class);
 
-  /** Users wait 5 s; halts that are heard at all take less than this. A default of this project. */
+  /** Users wait 5 s; stops that are heard at all take less than this. A default of this project. */
   private static final long HALT_MICROS = 1_500_000;
 
   private final ClusterState clusterState;
   private final JobRecordWriter recordWriter;
   private final JobLookup lookup;
   private final FinalStates finalStates;
-  private final MachineCatalog catalog;
+  private final MachineTypeCatalog catalog;
   private final Settings settings;
   private final long wallOffsetMicros;
-  private final Map<String, List<Answer>> awaitingAcceptance = new HashMap<>();
-  private final Map<String, List<Answer>> awaitingWithdrawal = new HashMap<>();
-  private final AwaitedEnds awaitedEnds;
+  private final Map<String, List<Responder>> awaitingAcceptance = new HashMap<>();
+  private final Map<String, List<Responder>> awaitingCancellation = new HashMap<>();
+  private final PendingQueries awaitedEnds;
 
   public JobRequestHandler(
       ClusterState clusterState,
       JobRecordWriter recordWriter,
       LeaderlessJobImporter jobImporter,
-      StateService state,
+      KeyValueStore state,
       FinalStates finalStates,
-      MachineCatalog catalog,
+      MachineTypeCatalog catalog,
       Settings settings,
       long wallOffsetMicros) {
     this.clusterState = clusterState;
     this.recordWriter = recordWriter;
     this.lookup = new JobLookup(clusterState, jobImporter, state, finalStates, settings);
     this.finalStates = finalStates;
-    this.awaitedEnds = new AwaitedEnds(recordWriter);
+    this.awaitedEnds = new PendingQueries(recordWriter);
     this.catalog = catalog;
     this.settings = settings;
     this.wallOffsetMicros = wallOffsetMicros;
   }
 
-  public void handle(UserRequest request, Answer answer, long nowMicros) {
+  public void handle(UserRequest request, Responder answer, long nowMicros) {
     if (request instanceof UserRequest.Submit submit) {
       submit(submit, answer, nowMicros);
     } else if (request instanceof UserRequest.Query query) {
       query(query.jobId(), answer, nowMicros);
-    } else if (request instanceof UserRequest.Withdraw withdraw) {
-      withdraw(withdraw.jobId(), answer, nowMicros);
+    } else if (request instanceof UserRequest.Cancel cancel) {
+      cancel(cancel.jobId(), answer, nowMicros);
     }
   }
 
-  private void submit(UserRequest.Submit submit, Answer answer, long nowMicros) {
+  private void submit(UserRequest.Submit submit, Responder answer, long nowMicros) {
     String id = submit.jobId();
     Job known = clusterState.jobs().get(id);
     if (known != null) {
       submitKnown(submit, known, answer, nowMicros);
       return;
     }
-    JobRequest spec;
+    JobSpec spec;
     try {
-      spec = JobRequest.parse(submit.body());
+      spec = JobSpec.parse(submit.body());
     } catch (MalformedException e) {
       unlessKnown(id, answer, 400, e.getMessage(), nowMicros);
       return;
@@ -96,7 +96,7 @@
       unlessKnown(id, answer, 422, refusal, nowMicros);
       return;
     }
-    Job job = new Job(spec, nowMicros + wallOffsetMicros, true, JobPhase.ACCEPTING);
+    Job job = new Job(spec, nowMicros + wallOffsetMicros, true, JobPhase.PERSISTING);
     clusterState.jobs().put(id, job);
     await(awaitingAcceptance, id, answer);
     if (!recordWriter.accept(job, nowMicros, () -> knownAlready(job, nowMicros))) {
@@ -106,9 +106,9 @@
   }
 
   /** A repeat of a job that the cluster state has. */
-  private void submitKnown(UserRequest.Submit submit, Job known, Answer answer, long nowMicros) {
+  private void submitKnown(UserRequest.Submit submit, Job known, Responder answer, long nowMicros) {
     String id = known.id();
-    if (known.phase() == JobPhase.ACCEPTING) {
+    if (known.phase() == JobPhase.PERSISTING) {
       await(awaitingAcceptance, id, answer);
     } else if (isEnding(known)) {
       awaitedEnds.await(
@@ -122,7 +122,7 @@
     }
   }
 
-  private static void sendState(Job job, Answer answer) {
+  private static void sendState(Job job, Responder answer) {
     answer.send(200, job.jobState().answer(job.id()), 0);
   }
 
@@ -132,12 +132,12 @@
    */
   private void knownAlready(Job job, long nowMicros) {
     clusterState.jobs().remove(job.id());
-    List<Answer> answers = awaitingAcceptance.remove(job.id());
+    List<Responder> answers = awaitingAcceptance.remove(job.id());
     if (answers != null) {
       lookup.find(
           job.id(),
           found -> {
-            for (Answer answer : answers) {
+            for (Responder answer : answers) {
               if (found == null) {
                 answer.later(RetryReason.BEING_ACCEPTED);
               } else {
@@ -151,7 +151,7 @@
   }
 
   /** A repeat of a job that is known is answered with its state, whatever it would be now. */
-  private void unlessKnown(String id, Answer answer, int status, String why, long nowMicros) {
+  private void unlessKnown(String id, Responder answer, int status, String why, long nowMicros) {
     lookup.find(
         id,
         found -> {
@@ -169,20 +169,20 @@
         nowMicros);
   }
 
-  private static void await(Map<String, List<Answer>> waiting, String id, Answer answer) {
+  private static void await(Map<String, List<Responder>> waiting, String id, Responder answer) {
     waiting.computeIfAbsent(id, key -> new ArrayList<>(1)).add(answer);
   }
 
-  /** True while a write that ends the job has no outcome: {@link AwaitedEnds} answers then. */
+  /** True while a write that ends the job has no outcome: {@link PendingQueries} answers then. */
   private static boolean isEnding(Job job) {
-    return job.phase() == JobPhase.WITHDRAWING
-        || job.phase() == JobPhase.FINISHING && job.finalState() == JobState.DONE;
+    return job.phase() == JobPhase.CANCEL_COMMITTING
+        || job.phase() == JobPhase.FINALIZING && job.finalState() == JobState.DONE;
   }
 
-  private void query(String id, Answer answer, long nowMicros) {
+  private void query(String id, Responder answer, long nowMicros) {
     Job job = clusterState.jobs().get(id);
     if (job != null) {
-      if (job.phase() == JobPhase.ACCEPTING) {
+      if (job.phase() == JobPhase.PERSISTING) {
         answer.later(RetryReason.BEING_ACCEPTED);
       } else if (isEnding(job)) {
         awaitedEnds.await(
@@ -212,43 +212,43 @@
         nowMicros);
   }
 
-  private static void sendStateAndCounts(Job job, Answer answer) {
+  private static void sendStateAndCounts(Job job, Responder answer) {
     answer.send(200, job.jobState().answer(job.id(), job.doneCount(), job.running()), 0);
   }
 
-  private void withdraw(String id, Answer answer, long nowMicros) {
+  private void cancel(String id, Responder answer, long nowMicros) {
     Job job = clusterState.jobs().get(id);
     if (job == null) {
-      withdrawUnknown(id, answer, nowMicros);
+      cancelUnknown(id, answer, nowMicros);
       return;
     }
     switch (job.phase()) {
-      case ACCEPTING -> answer.later(RetryReason.BEING_ACCEPTED);
-      case WITHDRAWN -> answer.send(200, JobState.WITHDRAWN.answer(id), 0);
-      case FINISHING, OVER -> {
-        if (job.finalState() == JobState.WITHDRAWN) {
-          answer.send(200, JobState.WITHDRAWN.answer(id), 0);
+      case PERSISTING -> answer.later(RetryReason.BEING_ACCEPTED);
+      case CANCELLED -> answer.send(200, JobState.CANCELLED.answer(id), 0);
+      case FINALIZING, ENDED -> {
+        if (job.finalState() == JobState.CANCELLED) {
+          answer.send(200, JobState.CANCELLED.answer(id), 0);
         } else {
-          await(awaitingWithdrawal, id, answer);
+          await(awaitingCancellation, id, answer);
         }
       }
-      case HALTING -> {
-        if (haltsLong(job, nowMicros)) {
+      case CANCEL_REQUESTED -> {
+        if (stopsLong(job, nowMicros)) {
           answer.later(RetryReason.TASKS_NOT_GONE);
         } else {
-          await(awaitingWithdrawal, id, answer);
+          await(awaitingCancellation, id, answer);
         }
       }
-      case WITHDRAWING -> await(awaitingWithdrawal, id, answer);
-      case LIVE -> {
-        await(awaitingWithdrawal, id, answer);
+      case CANCEL_COMMITTING -> await(awaitingCancellation, id, answer);
+      case ACTIVE -> {
+        await(awaitingCancellation, id, answer);
         halt(job, nowMicros);
       }
     }
   }
 
   /** A job that the cluster state does not have: over, accepted without us, or none. */
-  private void withdrawUnknown(String id, Answer answer, long nowMicros) {
+  private void cancelUnknown(String id, Responder answer, long nowMicros) {
     lookup.find(
         id,
         found -> {
@@ -267,13 +267,13 @@
   }
 
   private void halt(Job job, long nowMicros) {
-    job.become(JobPhase.HALTING);
-    job.withdrawAskedAt(nowMicros);
+    job.become(JobPhase.CANCEL_REQUESTED);
+    job.cancelRequestedAt(nowMicros);
     // At once, not with the next reports, and also while nothing can be written: its user is
     // told when they are gone.
     List.copyOf(job.bound().values())
         .forEach(task -> clusterState.stop(task, "to be withdrawn", nowMicros));
-    clusterState.touch();
+    clusterState.requestPlacement();
     recordWriter.pump(job, nowMicros);
   }
 
@@ -284,24 +284,24 @@
   public void tick(long nowMicros) {
     if (recordWriter.stalled(nowMicros)) {
       sendBackAll(awaitingAcceptance, RetryReason.WRITES_STALLED);
-      sendBackAll(awaitingWithdrawal, RetryReason.WRITES_STALLED);
+      sendBackAll(awaitingCancellation, RetryReason.WRITES_STALLED);
     }
     awaitedEnds.tick(nowMicros);
   }
 
-  private static boolean haltsLong(Job job, long nowMicros) {
-    return nowMicros - job.withdrawAskedAt() > HALT_MICROS;
+  private static boolean stopsLong(Job job, long nowMicros) {
+    return nowMicros - job.cancelRequestedAt() > HALT_MICROS;
   }
 
   /** Its tasks cannot be stopped just now: its user is to ask again. */
-  public void onHalting(Job job, long nowMicros) {
-    if (haltsLong(job, nowMicros)) {
-      sendBack(awaitingWithdrawal, job.id(), RetryReason.TASKS_NOT_GONE);
+  public void onCancelRequested(Job job, long nowMicros) {
+    if (stopsLong(job, nowMicros)) {
+      sendBack(awaitingCancellation, job.id(), RetryReason.TASKS_NOT_GONE);
     }
   }
 
   public void onAccepted(Job job) {
-    // One that was accepted without us may have been withdrawn without us too.
+    // One that was accepted without us may have been cancelled without us too.
     answerAll(awaitingAcceptance, job.id(), 201, job.jobState());
   }
 
@@ -313,20 +313,20 @@
     sendBack(awaitingAcceptance, id, RetryReason.BEING_ACCEPTED);
   }
 
-  public void onWithdrawn(Job job) {
-    answerAll(awaitingWithdrawal, job.id(), 200, JobState.WITHDRAWN);
+  public void onCancelled(Job job) {
+    answerAll(awaitingCancellation, job.id(), 200, JobState.CANCELLED);
     awaitedEnds.onEnd(job.id());
   }
 
-  public void onOver(Job job) {
+  public void onEnded(Job job) {
     finalStates.ended(job.id(), new FinalState(job.finalState(), job.doneCount()));
-    answerAll(awaitingWithdrawal, job.id(), 200, job.finalState());
+    answerAll(awaitingCancellation, job.id(), 200, job.finalState());
     awaitedEnds.onEnd(job.id());
   }
 
   private static void answerAll(
-      Map<String, List<Answer>> waiting, String id, int status, JobState jobState) {
-    List<Answer> answers = waiting.remove(id);
+      Map<String, List<Responder>> waiting, String id, int status, JobState jobState) {
+    List<Responder> answers = waiting.remove(id);
     if (answers != null) {
       answers.forEach(answer -> answer.send(status, jobState.answer(id), 0));
     }
@@ -335,16 +335,17 @@
   /** The term is over: users are told to come back. */
   public void close() {
     sendBackAll(awaitingAcceptance, RetryReason.NO_AUTHORITY);
-    sendBackAll(awaitingWithdrawal, RetryReason.NO_AUTHORITY);
+    sendBackAll(awaitingCancellation, RetryReason.NO_AUTHORITY);
     awaitedEnds.close();
   }
 
-  private static void sendBackAll(Map<String, List<Answer>> waiting, RetryReason reason) {
+  private static void sendBackAll(Map<String, List<Responder>> waiting, RetryReason reason) {
     List.copyOf(waiting.keySet()).forEach(id -> sendBack(waiting, id, reason));
   }
 
-  private static void sendBack(Map<String, List<Answer>> waiting, String id, RetryReason reason) {
-    List<Answer> answers = waiting.remove(id);
+  private static void sendBack(
+      Map<String, List<Responder>> waiting, String id, RetryReason reason) {
+    List<Responder> answers = waiting.remove(id);
     if (answers != null) {
       answers.forEach(answer -> answer.later(reason));
     }
--- a/src/main/java/org/dewreach/request/LeaderDiscovery.java
+++ b/src/main/java/org/dewreach/request/LeaderDiscovery.java
@@ -5,7 +5,7 @@
 import org.dewreach.leadership.DelegateRenewer;
 import org.dewreach.leadership.Election;
 import org.dewreach.peer.Forwarded;
-import org.dewreach.port.Calls;
+import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
 
 /** Asks the other nodes who leads while the state service does not tell. */
@@ -20,7 +20,7 @@
   /** Longer than a watch of the leader key stays open without an answer. */
   private static final long STATE_SILENT_MICROS = 10_000_000;
 
-  private final Calls calls;
+  private final Outbox outbox;
   private final Settings settings;
   private final Election election;
   private final DelegateRenewer delegateRenewer;
@@ -29,8 +29,8 @@
   private int nextPeer;
 
   public LeaderDiscovery(
-      Calls calls, Settings settings, Election election, DelegateRenewer delegateRenewer) {
-    this.calls = calls;
+      Outbox outbox, Settings settings, Election election, DelegateRenewer delegateRenewer) {
+    this.outbox = outbox;
     this.settings = settings;
     this.election = election;
     this.delegateRenewer = delegateRenewer;
@@ -54,7 +54,7 @@
     }
     askPeersAt = nowMicros + ASK_PEERS_INTERVAL_MICROS;
     Settings.Member member = settings.members().get(nextPeer++ % settings.members().size());
-    calls.call(
+    outbox.call(
         new Target.Member(member.name()),
         "GET",
         Forwarded.LEADER_PATH,
--- a/src/main/java/org/dewreach/request/LeaderForwarder.java
+++ b/src/main/java/org/dewreach/request/LeaderForwarder.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import org.dewreach.peer.Forwarded;
-import org.dewreach.port.Calls;
 import org.dewreach.port.Event;
+import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
 
 /** Forwards users' requests to the leader; serves them without it if it does not answer. */
@@ -30,15 +30,15 @@
   /** After a request that no leader took, the other nodes are asked who leads. */
   private static final long LEADER_DOUBT_MICROS = 3_000_000;
 
-  private final Calls calls;
+  private final Outbox outbox;
   private final LeaderlessRequestHandler direct;
   private String askedLeader;
   private long leaderAnsweredAt;
   private long pausedUntil;
   private long doubtUntil;
 
-  public LeaderForwarder(Calls calls, LeaderlessRequestHandler direct) {
-    this.calls = calls;
+  public LeaderForwarder(Outbox outbox, LeaderlessRequestHandler direct) {
+    this.outbox = outbox;
     this.direct = direct;
   }
 
@@ -46,7 +46,7 @@
    * True if the request is not to be forwarded just now, as it can be served without the leader.
    */
   public boolean paused(UserRequest request, long nowMicros) {
-    return !(request instanceof UserRequest.Withdraw) && nowMicros < pausedUntil;
+    return !(request instanceof UserRequest.Cancel) && nowMicros < pausedUntil;
   }
 
   /** True for a while after a request that no leader took. */
@@ -56,13 +56,13 @@
 
   /** Sends the request to the leader, whose answer becomes the user's. */
   public void forward(
-      String leader, Event.Request request, UserRequest parsed, Answer answer, long nowMicros) {
+      String leader, Event.Request request, UserRequest parsed, Responder answer, long nowMicros) {
     if (!leader.equals(askedLeader)) {
       // A new leader is taken to be alive.
       askedLeader = leader;
       leaderAnsweredAt = nowMicros;
     }
-    calls.call(
+    outbox.call(
         new Target.Member(leader),
         "POST",
         Forwarded.PATH,
@@ -75,11 +75,11 @@
     if (!(request instanceof UserRequest.Submit)) {
       return FORWARD_TIMEOUT_MICROS;
     }
-    boolean doubtful = nowMicros - leaderAnsweredAt > RECENT_REPLY_MICROS;
-    return doubtful ? FORWARD_SUBMIT_TIMEOUT_MICROS : SLOW_SUBMIT_TIMEOUT_MICROS;
+    boolean suspect = nowMicros - leaderAnsweredAt > RECENT_REPLY_MICROS;
+    return suspect ? FORWARD_SUBMIT_TIMEOUT_MICROS : SLOW_SUBMIT_TIMEOUT_MICROS;
   }
 
-  private void onReply(UserRequest request, Answer answer, long at, int status, JsonNode body) {
+  private void onReply(UserRequest request, Responder answer, long at, int status, JsonNode body) {
     int given = status == 200 && body != null ? body.path("status").asInt(503) : 503;
     boolean busy = status == 200 && Forwarded.isBusy(body);
     if (given != 503 || busy) {
@@ -87,7 +87,7 @@
     }
     if (busy) {
       // It leads, and has more to do than it can: going round it would not help.
-      answer.send(503, null, LoadLimiter.BUSY_RETRY_S);
+      answer.send(503, null, ConcurrencyLimiter.BUSY_RETRY_S);
     } else if (given != 503) {
       JsonNode inner = body.get("body");
       boolean empty = inner == null || inner.isNull();
--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -8,15 +8,15 @@
 import org.dewreach.history.FinalStates;
 import org.dewreach.model.Admission;
 import org.dewreach.state.JobRecord;
-import org.dewreach.state.MachineCatalog;
-import org.dewreach.store.Change;
+import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.store.CommitQueue;
-import org.dewreach.store.Condition;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.store.RateBudget;
-import org.dewreach.store.StateService;
+import org.dewreach.store.Mutation;
+import org.dewreach.store.Precondition;
+import org.dewreach.store.TokenBucket;
 import org.dewreach.wire.HttpStatus;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.JobState;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
@@ -26,7 +26,7 @@
  * Answers users straight from the state service, for when no leader can be asked.
  *
  * <p>Reading is always safe. A new job is written under a key of its own, from which only a leader
- * takes it over, in one transaction; so it needs no leader to be accepted or withdrawn, and nobody
+ * takes it over, in one transaction; so it needs no leader to be accepted or cancelled, and nobody
  * starts it before. Other jobs are changed by leaders alone.
  */
 public final class LeaderlessRequestHandler {
@@ -39,21 +39,21 @@
    */
   private static final double STATE_RATE_SHARE = 0.25;
 
-  private final StateService state;
+  private final KeyValueStore state;
   private final FinalStates finalStates;
-  private final MachineCatalog catalog;
+  private final MachineTypeCatalog catalog;
   private final Settings settings;
   private final String boot;
   private final long wallOffsetMicros;
-  private final RateBudget reads;
-  private final RateBudget writes;
+  private final TokenBucket reads;
+  private final TokenBucket writes;
   private long lastWrite;
   private long now;
 
   public LeaderlessRequestHandler(
-      StateService state,
+      KeyValueStore state,
       FinalStates finalStates,
-      MachineCatalog catalog,
+      MachineTypeCatalog catalog,
       Settings settings,
       String boot,
       long wallOffsetMicros) {
@@ -65,12 +65,12 @@
     this.wallOffsetMicros = wallOffsetMicros;
     double rps = settings.stateLimits().rps() * STATE_RATE_SHARE;
     double writeRps = settings.stateLimits().writeRps() * STATE_RATE_SHARE;
-    this.reads = new RateBudget(rps, rps);
-    this.writes = new RateBudget(writeRps, writeRps);
+    this.reads = new TokenBucket(rps, rps);
+    this.writes = new TokenBucket(writeRps, writeRps);
   }
 
   /** Answers queries by reading, and writes what no leader has taken over yet. */
-  public void handle(UserRequest request, Answer answer) {
+  public void handle(UserRequest request, Responder answer) {
     // Renewals of the lead come first: polls in a bad moment must not use up the rate.
     boolean writing = request instanceof UserRequest.Submit;
     boolean admitted = writing ? writes.tryTake(now) : reads.available(now) >= 1;
@@ -86,19 +86,15 @@
           () -> answer.send(404, null, 0));
     } else if (request instanceof UserRequest.Submit submit) {
       submit(submit, answer);
-    } else if (request instanceof UserRequest.Withdraw withdraw) {
-      read(
-          withdraw.jobId(),
-          answer,
-          found -> withdraw(found, answer),
-          () -> answer.send(404, null, 0));
+    } else if (request instanceof UserRequest.Cancel cancel) {
+      read(cancel.jobId(), answer, found -> cancel(found, answer), () -> answer.send(404, null, 0));
     }
   }
 
   /** A job as found in the state service, under the key given: not over if it has a record. */
   private record Found(
       String key, String id, JobRecord live, long stamp, JobState jobState, int done) {
-    void send(Answer answer, boolean counts) {
+    void send(Responder answer, boolean counts) {
       answer.send(200, counts ? jobState.answer(id, done, 0) : jobState.answer(id), 0);
     }
   }
@@ -122,14 +118,15 @@
    * <p>Guards against the requests that reach a controller while it stands still: each was counted
    * as one read and took up to four, so all at once were more than the state service allows.
    */
-  private void read(String id, Answer answer, Then then, Runnable absent) {
+  private void read(String id, Responder answer, Then then, Runnable absent) {
     List<String> keys = keysToRead(id);
     reads.take(now, keys.size());
     readFirst(keys, id, answer, then, absent);
   }
 
   /** Reads the first of the keys, and the rest of them if it does not exist. */
-  private void readFirst(List<String> keys, String id, Answer answer, Then then, Runnable absent) {
+  private void readFirst(
+      List<String> keys, String id, Responder answer, Then then, Runnable absent) {
     if (keys.isEmpty()) {
       absent.run();
       return;
@@ -152,7 +149,7 @@
         });
   }
 
-  private void decode(String key, String id, JsonNode body, Answer answer, Then then) {
+  private void decode(String key, String id, JsonNode body, Responder answer, Then then) {
     try {
       boolean isFinal = key.equals(Keys.over(id));
       then.on(isFinal ? foundFinal(key, id, body) : foundLive(key, id, body));
@@ -177,14 +174,14 @@
         id,
         job,
         body.path("stamp").asLong(),
-        job.withdrawn() ? JobState.WITHDRAWN : jobState,
+        job.cancelled() ? JobState.CANCELLED : jobState,
         done);
   }
 
-  private void submit(UserRequest.Submit submit, Answer answer) {
-    JobRequest spec;
+  private void submit(UserRequest.Submit submit, Responder answer) {
+    JobSpec spec;
     try {
-      spec = JobRequest.parse(submit.body());
+      spec = JobSpec.parse(submit.body());
     } catch (MalformedException e) {
       unlessKnown(submit.jobId(), answer, () -> answer.send(400, null, 0));
       return;
@@ -199,21 +196,21 @@
   }
 
   /** A repeat of a job that is known is answered with its state, whatever it would be now. */
-  private void unlessKnown(String id, Answer answer, Runnable otherwise) {
+  private void unlessKnown(String id, Responder answer, Runnable otherwise) {
     read(id, answer, found -> found.send(answer, false), otherwise);
   }
 
-  private void create(JobRequest spec, Answer answer) {
+  private void create(JobSpec spec, Responder answer) {
     String id = spec.id();
     // The time of acceptance is only used for ordering; a node's wall clock is good enough.
     var data = JobRecord.encode(spec, wallMicros(), false, new BitSet());
     data.put(CommitQueue.MARK, mark());
     state.commit(
         List.of(
-            new Condition(Keys.newJob(id), 0),
-            new Condition(Keys.job(id), 0),
-            new Condition(Keys.over(id), 0)),
-        List.of(new Change(Keys.newJob(id), data)),
+            new Precondition(Keys.newJob(id), 0),
+            new Precondition(Keys.job(id), 0),
+            new Precondition(Keys.over(id), 0)),
+        List.of(new Mutation(Keys.newJob(id), data)),
         0,
         TIMEOUT_MICROS,
         (now, status, body) -> {
@@ -228,8 +225,8 @@
         });
   }
 
-  private void withdraw(Found found, Answer answer) {
-    if (found.live() == null || found.live().withdrawn()) {
+  private void cancel(Found found, Responder answer) {
+    if (found.live() == null || found.live().cancelled()) {
       found.send(answer, false);
       return;
     }
@@ -242,13 +239,13 @@
     var data = JobRecord.encode(live.spec(), live.acceptedWallMicros(), true, live.done());
     data.put(CommitQueue.MARK, mark());
     state.commit(
-        List.of(new Condition(found.key(), found.stamp())),
-        List.of(new Change(found.key(), data)),
+        List.of(new Precondition(found.key(), found.stamp())),
+        List.of(new Mutation(found.key(), data)),
         0,
         TIMEOUT_MICROS,
         (now, status, body) -> {
           if (status == 200) {
-            answer.send(200, JobState.WITHDRAWN.answer(found.id()), 0);
+            answer.send(200, JobState.CANCELLED.answer(found.id()), 0);
           } else {
             answer.later(RetryReason.WRITE_NOT_CONFIRMED);
           }
--- a/src/main/java/org/dewreach/request/AwaitedEnds.java
+++ b/src/main/java/org/dewreach/request/PendingQueries.java
@@ -19,7 +19,7 @@
  * against telling an older state than another node has told: it may have read the new record while
  * the response to our write was still on its way.
  */
-final class AwaitedEnds {
+final class PendingQueries {
   /** Users wait 2 s, and a node that forwards a question 1.2 s. A default of this project. */
   private static final long MAX_WAIT_MICROS = 1_000_000;
 
@@ -30,17 +30,17 @@
    * @param askAgain answers once the end is durable
    */
   private record Question(
-      Job job, Answer answer, Runnable tellLastState, Runnable askAgain, long sinceMicros) {}
+      Job job, Responder answer, Runnable tellLastState, Runnable askAgain, long sinceMicros) {}
 
   private final JobRecordWriter recordWriter;
   private final Map<String, List<Question>> waiting = new HashMap<>();
 
-  AwaitedEnds(JobRecordWriter recordWriter) {
+  PendingQueries(JobRecordWriter recordWriter) {
     this.recordWriter = recordWriter;
   }
 
   /** Answers once the job's end is durable, or after a moment without it. */
-  void await(Job job, Answer answer, Runnable tellLastState, Runnable askAgain, long nowMicros) {
+  void await(Job job, Responder answer, Runnable tellLastState, Runnable askAgain, long nowMicros) {
     Question question = new Question(job, answer, tellLastState, askAgain, nowMicros);
     if (recordWriter.stalled(nowMicros)) {
       answerWithoutEnd(question);
--- a/src/main/java/org/dewreach/request/Answer.java
+++ b/src/main/java/org/dewreach/request/Responder.java
@@ -4,7 +4,7 @@
 
 /** Where the answer to a user's request goes, whichever node took the request. */
 @FunctionalInterface
-public interface Answer {
+public interface Responder {
   void send(int status, JsonNode body, int retryAfterS);
 
   /** Tells the user to come back. */
--- a/src/main/java/org/dewreach/request/UserRequest.java
+++ b/src/main/java/org/dewreach/request/UserRequest.java
@@ -13,5 +13,5 @@
   record Query(String jobId) implements UserRequest {}
 
   /** POST /work/{id}/abort. */
-  record Withdraw(String jobId) implements UserRequest {}
+  record Cancel(String jobId) implements UserRequest {}
 }
--- a/src/main/java/org/dewreach/request/UserLoad.java
+++ b/src/main/java/org/dewreach/request/UserRequestLimits.java
@@ -13,21 +13,21 @@
  * as long as requests that wait for writes fill the limit, as after an outage or while more jobs
  * come than can be written.
  */
-public final class UserLoad {
-  private static final Logger LOG = LoggerFactory.getLogger(UserLoad.class);
+public final class UserRequestLimits {
+  private static final Logger LOG = LoggerFactory.getLogger(UserRequestLimits.class);
 
   /** Submissions and cancellations, which wait for writes. */
-  private final LoadLimiter changes = new LoadLimiter();
+  private final ConcurrencyLimiter changes = new ConcurrencyLimiter();
 
-  private final LoadLimiter questions = new LoadLimiter();
+  private final ConcurrencyLimiter questions = new ConcurrencyLimiter();
   private final RetryCounts retries = new RetryCounts();
   private final LongSupplier nowMicros;
 
-  public UserLoad(LongSupplier nowMicros) {
+  public UserRequestLimits(LongSupplier nowMicros) {
     this.nowMicros = nowMicros;
   }
 
-  private LoadLimiter limiterOf(UserRequest request) {
+  private ConcurrencyLimiter limiterOf(UserRequest request) {
     return request instanceof UserRequest.Query ? questions : changes;
   }
 
@@ -41,15 +41,15 @@
   }
 
   /** Counts the request as in progress until it is answered; what is sent goes to the target. */
-  public Answer enter(UserRequest request, Answer target) {
-    LoadLimiter limiter = limiterOf(request);
-    LoadLimiter.Entry entry = limiter.enter(nowMicros.getAsLong());
-    Answer leaving =
+  public Responder enter(UserRequest request, Responder target) {
+    ConcurrencyLimiter limiter = limiterOf(request);
+    ConcurrencyLimiter.Entry entry = limiter.enter(nowMicros.getAsLong());
+    Responder leaving =
         (status, body, retryAfterS) -> {
           limiter.leave(entry, status, nowMicros.getAsLong());
           target.send(status, body, retryAfterS);
         };
-    return new CountedAnswer(leaving, retries);
+    return new CountingResponder(leaving, retries);
   }
 
   /** Logs what operators want to know from time to time. */
--- a/src/main/java/org/dewreach/request/UserRequestParser.java
+++ b/src/main/java/org/dewreach/request/UserRequestParser.java
@@ -1,7 +1,7 @@
 package org.dewreach.request;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 
 /** Maps the method and path of a user's HTTP request to a typed request. */
 public final class UserRequestParser {
@@ -28,14 +28,14 @@
       return new UserRequest.Query(rest);
     }
     if (method.equals("POST") && rest.endsWith(WITHDRAW_SUFFIX)) {
-      return new UserRequest.Withdraw(rest.substring(0, rest.length() - WITHDRAW_SUFFIX.length()));
+      return new UserRequest.Cancel(rest.substring(0, rest.length() - WITHDRAW_SUFFIX.length()));
     }
     return null;
   }
 
   private static String validId(JsonNode body) {
     JsonNode uid = body == null ? null : body.get("uid");
-    boolean valid = uid != null && uid.isTextual() && JobRequest.isId(uid.textValue());
+    boolean valid = uid != null && uid.isTextual() && JobSpec.isId(uid.textValue());
     return valid ? uid.textValue() : null;
   }
 }
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -16,7 +16,7 @@
 import org.dewreach.placement.SortFirstFit;
 import org.dewreach.state.ClusterState;
 import org.dewreach.wire.JobKind;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.Priority;
 import org.dewreach.wire.TaskName;
 
@@ -40,7 +40,7 @@
     this.clusterState = clusterState;
   }
 
-  public void evictIdleConnection(List<Dispatcher.Waiting> waiting, long nowMicros) {
+  public void evictIdleConnection(List<TaskPlacer.Waiting> waiting, long nowMicros) {
     if (waiting.isEmpty() || nowMicros < nextAt) {
       return;
     }
@@ -50,8 +50,8 @@
     Set<Task> chosen = new LinkedHashSet<>();
     // What found no room will find none for another task of the same size and places either.
     Set<String> hopeless = new HashSet<>();
-    for (Dispatcher.Waiting item : waiting) {
-      JobRequest spec = item.job().spec();
+    for (TaskPlacer.Waiting item : waiting) {
+      JobSpec spec = item.job().spec();
       boolean alone = spec.jobKind() != JobKind.GANG && !spec.together() && !spec.scatter();
       if (!alone || least == null || !spec.priority().above(least)) {
         continue;
@@ -71,7 +71,7 @@
       clusterState.stop(task, "room for more urgent work", nowMicros);
     }
     if (!chosen.isEmpty()) {
-      clusterState.touch();
+      clusterState.requestPlacement();
     }
   }
 
@@ -89,17 +89,17 @@
   /** Sets room for one task aside, choosing tasks to stop where it needs them. */
   private boolean find(
       Job job, Map<Machine, FreeCapacity> freeCapacities, Set<Task> chosen, long nowMicros) {
-    JobRequest spec = job.spec();
+    JobSpec spec = job.spec();
     // Machines that placement would pass over must not lose tasks for nothing, pass after pass.
     TaskName next = new TaskName(job.id(), Math.max(0, job.nextPending()));
     // On ordinary machines such work also leaves room for services, which stopping does not make.
-    boolean spotOnly = Dispatcher.yields(spec);
+    boolean spotOnly = TaskPlacer.yields(spec);
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : clusterState.list().machines()) {
-      if (machine.usable()
+      if (machine.schedulable()
           && SortFirstFit.permitted(spec, machine)
           && (machine.spot() || !spotOnly)
-          && !Dispatcher.refusedLately(machine, nowMicros)
+          && !TaskPlacer.refusedLately(machine, nowMicros)
           && !job.suspects(nowMicros).contains(machine.name())
           && !machine.directCommands().hadStart(next)) {
         FreeCapacity freeCapacity = freeCapacities.computeIfAbsent(machine, Preemption::withFreed);
@@ -137,7 +137,7 @@
 
   /** The fewest, latest started of the machine's less urgent tasks that make room, or none. */
   private static List<Task> victims(
-      Machine machine, JobRequest spec, FreeCapacity freeCapacity, Set<Task> chosen) {
+      Machine machine, JobSpec spec, FreeCapacity freeCapacity, Set<Task> chosen) {
     List<Task> less = new ArrayList<>();
     for (Task task : machine.tasks()) {
       if (spec.priority().above(task.spec().priority())
--- a/src/main/java/org/dewreach/scheduling/ServiceMover.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
@@ -8,13 +8,13 @@
 import org.dewreach.placement.SortFirstFit;
 import org.dewreach.state.ClusterState;
 import org.dewreach.wire.JobKind;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 
 /**
  * Moves services off machines that would otherwise be kept for one or two of them. Each move costs
  * about a second of a replica's time, so only a small share of all replicas' time is spent.
  */
-public final class ServiceMover {
+public final class ServiceMigrator {
   private static final double MAX_MOVES_SAVED = 2;
 
   /** A service that began lately is not moved. A default of this project. */
@@ -27,7 +27,7 @@
   private final long roundIntervalMicros;
   private double moveBudget;
 
-  public ServiceMover(ClusterState clusterState, Tuning tuning, long roundIntervalMicros) {
+  public ServiceMigrator(ClusterState clusterState, Tuning tuning, long roundIntervalMicros) {
     this.clusterState = clusterState;
     this.tuning = tuning;
     this.roundIntervalMicros = roundIntervalMicros;
@@ -45,14 +45,14 @@
       if (moveBudget < 1) {
         return;
       }
-      if (!machine.retiring() || machine.phase() != MachinePhase.UP) {
+      if (!machine.cordoned() || machine.phase() != MachinePhase.UP) {
         continue;
       }
       Task movable = movable(machine, nowMicros);
       if (movable != null) {
         moveBudget -= 1;
         clusterState.stop(movable, "moved, so that its machine can be returned", nowMicros);
-        clusterState.touch();
+        clusterState.requestPlacement();
       }
     }
   }
@@ -81,7 +81,7 @@
     if (found == null) {
       return null;
     }
-    JobRequest spec = found.spec();
+    JobSpec spec = found.spec();
     Machine target =
         clusterState
             .list()
