--- a/src/main/java/org/dewreach/scheduling/Consolidation.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -13,7 +13,7 @@
 import org.dewreach.placement.SortFirstFit;
 import org.dewreach.state.ClusterState;
 import org.dewreach.wire.JobKind;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -22,8 +22,8 @@
  * a few long ones. A move costs the saving and a start, so it is made only for tasks with far more
  * than that left to run.
  */
-public final class Consolidation {
-  private static final Logger LOG = LoggerFactory.getLogger(Consolidation.class);
+public final class TaskConsolidator {
+  private static final Logger LOG = LoggerFactory.getLogger(TaskConsolidator.class);
 
   /** From placement to running, without an image fetch. A default of this project. */
   private static final long START_MICROS = 4_000_000;
@@ -36,7 +36,7 @@
 
   private final ClusterState clusterState;
 
-  public Consolidation(ClusterState clusterState) {
+  public TaskConsolidator(ClusterState clusterState) {
     this.clusterState = clusterState;
   }
 
@@ -54,21 +54,21 @@
         targets.add(target);
         clusterState.stop(
             movable, "moved with its progress, so that its machine can be returned", nowMicros);
-        clusterState.touch();
+        clusterState.requestPlacement();
       }
     }
   }
 
   /** Machines that run empty, fewest tasks first: so each move frees the most machines. */
   private List<Machine> emptiestFirst() {
-    List<Machine> retiring = new ArrayList<>();
+    List<Machine> cordoned = new ArrayList<>();
     for (Machine machine : clusterState.machines().values()) {
-      if (machine.retiring() && machine.phase() == MachinePhase.UP) {
-        retiring.add(machine);
+      if (machine.cordoned() && machine.phase() == MachinePhase.UP) {
+        cordoned.add(machine);
       }
     }
-    retiring.sort(Comparator.comparingInt(machine -> machine.tasks().size()));
-    return retiring;
+    cordoned.sort(Comparator.comparingInt(machine -> machine.tasks().size()));
+    return cordoned;
   }
 
   /** A task worth moving, of a machine that has only such tasks and services; or null. */
@@ -85,17 +85,17 @@
   }
 
   private static boolean worthMoving(Task task, long nowMicros) {
-    JobRequest spec = task.spec();
+    JobSpec spec = task.spec();
     long ran = nowMicros - task.startedAt();
     return task.phase() == TaskPhase.RUNNING
-        && spec.jobKind() == JobKind.SWEEP
+        && spec.jobKind() == JobKind.ARRAY
         && spec.checkpointMicros() > 0
         && spec.expectedMicros() - ran > WORTH_MOVING * (spec.saveMicros() + START_MICROS);
   }
 
   /** Where the task could start at once, or null. */
   private Machine target(Task task, Set<Machine> taken) {
-    JobRequest spec = task.spec();
+    JobSpec spec = task.spec();
     Machine machine =
         clusterState
             .list()
@@ -106,10 +106,10 @@
   /**
    * Work that leaves room to services on ordinary machines is sure of its room on spot ones only.
    */
-  private static boolean startsAtOnce(JobRequest spec, Machine machine) {
+  private static boolean startsAtOnce(JobSpec spec, Machine machine) {
     return SortFirstFit.permitted(spec, machine)
         && machine.fetchMicros(spec) == 0
-        && (machine.spot() || !Dispatcher.yields(spec));
+        && (machine.spot() || !TaskPlacer.yields(spec));
   }
 
   /**
@@ -119,19 +119,19 @@
    * few tasks that have no room anywhere else.
    */
   private Machine keepOneFor(Task task) {
-    JobRequest spec = task.spec();
-    List<Machine> retiring = emptiestFirst();
-    Collections.reverse(retiring);
-    for (Machine machine : retiring) {
+    JobSpec spec = task.spec();
+    List<Machine> cordoned = emptiestFirst();
+    Collections.reverse(cordoned);
+    for (Machine machine : cordoned) {
       if (machine.tasks().size() < task.machine().tasks().size()) {
         return null;
       }
       if (machine != task.machine()
-          && machine.usableOnceKept()
+          && machine.schedulableOnceUncordoned()
           && SortFirstFit.covers(machine, spec)
           && startsAtOnce(spec, machine)) {
         LOG.info("machine {} is kept for tasks of others", machine.name());
-        machine.retiring(false);
+        machine.cordoned(false);
         clusterState.list().changed(machine);
         return machine;
       }
--- a/src/main/java/org/dewreach/scheduling/Dispatcher.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -18,11 +18,11 @@
 import org.dewreach.placement.SortFirstFit;
 import org.dewreach.state.ClusterState;
 import org.dewreach.wire.JobKind;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.TaskName;
 
 /** Walks the queue and places what fits. A job that does not fit does not stop those behind it. */
-public final class Dispatcher {
+public final class TaskPlacer {
   private static final long REFUSAL_PAUSE_MICROS = 3_000_000;
 
   /** Tasks of a job that are passed over, each for its earlier direct start, for one that fits. */
@@ -58,7 +58,7 @@
   /** True if what was placed last would have found room but for a task's earlier direct start. */
   private boolean barred;
 
-  public Dispatcher(
+  public TaskPlacer(
       ClusterState clusterState,
       QueueOrder order,
       List<Settings.Objective> objectives,
@@ -123,7 +123,7 @@
         boolean gang = job.spec().jobKind() == JobKind.GANG;
         int most = gang ? freeCapacity : Math.min(freeCapacity, MAX_PLACED - placed);
         // Guards against replicas that need each other's zone and lost it late: never one alone.
-        boolean one = job.doubtful() || QueueOrder.toBegin(job, nowMicros + wallOffsetMicros);
+        boolean one = job.suspect() || QueueOrder.toBegin(job, nowMicros + wallOffsetMicros);
         if (one && !whole(job)) {
           most = 1;
         }
@@ -131,7 +131,7 @@
         placed += started;
       }
       // Nothing is rented, and nobody stopped, for a job that fails everywhere.
-      if (started < freeCapacity && !job.doubtful()) {
+      if (started < freeCapacity && !job.suspect()) {
         if (started == 0 && !barred) {
           full.add(likeness(job, nowMicros));
         }
@@ -140,7 +140,7 @@
     }
     reserved.forEach((job, unseen) -> clusterState.quotas().add(job.spec(), -unseen));
     if (placed >= MAX_PLACED) {
-      clusterState.touch();
+      clusterState.requestPlacement();
     }
     return waiting;
   }
@@ -153,14 +153,14 @@
    * that met two faulty machines: its other tasks do not wait until one of them has completed.
    */
   private static boolean onTrial(Job job, long nowMicros) {
-    return job.doubtful()
+    return job.suspect()
         && job.bound().values().stream()
             .anyMatch(task -> nowMicros - task.boundAt() < TRIAL_MICROS);
   }
 
   /** Jobs with the same likeness fit on the same machines. */
   private String likeness(Job job, long nowMicros) {
-    JobRequest spec = job.spec();
+    JobSpec spec = job.spec();
     boolean special = spec.together() || spec.scatter() || spec.jobKind() == JobKind.GANG;
     if (special || !job.suspects(nowMicros).isEmpty() || keptFrom(job, nowMicros)) {
       return job.id();
@@ -184,13 +184,13 @@
    * the others wait; the same holds for a service whose replicas need each other's zone.
    */
   private static boolean whole(Job job) {
-    JobRequest spec = job.spec();
+    JobSpec spec = job.spec();
     return spec.jobKind() == JobKind.GANG
         || spec.together() && spec.jobKind() == JobKind.SERVICE && job.bound().isEmpty();
   }
 
   private int place(Job job, int freeCapacity, long nowMicros) {
-    JobRequest spec = job.spec();
+    JobSpec spec = job.spec();
     int wanted = job.pending();
     boolean whole = whole(job);
     barred = false;
@@ -230,7 +230,7 @@
   }
 
   private List<Task> fit(Job job, int count, String zone, long nowMicros) {
-    JobRequest spec = job.spec();
+    JobSpec spec = job.spec();
     int most = spec.scatter() ? (spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
     Predicate<Machine> allowed = allowed(job, nowMicros);
     if (zone != null) {
@@ -283,7 +283,7 @@
   }
 
   /** True for work that leaves room for services to come on ordinary machines. */
-  static boolean yields(JobRequest spec) {
+  static boolean yields(JobSpec spec) {
     return spec.jobKind() != JobKind.SERVICE && spec.spot();
   }
 
--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -29,7 +29,7 @@
   private final SortFirstFit list = new SortFirstFit();
   private final Quotas quotas;
   private final ServiceRate services;
-  private final Set<Machine> toCommand = new LinkedHashSet<>();
+  private final Set<Machine> machinesToCommand = new LinkedHashSet<>();
   private long lastAttempt;
   private boolean changed = true;
 
@@ -56,8 +56,8 @@
   }
 
   /** Machines with tasks that were assigned or told to stop lately. */
-  public Set<Machine> toCommand() {
-    return toCommand;
+  public Set<Machine> machinesToCommand() {
+    return machinesToCommand;
   }
 
   public ServiceRate services() {
@@ -68,7 +68,7 @@
   public double freeCpus(boolean spot) {
     double free = 0;
     for (Machine machine : list.machines()) {
-      if (machine.spot() == spot && machine.usable()) {
+      if (machine.spot() == spot && machine.schedulable()) {
         free += machine.freeCpus();
       }
     }
@@ -76,11 +76,11 @@
   }
 
   /** Room or demand changed: placement should look again. */
-  public void touch() {
+  public void requestPlacement() {
     changed = true;
   }
 
-  public boolean takeChanged() {
+  public boolean pollPlacementRequested() {
     boolean was = changed;
     changed = false;
     return was;
@@ -105,7 +105,7 @@
     machine.bind(task);
     list.changed(machine);
     if (phase == TaskPhase.ASSIGNED) {
-      toCommand.add(machine);
+      machinesToCommand.add(machine);
     }
     quotas.add(job.spec(), 1);
     LOG.debug("task {} attempt {} bound to {} as {}", task.name(), attempt, machine.name(), phase);
@@ -144,7 +144,7 @@
     LOG.info("machine {} is gone: {}", machine.name(), why);
     machine.become(MachinePhase.GONE, nowMicros);
     machines.remove(machine.name());
-    toCommand.remove(machine);
+    machinesToCommand.remove(machine);
     list.remove(machine);
     changed = true;
   }
@@ -164,7 +164,7 @@
       case STARTING, PULLING, RUNNING -> {
         LOG.debug("task {} to stop on {}: {}", task.name(), task.machine().name(), why);
         task.become(TaskPhase.STOPPING, nowMicros);
-        toCommand.add(task.machine());
+        machinesToCommand.add(task.machine());
       }
       case STOPPING, GONE -> {
         // on its way already
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -6,8 +6,8 @@
 import org.dewreach.model.JobPhase;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.store.StateService;
 import org.dewreach.wire.MachineType;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
@@ -31,10 +31,10 @@
     }
   }
 
-  private final StateService state;
+  private final KeyValueStore state;
   private final ClusterState clusterState;
-  private final FleetRegister register;
-  private final MachineCatalog catalog;
+  private final MachineRegistry registry;
+  private final MachineTypeCatalog catalog;
   private final long wallOffsetMicros;
   private Phase phase = Phase.MACHINES;
   private String after;
@@ -43,15 +43,15 @@
   private boolean closed;
 
   public ClusterStateLoader(
-      StateService state,
+      KeyValueStore state,
       ClusterState clusterState,
-      FleetRegister register,
-      MachineCatalog catalog,
+      MachineRegistry registry,
+      MachineTypeCatalog catalog,
       long wallOffsetMicros) {
     this.wallOffsetMicros = wallOffsetMicros;
     this.state = state;
     this.clusterState = clusterState;
-    this.register = register;
+    this.registry = registry;
     this.catalog = catalog;
   }
 
@@ -107,17 +107,17 @@
     } catch (NumberFormatException e) {
       throw new MalformedException("no number of a page");
     }
-    register.loadedPage(number, entry.path("stamp").asLong());
-    for (FleetRegister.Entry saved : FleetRegister.read(entry.path("data"))) {
+    registry.loadedPage(number, entry.path("stamp").asLong());
+    for (MachineRegistry.Entry saved : MachineRegistry.read(entry.path("data"))) {
       if (!clusterState.machines().containsKey(saved.name())) {
         Machine machine = machine(saved, nowMicros);
         clusterState.add(machine);
-        register.loaded(number, machine);
+        registry.loaded(number, machine);
       }
     }
   }
 
-  private Machine machine(FleetRegister.Entry saved, long nowMicros) {
+  private Machine machine(MachineRegistry.Entry saved, long nowMicros) {
     MachineType type = catalog.type(saved.type());
     if (type == null) {
       // Not rented any more: no room to offer, but its tasks are real.
@@ -130,7 +130,7 @@
             type,
             saved.zone(),
             saved.spot(),
-            saved.marked() ? MachinePhase.UNHEARD : MachinePhase.BOOTING,
+            saved.marked() ? MachinePhase.UNKNOWN : MachinePhase.BOOTING,
             nowMicros);
     machine.recorded(saved.marked());
     machine.knownSince(Math.min(nowMicros, saved.sinceWallMicros() - wallOffsetMicros));
@@ -144,7 +144,7 @@
             saved.spec(),
             saved.acceptedWallMicros(),
             false,
-            saved.withdrawn() ? JobPhase.WITHDRAWN : JobPhase.LIVE);
+            saved.cancelled() ? JobPhase.CANCELLED : JobPhase.ACTIVE);
     job.stamp(entry.path("stamp").asLong());
     job.restore(saved.done());
     clusterState.jobs().put(job.id(), job);
--- a/src/main/java/org/dewreach/state/JobRecord.java
+++ b/src/main/java/org/dewreach/state/JobRecord.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.BitSet;
 import org.dewreach.store.CommitQueue;
-import org.dewreach.wire.JobRequest;
+import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MalformedException;
 
 /**
@@ -14,7 +14,7 @@
  * What does not fit is left out: a task that is run again exits as done once it has its image, so
  * only a little work is lost with it.
  */
-public record JobRecord(JobRequest spec, long acceptedWallMicros, boolean withdrawn, BitSet done) {
+public record JobRecord(JobSpec spec, long acceptedWallMicros, boolean cancelled, BitSet done) {
   /** 12 Ki bits are 3 KiB in hexadecimal: with the description well within a value. */
   private static final int MAX_BITS = 12 * 1024;
 
@@ -23,11 +23,11 @@
 
   /** The record of a job that is not over. */
   public static ObjectNode encode(
-      JobRequest spec, long acceptedWallMicros, boolean withdrawn, BitSet done) {
+      JobSpec spec, long acceptedWallMicros, boolean cancelled, BitSet done) {
     ObjectNode node = CommitQueue.value();
     node.set("job", spec.toNode());
     node.put("at", acceptedWallMicros);
-    if (withdrawn) {
+    if (cancelled) {
       node.put("off", true);
     }
     int low = done.nextClearBit(0);
@@ -70,7 +70,7 @@
    * @throws MalformedException if the description in it cannot be read
    */
   public static JobRecord decode(JsonNode node) throws MalformedException {
-    JobRequest spec = JobRequest.parse(node.path("job"));
+    JobSpec spec = JobSpec.parse(node.path("job"));
     BitSet done = new BitSet();
     int low = node.path("low").asInt(0);
     done.set(0, low);
--- a/src/main/java/org/dewreach/state/JobRecordWriter.java
+++ b/src/main/java/org/dewreach/state/JobRecordWriter.java
@@ -8,11 +8,11 @@
 import org.dewreach.history.FinalState;
 import org.dewreach.model.Job;
 import org.dewreach.model.JobPhase;
-import org.dewreach.store.Change;
 import org.dewreach.store.CommitQueue;
-import org.dewreach.store.Condition;
+import org.dewreach.store.ConditionalWrite;
 import org.dewreach.store.Keys;
-import org.dewreach.store.Write;
+import org.dewreach.store.Mutation;
+import org.dewreach.store.Precondition;
 import org.dewreach.wire.JobState;
 
 /**
@@ -29,9 +29,9 @@
   public interface Listener {
     void onAccepted(Job job, long nowMicros);
 
-    void onWithdrawn(Job job, long nowMicros);
+    void onCancelled(Job job, long nowMicros);
 
-    void onOver(Job job, long nowMicros);
+    void onEnded(Job job, long nowMicros);
 
     /** Machines were marked, so that they may be given commands. */
     void onMarked(long nowMicros);
@@ -50,9 +50,9 @@
   private final Listener listener;
 
   /** For each job whose end is to be written, that write; until its outcome is known. */
-  private final Map<String, Write> ends = new HashMap<>();
+  private final Map<String, ConditionalWrite> ends = new HashMap<>();
 
-  private boolean mayFinishWithdrawn;
+  private boolean mayFinalizeCancelled;
 
   public JobRecordWriter(CommitQueue queue, Gate gate, Listener listener) {
     this.queue = queue;
@@ -61,11 +61,11 @@
   }
 
   /**
-   * Until every machine was heard, a withdrawn job of an earlier term may still run somewhere: its
+   * Until every machine was heard, a cancelled job of an earlier term may still run somewhere: its
    * record has to stay, or those tasks would be counted for no team.
    */
-  public void allowFinishingWithdrawn() {
-    mayFinishWithdrawn = true;
+  public void allowFinalizingCancelled() {
+    mayFinalizeCancelled = true;
   }
 
   /** True while nothing can be made durable. */
@@ -78,7 +78,7 @@
    * may have read it then. Otherwise the last durable state is the current one.
    */
   public boolean endInDoubt(Job job) {
-    Write end = ends.get(job.id());
+    ConditionalWrite end = ends.get(job.id());
     return end != null && queue.inDoubt(end);
   }
 
@@ -87,27 +87,27 @@
    *
    * @param stamp of the record as read: if it changed since, the job is looked at again
    */
-  boolean adopt(Job job, long stamp, boolean withdrawn, long nowMicros, Runnable onChanged) {
+  boolean adopt(Job job, long stamp, boolean cancelled, long nowMicros, Runnable onChanged) {
     job.writing(true);
-    Change put =
-        new Change(
+    Mutation put =
+        new Mutation(
             Keys.job(job.id()),
-            JobRecord.encode(job.spec(), job.acceptedWallMicros(), withdrawn, job.done()));
+            JobRecord.encode(job.spec(), job.acceptedWallMicros(), cancelled, job.done()));
     return queue.add(
         nowMicros,
-        new Write(
+        new ConditionalWrite(
             List.of(
-                new Condition(Keys.newJob(job.id()), stamp),
-                new Condition(Keys.job(job.id()), 0),
-                new Condition(Keys.over(job.id()), 0)),
-            List.of(put, new Change(Keys.newJob(job.id()), null)),
+                new Precondition(Keys.newJob(job.id()), stamp),
+                new Precondition(Keys.job(job.id()), 0),
+                new Precondition(Keys.over(job.id()), 0)),
+            List.of(put, new Mutation(Keys.newJob(job.id()), null)),
             true,
             (now, outcome, revision) -> {
               job.writing(false);
               switch (outcome) {
                 case WRITTEN -> {
                   job.stamp(revision);
-                  job.become(withdrawn ? JobPhase.WITHDRAWN : JobPhase.LIVE);
+                  job.become(cancelled ? JobPhase.CANCELLED : JobPhase.ACTIVE);
                   listener.onAccepted(job, now);
                   pump(job, now);
                 }
@@ -122,18 +122,18 @@
   /** Writes a new job; false if the queue is full. */
   public boolean accept(Job job, long nowMicros, Runnable onKnownAlready) {
     job.writing(true);
-    List<Condition> conditions =
+    List<Precondition> conditions =
         List.of(
-            new Condition(Keys.newJob(job.id()), 0),
-            new Condition(Keys.job(job.id()), 0),
-            new Condition(Keys.over(job.id()), 0));
-    Change put =
-        new Change(
+            new Precondition(Keys.newJob(job.id()), 0),
+            new Precondition(Keys.job(job.id()), 0),
+            new Precondition(Keys.over(job.id()), 0));
+    Mutation put =
+        new Mutation(
             Keys.job(job.id()),
             JobRecord.encode(job.spec(), job.acceptedWallMicros(), false, job.done()));
     return queue.add(
         nowMicros,
-        new Write(
+        new ConditionalWrite(
             conditions,
             List.of(put),
             true,
@@ -142,7 +142,7 @@
               switch (outcome) {
                 case WRITTEN -> {
                   job.stamp(revision);
-                  job.become(JobPhase.LIVE);
+                  job.become(JobPhase.ACTIVE);
                   listener.onAccepted(job, now);
                   pump(job, now);
                 }
@@ -160,22 +160,22 @@
       return;
     }
     switch (job.phase()) {
-      case HALTING -> {
+      case CANCEL_REQUESTED -> {
         if (job.complete()) {
           finish(job, nowMicros);
         } else if (gate.goneInTime(job, nowMicros)) {
-          job.become(JobPhase.WITHDRAWING);
-          job.withdrawnAt(nowMicros);
+          job.become(JobPhase.CANCEL_COMMITTING);
+          job.cancelledAt(nowMicros);
           write(job, true, true, nowMicros);
         }
       }
-      case WITHDRAWING -> write(job, true, true, nowMicros);
-      case WITHDRAWN -> {
-        if (job.bound().isEmpty() && (job.ofThisTerm() || mayFinishWithdrawn)) {
+      case CANCEL_COMMITTING -> write(job, true, true, nowMicros);
+      case CANCELLED -> {
+        if (job.bound().isEmpty() && (job.submittedThisTerm() || mayFinalizeCancelled)) {
           finish(job, nowMicros);
         }
       }
-      case LIVE -> {
+      case ACTIVE -> {
         if (job.complete()) {
           finish(job, nowMicros);
         } else if (nowMicros - job.progressAt() >= PROGRESS_INTERVAL_MICROS
@@ -184,23 +184,23 @@
           write(job, false, false, nowMicros);
         }
       }
-      case ACCEPTING, FINISHING, OVER -> {
+      case PERSISTING, FINALIZING, ENDED -> {
         // nothing to write
       }
     }
   }
 
-  private void write(Job job, boolean withdrawn, boolean urgent, long nowMicros) {
+  private void write(Job job, boolean cancelled, boolean urgent, long nowMicros) {
     BitSet snapshot = (BitSet) job.done().clone();
-    Change put =
-        new Change(
+    Mutation put =
+        new Mutation(
             Keys.job(job.id()),
-            JobRecord.encode(job.spec(), job.acceptedWallMicros(), withdrawn, snapshot));
+            JobRecord.encode(job.spec(), job.acceptedWallMicros(), cancelled, snapshot));
     job.writing(true);
     job.progressAt(nowMicros);
-    Write write =
-        new Write(
-            List.of(new Condition(Keys.job(job.id()), job.stamp())),
+    ConditionalWrite write =
+        new ConditionalWrite(
+            List.of(new Precondition(Keys.job(job.id()), job.stamp())),
             List.of(put),
             urgent,
             (now, outcome, revision) -> {
@@ -209,9 +209,9 @@
                 case WRITTEN -> {
                   job.stamp(revision);
                   job.durable(JobRecord.kept(snapshot));
-                  if (withdrawn) {
-                    job.become(JobPhase.WITHDRAWN);
-                    listener.onWithdrawn(job, now);
+                  if (cancelled) {
+                    job.become(JobPhase.CANCELLED);
+                    listener.onCancelled(job, now);
                   }
                   pump(job, now);
                 }
@@ -221,7 +221,7 @@
                 }
               }
             });
-    if (withdrawn) {
+    if (cancelled) {
       ends.put(job.id(), write);
     }
     if (!queue.add(nowMicros, write)) {
@@ -236,25 +236,25 @@
   }
 
   private void finish(Job job, long nowMicros) {
-    boolean withdrawn = job.phase() == JobPhase.WITHDRAWN;
-    JobState jobState = withdrawn ? JobState.WITHDRAWN : JobState.DONE;
-    List<Change> changes = new ArrayList<>();
+    boolean cancelled = job.phase() == JobPhase.CANCELLED;
+    JobState jobState = cancelled ? JobState.CANCELLED : JobState.DONE;
+    List<Mutation> changes = new ArrayList<>();
     FinalState finalState = new FinalState(jobState, job.doneCount());
-    changes.add(new Change(Keys.over(job.id()), finalState.encode()));
-    changes.add(new Change(Keys.job(job.id()), null));
-    Write write =
-        new Write(
+    changes.add(new Mutation(Keys.over(job.id()), finalState.encode()));
+    changes.add(new Mutation(Keys.job(job.id()), null));
+    ConditionalWrite write =
+        new ConditionalWrite(
             List.of(
-                new Condition(Keys.job(job.id()), job.stamp()),
-                new Condition(Keys.over(job.id()), 0)),
+                new Precondition(Keys.job(job.id()), job.stamp()),
+                new Precondition(Keys.over(job.id()), 0)),
             changes,
-            !withdrawn,
+            !cancelled,
             (now, outcome, revision) -> {
               decided(job);
               switch (outcome) {
                 case WRITTEN -> {
-                  job.become(JobPhase.OVER);
-                  listener.onOver(job, now);
+                  job.become(JobPhase.ENDED);
+                  listener.onEnded(job, now);
                 }
                 case CONFLICT -> listener.onBroken(job.id() + " changed by somebody", now);
                 case UNKNOWN -> {
@@ -263,7 +263,7 @@
               }
             });
     job.writing(true);
-    job.become(JobPhase.FINISHING);
+    job.become(JobPhase.FINALIZING);
     ends.put(job.id(), write);
     if (!queue.add(nowMicros, write)) {
       listener.onBroken("write queue full", nowMicros);
--- a/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
+++ b/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 import org.dewreach.model.Job;
 import org.dewreach.model.JobPhase;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.store.StateService;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -31,7 +31,7 @@
     READING
   }
 
-  private final StateService state;
+  private final KeyValueStore state;
   private final ClusterState clusterState;
   private final JobRecordWriter recordWriter;
   private final Consumer<String> onNotTakenOver;
@@ -49,7 +49,7 @@
    * @param onNotTakenOver told each job that is not taken over after all, or not yet
    */
   public LeaderlessJobImporter(
-      StateService state,
+      KeyValueStore state,
       ClusterState clusterState,
       JobRecordWriter recordWriter,
       Consumer<String> onNotTakenOver) {
@@ -145,10 +145,10 @@
       // Being accepted or taken over here: if that meets the new record, it is looked at again.
       return;
     }
-    Job job = new Job(saved.spec(), saved.acceptedWallMicros(), true, JobPhase.ACCEPTING);
+    Job job = new Job(saved.spec(), saved.acceptedWallMicros(), true, JobPhase.PERSISTING);
     clusterState.jobs().put(id, job);
     boolean taken =
-        recordWriter.adopt(job, stamp, saved.withdrawn(), nowMicros, () -> again(job, nowMicros));
+        recordWriter.adopt(job, stamp, saved.cancelled(), nowMicros, () -> again(job, nowMicros));
     if (!taken) {
       again(job, nowMicros + RETRY_MICROS);
     }
--- a/src/main/java/org/dewreach/state/FleetRegister.java
+++ b/src/main/java/org/dewreach/state/MachineRegistry.java
@@ -11,11 +11,11 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.dewreach.model.Machine;
-import org.dewreach.store.Change;
 import org.dewreach.store.CommitQueue;
-import org.dewreach.store.Condition;
+import org.dewreach.store.ConditionalWrite;
 import org.dewreach.store.Keys;
-import org.dewreach.store.Write;
+import org.dewreach.store.Mutation;
+import org.dewreach.store.Precondition;
 
 /**
  * The durable list of machines that a later leader has to wait for, many to a record.
@@ -26,7 +26,7 @@
  * a minute. Each record is conditional on its own stamp, so a late copy of an earlier form, which
  * lacks machines, is never applied.
  */
-public final class FleetRegister {
+public final class MachineRegistry {
   /**
    * Marks gathered before a write: a machine waits this long for its first command. A default of
    * this project.
@@ -72,7 +72,7 @@
   private final Map<Integer, Page> pages = new TreeMap<>();
   private final Map<Machine, Page> pageOf = new HashMap<>();
 
-  public FleetRegister(
+  public MachineRegistry(
       CommitQueue queue, int valueBytes, long wallOffsetMicros, JobRecordWriter.Listener listener) {
     this.queue = queue;
     this.pageBytes = (int) (valueBytes * MAX_FILL_SHARE);
@@ -181,9 +181,9 @@
     boolean taken =
         queue.add(
             nowMicros,
-            new Write(
-                List.of(new Condition(Keys.machines(page.number), page.stamp)),
-                List.of(new Change(Keys.machines(page.number), value)),
+            new ConditionalWrite(
+                List.of(new Precondition(Keys.machines(page.number), page.stamp)),
+                List.of(new Mutation(Keys.machines(page.number), value)),
                 urgent,
                 (now, outcome, revision) -> written(page, marks, outcome, revision, now)));
     if (!taken) {
@@ -193,7 +193,11 @@
   }
 
   private void written(
-      Page page, Set<Machine> marks, Write.Outcome outcome, long revision, long nowMicros) {
+      Page page,
+      Set<Machine> marks,
+      ConditionalWrite.Outcome outcome,
+      long revision,
+      long nowMicros) {
     page.writing = false;
     switch (outcome) {
       case WRITTEN -> {
--- a/src/main/java/org/dewreach/state/MachineCatalog.java
+++ b/src/main/java/org/dewreach/state/MachineTypeCatalog.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
-import org.dewreach.cloud.CloudService;
+import org.dewreach.cloud.CloudClient;
+import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
-import org.dewreach.store.StateService;
 import org.dewreach.wire.MachineType;
 import org.dewreach.wire.MalformedException;
 import org.slf4j.Logger;
@@ -14,20 +14,20 @@
  * The machine types. The leader asks the cloud and leaves a copy in the state service, so that a
  * node that starts while the cloud is down can still judge submissions.
  */
-public final class MachineCatalog {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineCatalog.class);
+public final class MachineTypeCatalog {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
   private static final long REFRESH_MICROS = 60_000_000;
   private static final long RETRY_MICROS = 2_000_000;
 
-  private final StateService state;
-  private final CloudService cloud;
+  private final KeyValueStore state;
+  private final CloudClient cloud;
   private List<MachineType> types = List.of();
   private boolean asking;
   private boolean triedStore;
   private boolean fromCloud;
   private long nextAsk;
 
-  public MachineCatalog(StateService state, CloudService cloud) {
+  public MachineTypeCatalog(KeyValueStore state, CloudClient cloud) {
     this.state = state;
     this.cloud = cloud;
   }
--- a/src/main/java/org/dewreach/store/CommitQueue.java
+++ b/src/main/java/org/dewreach/store/CommitQueue.java
@@ -54,18 +54,18 @@
     PAUSED
   }
 
-  private final StateService state;
-  private final Condition leader;
+  private final KeyValueStore state;
+  private final Precondition leader;
   private final int txnOps;
-  private final RateBudget budget;
+  private final TokenBucket budget;
   private final Runnable onLeaderLost;
-  private final Deque<Write> urgent = new ArrayDeque<>();
-  private final Deque<Write> relaxed = new ArrayDeque<>();
+  private final Deque<ConditionalWrite> urgent = new ArrayDeque<>();
+  private final Deque<ConditionalWrite> relaxed = new ArrayDeque<>();
 
   private Phase phase = Phase.IDLE;
   private boolean closed;
   private long pausedUntil;
-  private List<Write> batch = List.of();
+  private List<ConditionalWrite> batch = List.of();
   private boolean unsure;
 
   /** So many writes are still to be sent one at a time. */
@@ -84,7 +84,11 @@
    * @param onLeaderLost called when the leader key turns out to be another's
    */
   public CommitQueue(
-      StateService state, Condition leader, int txnOps, RateBudget budget, Runnable onLeaderLost) {
+      KeyValueStore state,
+      Precondition leader,
+      int txnOps,
+      TokenBucket budget,
+      Runnable onLeaderLost) {
     this.state = state;
     this.leader = leader;
     this.txnOps = txnOps;
@@ -112,13 +116,13 @@
    * of it got no answer. A write that waits, or that the service answered as not executed, is
    * certainly not applied.
    */
-  public boolean inDoubt(Write write) {
+  public boolean inDoubt(ConditionalWrite write) {
     boolean undecided = unsure || phase == Phase.SENT || phase == Phase.CHECKING;
     return undecided && batch.stream().anyMatch(sent -> sent == write);
   }
 
   /** False if the queue is full or closed; the write was not taken then. */
-  public boolean add(long nowMicros, Write write) {
+  public boolean add(long nowMicros, ConditionalWrite write) {
     if (closed || urgent.size() + relaxed.size() >= MAX_WAITING) {
       return false;
     }
@@ -138,14 +142,14 @@
       return;
     }
     closed = true;
-    List<Write> left = new ArrayList<>(batch);
+    List<ConditionalWrite> left = new ArrayList<>(batch);
     left.addAll(urgent);
     left.addAll(relaxed);
     batch = List.of();
     urgent.clear();
     relaxed.clear();
-    for (Write write : left) {
-      write.done().on(nowMicros, Write.Outcome.UNKNOWN, 0);
+    for (ConditionalWrite write : left) {
+      write.done().on(nowMicros, ConditionalWrite.Outcome.UNKNOWN, 0);
     }
   }
 
@@ -175,8 +179,8 @@
     mark = leader.stamp() + "." + (++lastMark);
     unsure = false;
     batchSince = nowMicros;
-    for (Write write : batch) {
-      for (Change change : write.changes()) {
+    for (ConditionalWrite write : batch) {
+      for (Mutation change : write.changes()) {
         if (change.data() != null) {
           change.data().put(MARK, mark);
         }
@@ -185,14 +189,14 @@
     send(nowMicros);
   }
 
-  private List<Write> gather(int room) {
-    List<Write> gathered = new ArrayList<>();
+  private List<ConditionalWrite> gather(int room) {
+    List<ConditionalWrite> gathered = new ArrayList<>();
     int ops = 0;
     int conditions = 1;
     int bytes = 0;
-    for (Deque<Write> queue : List.of(urgent, relaxed)) {
+    for (Deque<ConditionalWrite> queue : List.of(urgent, relaxed)) {
       while (!queue.isEmpty()) {
-        Write next = queue.peek();
+        ConditionalWrite next = queue.peek();
         int size = size(next);
         boolean fits =
             ops + next.changes().size() <= room
@@ -215,19 +219,19 @@
     return gathered;
   }
 
-  private static int size(Write write) {
+  private static int size(ConditionalWrite write) {
     int bytes = OVERHEAD_BYTES;
-    for (Change change : write.changes()) {
+    for (Mutation change : write.changes()) {
       bytes += OVERHEAD_BYTES + (change.data() == null ? 0 : Codec.write(change.data()).length * 2);
     }
     return bytes;
   }
 
   private void send(long nowMicros) {
-    List<Condition> conditions = new ArrayList<>();
+    List<Precondition> conditions = new ArrayList<>();
     conditions.add(leader);
-    List<Change> changes = new ArrayList<>();
-    for (Write write : batch) {
+    List<Mutation> changes = new ArrayList<>();
+    for (ConditionalWrite write : batch) {
       conditions.addAll(write.conditions());
       changes.addAll(write.changes());
     }
@@ -253,8 +257,9 @@
           // Guards against one write that the service refuses taking others with it.
           LOG.warn("state service refuses a transaction with {}: trying each write alone", status);
           alone = batch.size();
-          for (Iterator<Write> it = new ArrayDeque<>(batch).descendingIterator(); it.hasNext(); ) {
-            Write write = it.next();
+          for (Iterator<ConditionalWrite> it = new ArrayDeque<>(batch).descendingIterator();
+              it.hasNext(); ) {
+            ConditionalWrite write = it.next();
             (write.urgent() ? urgent : relaxed).addFirst(write);
           }
           batch = List.of();
@@ -264,10 +269,10 @@
         }
         // A transaction that the service calls malformed would block the queue for ever.
         LOG.error("state service refuses a transaction with {}: dropping {}", status, batch);
-        List<Write> dropped = batch;
+        List<ConditionalWrite> dropped = batch;
         batch = List.of();
         become(Phase.IDLE);
-        dropped.forEach(write -> write.done().on(nowMicros, Write.Outcome.CONFLICT, 0));
+        dropped.forEach(write -> write.done().on(nowMicros, ConditionalWrite.Outcome.CONFLICT, 0));
         pump(nowMicros);
       }
     }
@@ -279,21 +284,21 @@
   }
 
   private void finish(long nowMicros, long revision) {
-    List<Write> written = batch;
+    List<ConditionalWrite> written = batch;
     batch = List.of();
     become(Phase.IDLE);
-    for (Write write : written) {
-      write.done().on(nowMicros, Write.Outcome.WRITTEN, revision);
+    for (ConditionalWrite write : written) {
+      write.done().on(nowMicros, ConditionalWrite.Outcome.WRITTEN, revision);
     }
     pump(nowMicros);
   }
 
   private void onConflict(long nowMicros, JsonNode body) {
-    if (StateService.failed(body, leader.key())) {
+    if (KeyValueStore.failed(body, leader.key())) {
       onLeaderLost.run();
       return;
     }
-    Change put = unsure ? firstPut() : null;
+    Mutation put = unsure ? firstPut() : null;
     if (put == null) {
       dropFailed(nowMicros, body);
       return;
@@ -316,9 +321,9 @@
     }
   }
 
-  private Change firstPut() {
-    for (Write write : batch) {
-      for (Change change : write.changes()) {
+  private Mutation firstPut() {
+    for (ConditionalWrite write : batch) {
+      for (Mutation change : write.changes()) {
         if (change.data() != null) {
           return change;
         }
@@ -329,11 +334,11 @@
 
   /** Takes the writes whose own conditions failed out of the batch and sends the rest anew. */
   private void dropFailed(long nowMicros, JsonNode conflict) {
-    List<Write> dropped = new ArrayList<>();
-    List<Write> kept = new ArrayList<>();
-    for (Write write : batch) {
+    List<ConditionalWrite> dropped = new ArrayList<>();
+    List<ConditionalWrite> kept = new ArrayList<>();
+    for (ConditionalWrite write : batch) {
       boolean failed =
-          write.conditions().stream().anyMatch(c -> StateService.failed(conflict, c.key()));
+          write.conditions().stream().anyMatch(c -> KeyValueStore.failed(conflict, c.key()));
       (failed ? dropped : kept).add(write);
     }
     if (dropped.isEmpty()) {
@@ -343,12 +348,13 @@
     }
     batch = List.of();
     become(Phase.IDLE);
-    for (Iterator<Write> it = new ArrayDeque<>(kept).descendingIterator(); it.hasNext(); ) {
-      Write write = it.next();
+    for (Iterator<ConditionalWrite> it = new ArrayDeque<>(kept).descendingIterator();
+        it.hasNext(); ) {
+      ConditionalWrite write = it.next();
       (write.urgent() ? urgent : relaxed).addFirst(write);
     }
-    for (Write write : dropped) {
-      write.done().on(nowMicros, Write.Outcome.CONFLICT, 0);
+    for (ConditionalWrite write : dropped) {
+      write.done().on(nowMicros, ConditionalWrite.Outcome.CONFLICT, 0);
     }
     pump(nowMicros);
   }
--- a/src/main/java/org/dewreach/store/Write.java
+++ b/src/main/java/org/dewreach/store/ConditionalWrite.java
@@ -10,7 +10,8 @@
  * @param urgent true if it goes before writes that nobody waits for
  * @param done takes the outcome
  */
-public record Write(List<Condition> conditions, List<Change> changes, boolean urgent, Done done) {
+public record ConditionalWrite(
+    List<Precondition> conditions, List<Mutation> changes, boolean urgent, Done done) {
   /** How a write ended. */
   public enum Outcome {
     /** Durable, at the revision given. */
--- a/src/main/java/org/dewreach/store/StateService.java
+++ b/src/main/java/org/dewreach/store/KeyValueStore.java
@@ -4,13 +4,13 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import org.dewreach.port.Calls;
 import org.dewreach.port.ConnectionPool;
+import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
 import org.dewreach.wire.Codec;
 
 /** The requests of the state service. */
-public final class StateService {
+public final class KeyValueStore {
   private static final long READ_TIMEOUT_MICROS = 1_500_000;
   private static final long RANGE_TIMEOUT_MICROS = 3_000_000;
 
@@ -19,23 +19,23 @@
 
   private static final long MICROS_PER_MS = 1_000;
 
-  private final Calls calls;
+  private final Outbox outbox;
   private final ConnectionPool pool;
 
   /** A client that sends its requests through the given calls. */
-  public StateService(Calls calls) {
-    this(calls, ConnectionPool.GENERAL);
+  public KeyValueStore(Outbox outbox) {
+    this(outbox, ConnectionPool.GENERAL);
   }
 
   /** A client whose requests use the connections of the given lane. */
-  public StateService(Calls calls, ConnectionPool pool) {
-    this.calls = calls;
+  public KeyValueStore(Outbox outbox, ConnectionPool pool) {
+    this.outbox = outbox;
     this.pool = pool;
   }
 
   /** Reads one key; 404 if it does not exist. */
-  public void get(String key, Calls.ReplyHandler handler) {
-    calls.call(Target.STATE, pool, "GET", "/keys/" + key, null, READ_TIMEOUT_MICROS, handler);
+  public void get(String key, Outbox.ReplyHandler handler) {
+    outbox.call(Target.STATE, pool, "GET", "/keys/" + key, null, READ_TIMEOUT_MICROS, handler);
   }
 
   /**
@@ -44,9 +44,9 @@
    * @param after the last key of the page before, or null
    * @param most the size of a page
    */
-  public void range(String prefix, String after, int most, Calls.ReplyHandler handler) {
+  public void range(String prefix, String after, int most, Outbox.ReplyHandler handler) {
     String path = "/keys?under=" + prefix + (after == null ? "" : "&after=" + after);
-    calls.call(
+    outbox.call(
         Target.STATE, pool, "GET", path + "&most=" + most, null, RANGE_TIMEOUT_MICROS, handler);
   }
 
@@ -56,9 +56,9 @@
    * @param afterRevision the last revision that is known
    * @param waitMs how long the service may wait for a change before it answers
    */
-  public void watch(String prefix, long afterRevision, long waitMs, Calls.ReplyHandler handler) {
+  public void watch(String prefix, long afterRevision, long waitMs, Outbox.ReplyHandler handler) {
     String path = "/changes?under=" + prefix + "&after=" + afterRevision + "&hold_ms=" + waitMs;
-    calls.call(
+    outbox.call(
         Target.STATE,
         pool,
         "GET",
@@ -69,14 +69,14 @@
   }
 
   /** Grants a lease: keys that are written with it are deleted when it ends. */
-  public void openLease(long ttlMs, long timeoutMicros, Calls.ReplyHandler handler) {
+  public void openLease(long ttlMs, long timeoutMicros, Outbox.ReplyHandler handler) {
     ObjectNode body = Codec.map().put("ttl_ms", ttlMs);
-    calls.call(Target.STATE, pool, "POST", "/holds", body, timeoutMicros, handler);
+    outbox.call(Target.STATE, pool, "POST", "/holds", body, timeoutMicros, handler);
   }
 
   /** Renews a lease for its full time. */
-  public void renewLease(long leaseId, long timeoutMicros, Calls.ReplyHandler handler) {
-    calls.call(
+  public void renewLease(long leaseId, long timeoutMicros, Outbox.ReplyHandler handler) {
+    outbox.call(
         Target.STATE,
         pool,
         "POST",
@@ -87,8 +87,8 @@
   }
 
   /** Revokes a lease, and deletes the keys written with it. */
-  public void revokeLease(long leaseId, Calls.ReplyHandler handler) {
-    calls.call(
+  public void revokeLease(long leaseId, Outbox.ReplyHandler handler) {
+    outbox.call(
         Target.STATE, pool, "DELETE", "/holds/" + leaseId, null, READ_TIMEOUT_MICROS, handler);
   }
 
@@ -98,18 +98,18 @@
    * @param leaseId the lease that puts are attached to, or 0
    */
   public void commit(
-      List<Condition> conditions,
-      List<Change> changes,
+      List<Precondition> conditions,
+      List<Mutation> changes,
       long leaseId,
       long timeoutMicros,
-      Calls.ReplyHandler handler) {
+      Outbox.ReplyHandler handler) {
     ObjectNode body = Codec.map();
     ArrayNode when = body.putArray("when");
-    for (Condition condition : conditions) {
+    for (Precondition condition : conditions) {
       when.addObject().put("path", condition.key()).put("stamp", condition.stamp());
     }
     ArrayNode then = body.putArray("then");
-    for (Change change : changes) {
+    for (Mutation change : changes) {
       if (change.data() == null) {
         then.addObject().put("remove", change.key());
       } else {
@@ -120,7 +120,7 @@
         }
       }
     }
-    calls.call(Target.STATE, pool, "POST", "/commit", body, timeoutMicros, handler);
+    outbox.call(Target.STATE, pool, "POST", "/commit", body, timeoutMicros, handler);
   }
 
   /** The keys named in a 409. */
--- a/src/main/java/org/dewreach/store/Keys.java
+++ b/src/main/java/org/dewreach/store/Keys.java
@@ -8,7 +8,7 @@
   /** The last catalog that a leader fetched, for a start while the cloud is away. */
   public static final String CATALOG = "dw/catalog";
 
-  /** Jobs that are not over: description, withdrawal, tasks done. */
+  /** Jobs that are not over: description, cancellation, tasks done. */
   public static final String JOBS = "dw/job/";
 
   /** Jobs that were accepted without a leader; the leader takes them over. */
--- a/src/main/java/org/dewreach/store/Change.java
+++ b/src/main/java/org/dewreach/store/Mutation.java
@@ -7,4 +7,4 @@
  *
  * @param data the new value, or null to delete
  */
-public record Change(String key, ObjectNode data) {}
+public record Mutation(String key, ObjectNode data) {}
--- a/src/main/java/org/dewreach/store/Condition.java
+++ b/src/main/java/org/dewreach/store/Precondition.java
@@ -1,4 +1,4 @@
 package org.dewreach.store;
 
 /** A key's expected stamp; 0 if it must not exist. */
-public record Condition(String key, long stamp) {}
+public record Precondition(String key, long stamp) {}
--- a/src/main/java/org/dewreach/store/RateBudget.java
+++ b/src/main/java/org/dewreach/store/TokenBucket.java
@@ -1,7 +1,7 @@
 package org.dewreach.store;
 
 /** A token bucket in event time: a rate with bursts of a second's worth. */
-public final class RateBudget {
+public final class TokenBucket {
   private static final double MICROS_PER_SECOND = 1e6;
 
   private final double perMicro;
@@ -14,7 +14,7 @@
    *
    * @param burst how many tokens it holds
    */
-  public RateBudget(double perSecond, double burst) {
+  public TokenBucket(double perSecond, double burst) {
     this.perMicro = perSecond / MICROS_PER_SECOND;
     this.most = Math.max(1, burst);
     this.tokens = this.most;
--- a/src/main/java/org/dewreach/wire/WorkerReport.java
+++ b/src/main/java/org/dewreach/wire/Heartbeat.java
@@ -14,23 +14,23 @@
  * @param type the name of the machine type
  * @param zone where the machine is
  * @param spot true if the cloud may take the machine away
- * @param session increases each time the worker's lease expires
- * @param sequence orders the reports of one session
+ * @param incarnation increases each time the worker's lease expires
+ * @param sequence orders the reports of one incarnation
  * @param token the highest token the worker has seen
- * @param recallMicros time until the cloud takes the machine away, or -1
+ * @param reclaimMicros time until the cloud takes the machine away, or -1
  * @param tasks what the worker knows of, exited tasks included
  */
-public record WorkerReport(
+public record Heartbeat(
     String machine,
     String address,
     String type,
     String zone,
     boolean spot,
-    long session,
+    long incarnation,
     long sequence,
     long token,
-    long recallMicros,
-    List<ReportedTask> tasks) {
+    long reclaimMicros,
+    List<TaskStatus> tasks) {
 
   /** What a task is doing on its machine. */
   public enum TaskState {
@@ -39,7 +39,7 @@
     /** It runs. */
     RUNNING,
     /** It was told to stop and saves its progress. */
-    FLUSHING,
+    SAVING,
     /** It has ended; see the cause. */
     EXITED
   }
@@ -63,23 +63,23 @@
   }
 
   /** One task of a report. */
-  public record ReportedTask(TaskName name, long attempt, TaskState state, Cause cause) {}
+  public record TaskStatus(TaskName name, long attempt, TaskState state, Cause cause) {}
 
   /**
    * Parses the body of a report.
    *
    * @throws MalformedException if a field is missing, of the wrong type or out of range
    */
-  public static WorkerReport parse(JsonNode body) throws MalformedException {
+  public static Heartbeat parse(JsonNode body) throws MalformedException {
     ObjectNode map = Fields.map(body);
     if (!(map.get("pieces") instanceof ArrayNode list)) {
       throw new MalformedException("pieces: list expected");
     }
-    List<ReportedTask> tasks = new ArrayList<>(list.size());
+    List<TaskStatus> tasks = new ArrayList<>(list.size());
     for (JsonNode item : list) {
       tasks.add(task(Fields.map(item)));
     }
-    return new WorkerReport(
+    return new Heartbeat(
         Fields.text(map, "host"),
         Fields.text(map, "address"),
         Fields.text(map, "build"),
@@ -98,11 +98,11 @@
     return passed ? 0 : Fields.microsOrNone(map, "recall_s");
   }
 
-  private static ReportedTask task(ObjectNode map) throws MalformedException {
+  private static TaskStatus task(ObjectNode map) throws MalformedException {
     TaskState state =
         switch (Fields.text(map, "standing")) {
           case "running" -> TaskState.RUNNING;
-          case "flushing" -> TaskState.FLUSHING;
+          case "flushing" -> TaskState.SAVING;
           case "exited" -> TaskState.EXITED;
           // A state that this version does not know still occupies the machine.
           default -> TaskState.PULLING;
@@ -119,7 +119,7 @@
             default -> Cause.STOPPED;
           };
     }
-    return new ReportedTask(
+    return new TaskStatus(
         TaskName.parse(Fields.text(map, "piece")),
         Fields.count(map, "try", 0, Long.MAX_VALUE),
         state,
--- a/src/main/java/org/dewreach/wire/JobKind.java
+++ b/src/main/java/org/dewreach/wire/JobKind.java
@@ -3,10 +3,10 @@
 /** How a job's tasks run. */
 public enum JobKind {
   /** Independent tasks; each runs to completion. */
-  SWEEP("sweep"),
+  ARRAY("sweep"),
   /** Tasks that run to completion, and only all at the same time. */
   GANG("gang"),
-  /** Replicas that run until the job is withdrawn. */
+  /** Replicas that run until the job is cancelled. */
   SERVICE("service");
 
   private final String word;
--- a/src/main/java/org/dewreach/wire/JobRequest.java
+++ b/src/main/java/org/dewreach/wire/JobSpec.java
@@ -31,7 +31,7 @@
  * @param saveMicros how long saving takes
  * @param dueMicros when the job should be complete, from its submission, or -1
  */
-public record JobRequest(
+public record JobSpec(
     String id,
     String lane,
     String team,
@@ -73,7 +73,7 @@
    *
    * @throws MalformedException if a field is missing, of the wrong type or out of range
    */
-  public static JobRequest parse(JsonNode body) throws MalformedException {
+  public static JobSpec parse(JsonNode body) throws MalformedException {
     ObjectNode map = Fields.map(body);
     String id = Fields.text(map, "uid");
     if (!isId(id)) {
@@ -83,7 +83,7 @@
     if (cpus <= 0) {
       throw new MalformedException("cpus: must be more than 0");
     }
-    return new JobRequest(
+    return new JobSpec(
         id,
         Fields.text(map, "lane"),
         Fields.text(map, "desk"),
--- a/src/main/java/org/dewreach/wire/JobState.java
+++ b/src/main/java/org/dewreach/wire/JobState.java
@@ -11,7 +11,7 @@
   /** All tasks have completed. Final. */
   DONE("done"),
   /** Cancelled by its user. Final. */
-  WITHDRAWN("withdrawn");
+  CANCELLED("withdrawn");
 
   private final String word;
 
@@ -34,7 +34,7 @@
     throw new MalformedException("standing: unknown");
   }
 
-  /** The answer to a submission or a withdrawal. */
+  /** The answer to a submission or a cancellation. */
   public ObjectNode answer(String jobId) {
     return Codec.map().put("uid", jobId).put("standing", word);
   }
--- a/src/main/java/org/dewreach/wire/WorkerCommand.java
+++ b/src/main/java/org/dewreach/wire/WorkerCommand.java
@@ -22,7 +22,7 @@
   }
 
   /** Stop a task, leaving it the given time to save. */
-  record Halt(TaskName task, long attempt, long graceMicros) implements WorkerCommand {
+  record Stop(TaskName task, long attempt, long graceMicros) implements WorkerCommand {
     @Override
     public ObjectNode toNode() {
       return base("halt", this).put("wind_down_s", graceMicros / Fields.MICROS_PER_SECOND);
@@ -30,7 +30,7 @@
   }
 
   /** Remove an exited task from the reports. */
-  record Clear(TaskName task, long attempt) implements WorkerCommand {
+  record Remove(TaskName task, long attempt) implements WorkerCommand {
     @Override
     public ObjectNode toNode() {
       return base("clear", this);
