--- a/src/main/java/org/dewreach/controller/Controller.java
+++ b/src/main/java/org/dewreach/controller/Controller.java
@@ -13,7 +13,10 @@
 import org.dewreach.history.FinalStates;
 import org.dewreach.leadership.DelegateRenewer;
 import org.dewreach.leadership.Election;
-import org.dewreach.peer.Forwarded;
+import org.dewreach.peer.ForwardedReply;
+import org.dewreach.peer.ForwardedRequest;
+import org.dewreach.peer.KnownLeader;
+import org.dewreach.peer.PeerMessageCodec;
 import org.dewreach.port.ConnectionPool;
 import org.dewreach.port.Effect;
 import org.dewreach.port.Event;
@@ -32,8 +35,10 @@
 import org.dewreach.wire.Codec;
 import org.dewreach.wire.Heartbeat;
 import org.dewreach.wire.JobSpec;
-import org.dewreach.wire.JobState;
+import org.dewreach.wire.JobStatus;
 import org.dewreach.wire.MalformedException;
+import org.dewreach.wire.UserResponse;
+import org.dewreach.wire.UserResponseCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -102,7 +107,8 @@
     this.waitingReports = new PendingHeartbeats(settings.limits().maxConnections());
     this.delegateRenewer = new DelegateRenewer(outbox, state, settings);
     this.direct =
-        new LeaderlessRequestHandler(state, finalStates, catalog, settings, boot, wallOffsetMicros);
+        new LeaderlessRequestHandler(
+            state, finalStates, catalog, settings, boot, () -> now, wallOffsetMicros);
     this.discovery = new LeaderDiscovery(outbox, settings, election, delegateRenewer);
     this.forwarder = new LeaderForwarder(outbox, direct);
   }
@@ -113,7 +119,6 @@
     if (nextSummary == 0) {
       nextSummary = now + SUMMARY_INTERVAL_MICROS;
     }
-    direct.now(now);
     if (event instanceof Event.Request request) {
       onRequest(request);
     } else if (event instanceof Event.Reply reply) {
@@ -137,7 +142,7 @@
     renewDelegations();
     if (now >= nextSummary) {
       nextSummary = now + SUMMARY_INTERVAL_MICROS;
-      userLoad.log();
+      userLoad.logSummary();
       LOG.info(
           "{} final states known at revision {}", finalStates.size(), finalStateWatcher.revision());
     }
@@ -283,22 +288,25 @@
     FinalState finalState = finalStates.get(parsed.jobId());
     if (finalState != null) {
       // Before the load limit, as it takes no time and waits for nothing.
-      sendFinalState(parsed, finalState, userLoad.enter(parsed, answer(request.requestId())));
+      sendFinalState(parsed, finalState, userLoad.admit(parsed, answer(request.requestId())));
       return;
     }
     if (userLoad.sheds(parsed)) {
       outbox.respondRetry(request.requestId(), 503, null, ConcurrencyLimiter.BUSY_RETRY_S);
       return;
     }
-    dispatch(request, parsed, userLoad.enter(parsed, answer(request.requestId())));
+    dispatch(request, parsed, userLoad.admit(parsed, answer(request.requestId())));
   }
 
   /** The answer to any request about a job that has ended: what it ended as. */
   private static void sendFinalState(UserRequest request, FinalState found, Responder answer) {
     String id = request.jobId();
     boolean counts = request instanceof UserRequest.Query;
-    JobState jobState = found.jobState();
-    answer.send(200, counts ? jobState.answer(id, found.done(), 0) : jobState.answer(id), 0);
+    JobStatus jobStatus =
+        counts
+            ? JobStatus.withCounts(id, found.jobState(), found.done(), 0)
+            : JobStatus.withoutCounts(id, found.jobState());
+    answer.respond(UserResponse.ok(jobStatus));
   }
 
   /** Gives a user's request to the term of this node, to the leader, or serves it without one. */
@@ -313,8 +321,13 @@
       return;
     }
     String leader = election.leader();
-    if (leader != null && !leader.equals(settings.name()) && !forwarder.paused(parsed, now)) {
-      forwarder.forward(leader, request, parsed, answer, now);
+    if (leader != null && !leader.equals(settings.name()) && !forwarder.isPausedFor(parsed, now)) {
+      forwarder.forward(
+          leader,
+          new ForwardedRequest(request.method(), request.path(), request.body()),
+          parsed,
+          answer,
+          now);
     } else {
       direct.handle(parsed, answer);
     }
@@ -325,13 +338,12 @@
   }
 
   private Responder answer(long requestId) {
-    return (status, body, retryAfterS) -> {
-      if (retryAfterS > 0) {
-        outbox.respondRetry(requestId, status, body, retryAfterS);
-      } else {
-        outbox.respond(requestId, status, body);
-      }
-    };
+    return response ->
+        outbox.respondRetry(
+            requestId,
+            response.status(),
+            UserResponseCodec.encode(response.body()),
+            response.retryAfterSeconds());
   }
 
   /**
@@ -343,18 +355,17 @@
     LeadershipTerm asked = term;
     return new Responder() {
       @Override
-      public void send(int status, JsonNode body, int retryAfterS) {
-        boolean tells = status < 500;
-        if (!tells || term == asked && election.hasAuthority(now)) {
-          answer.send(status, body, retryAfterS);
+      public void respond(UserResponse response) {
+        if (response.isServerError() || term == asked && election.hasAuthority(now)) {
+          answer.respond(response);
         } else {
-          answer.later(RetryReason.NO_AUTHORITY);
+          answer.respondRetry(RetryReason.NO_AUTHORITY);
         }
       }
 
       @Override
-      public void later(RetryReason reason) {
-        answer.later(reason);
+      public void respondRetry(RetryReason reason) {
+        answer.respondRetry(reason);
       }
     };
   }
@@ -363,7 +374,7 @@
     ObjectNode node = Codec.map().put("node", settings.name()).put("leader", election.leader());
     node.put("election", election.phase().name()).put("term", termNumber());
     node.put("open_calls", outbox.openCalls());
-    userLoad.fill(node);
+    StatsCodec.encode(userLoad.stats(), node);
     node.put("final_states", finalStates.size());
     node.put("final_states_revision", finalStateWatcher.revision());
     if (term != null) {
@@ -376,12 +387,12 @@
     long requestId = request.requestId();
     JsonNode body = request.body();
     switch (request.path()) {
-      case Forwarded.LEADER_PATH -> {
-        ObjectNode known = Codec.map().put("leader", election.leader());
-        outbox.respond(requestId, 200, known.put("term", election.latestTerm()));
+      case PeerMessageCodec.LEADER_PATH -> {
+        KnownLeader known = new KnownLeader(election.leader(), election.latestTerm());
+        outbox.respond(requestId, 200, PeerMessageCodec.encode(known));
       }
       case STATS_PATH -> outbox.respond(requestId, 200, stats());
-      case Election.GRANT_PATH, DelegateRenewer.PATH, Forwarded.PATH -> {
+      case Election.GRANT_PATH, DelegateRenewer.PATH, PeerMessageCodec.FORWARD_PATH -> {
         if (body == null) {
           outbox.respond(requestId, 404, null);
         } else {
@@ -409,12 +420,10 @@
 
   /** Answers a user's request that another node has forwarded to this one as the leader. */
   private void onForwarded(long requestId, JsonNode body) {
-    UserRequest parsed =
-        UserRequestParser.parse(
-            body.path("method").asText(), body.path("path").asText(), body.get("body"));
+    ForwardedRequest request = PeerMessageCodec.decodeRequest(body);
+    UserRequest parsed = UserRequestParser.parse(request.method(), request.path(), request.body());
     Responder answer =
-        (status, answerBody, retryAfterS) ->
-            outbox.respond(requestId, 200, Forwarded.answer(status, answerBody, retryAfterS));
+        response -> respondForwarded(requestId, new ForwardedReply.Handled(response));
     FinalState finalState =
         parsed == null || parsed.jobId() == null ? null : finalStates.get(parsed.jobId());
     if (finalState != null) {
@@ -423,11 +432,15 @@
     }
     boolean leads = term != null && term.loaded() && election.hasAuthority(now);
     if (parsed == null || parsed.jobId() == null || !leads) {
-      outbox.respond(requestId, 200, Forwarded.notLeading());
+      respondForwarded(requestId, new ForwardedReply.NotLeading());
     } else if (userLoad.sheds(parsed)) {
-      outbox.respond(requestId, 200, Forwarded.busy());
+      respondForwarded(requestId, new ForwardedReply.Busy());
     } else {
-      term.user(parsed, underAuthority(userLoad.enter(parsed, answer)), now);
+      term.user(parsed, underAuthority(userLoad.admit(parsed, answer)), now);
     }
   }
+
+  private void respondForwarded(long requestId, ForwardedReply reply) {
+    outbox.respond(requestId, 200, PeerMessageCodec.encode(reply));
+  }
 }
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -293,7 +293,7 @@
         return;
       }
       if (job.phase() == JobPhase.CANCEL_REQUESTED) {
-        users.onCancelRequested(job, nowMicros);
+        users.onStillStopping(job, nowMicros);
       }
     }
   }
@@ -342,7 +342,7 @@
 
   void user(UserRequest request, Responder answer, long nowMicros) {
     if (!loaded() || !authority.test(nowMicros)) {
-      answer.later(RetryReason.NO_AUTHORITY);
+      answer.respondRetry(RetryReason.NO_AUTHORITY);
     } else {
       users.handle(request, answer, nowMicros);
     }
@@ -359,7 +359,7 @@
   }
 
   private void onNotTakenOver(String jobId) {
-    users.onNotTakenOver(jobId);
+    users.onImportFailed(jobId);
   }
 
   @Override
--- a/src/main/java/org/dewreach/request/ConcurrencyLimiter.java
+++ b/src/main/java/org/dewreach/request/ConcurrencyLimiter.java
@@ -1,75 +1,85 @@
 package org.dewreach.request;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.netflix.concurrency.limits.limit.AIMDLimit;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
+import org.dewreach.wire.UserResponse;
 
 /**
- * Users' requests in progress, how long they take, and how many may be at once.
+ * Limits how many users' requests are in progress at once, and measures how long they take.
  *
- * <p>The limit adjusts itself to measured times: it grows while answers come in time and shrinks
- * when they do not. It is fed with event time, so the core stays free of clocks. Health checks and
- * workers are not counted, and so never shed.
+ * <p>The limit adjusts itself to measured durations: it grows while requests complete in time and
+ * shrinks when they do not. It is fed with event time, so the core stays free of clocks. Health
+ * checks and heartbeats are not counted, and so never shed.
  */
 public final class ConcurrencyLimiter {
-  /** After how many seconds a user who was turned away is to ask again. */
+  /** After how many seconds a user whose request was shed is to retry. */
   public static final int BUSY_RETRY_S = 2;
 
-  private static final int FIRST_LIMIT = 100;
+  private static final int INITIAL_LIMIT = 100;
   private static final int MIN_LIMIT = 20;
   private static final int MAX_LIMIT = 400;
 
   /**
-   * An answer that took longer is a sign of too much at once. Ours; users wait for 2 s at least.
+   * A request that took longer is a sign of overload. A default of this project; users wait for 2 s
+   * at least.
    */
   private static final long SLOW_MICROS = 1_500_000;
 
-  private static final long MAX_MICROS = 60_000_000;
+  private static final long MAX_DURATION_MICROS = 60_000_000;
+  private static final double MEDIAN = 50;
+  private static final double P99 = 99;
 
-  /** A request that was let in. */
-  record Entry(long sinceMicros, int inProgress) {}
+  /**
+   * A request that was admitted.
+   *
+   * @param sinceMicros when it was admitted
+   * @param inProgress how many were in progress then, itself included
+   */
+  record Admitted(long sinceMicros, int inProgress) {}
 
   private final AIMDLimit limit =
       AIMDLimit.newBuilder()
-          .initialLimit(FIRST_LIMIT)
+          .initialLimit(INITIAL_LIMIT)
           .minLimit(MIN_LIMIT)
           .maxLimit(MAX_LIMIT)
           .timeout(SLOW_MICROS, TimeUnit.MICROSECONDS)
           .build();
-  private final Histogram times = new Histogram(MAX_MICROS, 2);
+  private final Histogram durations = new Histogram(MAX_DURATION_MICROS, 2);
   private int inProgress;
   private long answered;
   private long turnedAway;
   private long shed;
 
-  /** True if one more would be too many; counts the request as shed then. */
-  boolean full() {
-    boolean full = inProgress >= limit.getLimit();
-    if (full) {
+  /** True if one more request would exceed the limit; it is counted as shed then. */
+  boolean sheds() {
+    boolean atLimit = inProgress >= limit.getLimit();
+    if (atLimit) {
       shed++;
     }
-    return full;
+    return atLimit;
   }
 
-  Entry enter(long nowMicros) {
-    return new Entry(nowMicros, ++inProgress);
+  /** Counts a request as in progress until it is {@link #complete}. */
+  Admitted admit(long nowMicros) {
+    return new Admitted(nowMicros, ++inProgress);
   }
 
-  void leave(Entry entry, int status, long nowMicros) {
+  /** Ends a request. */
+  void complete(Admitted request, UserResponse response, long nowMicros) {
     inProgress--;
-    long took = Math.min(MAX_MICROS, Math.max(0, nowMicros - entry.sinceMicros()));
-    times.recordValue(took);
-    if (status >= 500) {
-      // Told to come back for another reason than load: that time says nothing about it.
+    long duration = Math.min(MAX_DURATION_MICROS, Math.max(0, nowMicros - request.sinceMicros()));
+    durations.recordValue(duration);
+    if (response.isServerError()) {
+      // Told to retry for another reason than load: the duration says nothing about load.
       turnedAway++;
       return;
     }
     answered++;
     limit.onSample(
-        TimeUnit.MICROSECONDS.toNanos(entry.sinceMicros()),
-        TimeUnit.MICROSECONDS.toNanos(took),
-        entry.inProgress(),
+        TimeUnit.MICROSECONDS.toNanos(request.sinceMicros()),
+        TimeUnit.MICROSECONDS.toNanos(duration),
+        request.inProgress(),
         false);
   }
 
@@ -77,6 +87,7 @@
     return limit.getLimit();
   }
 
+  /** One line for the log. */
   String summary() {
     return inProgress
         + " in progress of "
@@ -88,17 +99,21 @@
         + " turned away, "
         + shed
         + " shed, p50 "
-        + times.getValueAtPercentile(50)
+        + durations.getValueAtPercentile(MEDIAN)
         + " us, p99 "
-        + times.getValueAtPercentile(99)
+        + durations.getValueAtPercentile(P99)
         + " us";
   }
 
-  void fill(ObjectNode node) {
-    node.put("in_progress", inProgress).put("limit", limit.getLimit());
-    node.put("answered", answered).put("turned_away", turnedAway).put("shed", shed);
-    node.put("p50_us", times.getValueAtPercentile(50));
-    node.put("p99_us", times.getValueAtPercentile(99));
-    node.put("max_us", times.getMaxValue());
+  ConcurrencyStats stats() {
+    return new ConcurrencyStats(
+        inProgress,
+        limit.getLimit(),
+        answered,
+        turnedAway,
+        shed,
+        durations.getValueAtPercentile(MEDIAN),
+        durations.getValueAtPercentile(P99),
+        durations.getMaxValue());
   }
 }
--- /dev/null
+++ b/src/main/java/org/dewreach/request/ConcurrencyStats.java
@@ -0,0 +1,24 @@
+package org.dewreach.request;
+
+/**
+ * Numbers of one {@link ConcurrencyLimiter} for operators. Durations are of the requests since the
+ * start of the process.
+ *
+ * @param inProgress requests without a response yet
+ * @param limit how many may be in progress now
+ * @param answered requests that were carried out or refused
+ * @param turnedAway admitted requests whose users were told to retry
+ * @param shed requests that the limit did not admit
+ * @param p50Micros the median duration
+ * @param p99Micros the 99th percentile of the durations
+ * @param maxMicros the longest duration
+ */
+public record ConcurrencyStats(
+    int inProgress,
+    int limit,
+    long answered,
+    long turnedAway,
+    long shed,
+    long p50Micros,
+    long p99Micros,
+    long maxMicros) {}
--- a/src/main/java/org/dewreach/request/CountingResponder.java
+++ b/src/main/java/org/dewreach/request/CountingResponder.java
@@ -1,21 +1,22 @@
 package org.dewreach.request;
 
-import com.fasterxml.jackson.databind.JsonNode;
+import org.dewreach.wire.UserResponse;
 
 /**
- * An answer that counts why its user was told to come back.
+ * Counts why users are told to retry.
  *
- * @param target where the answer goes
+ * @param target where the response goes
+ * @param counts where the reason is counted
  */
 record CountingResponder(Responder target, RetryCounts counts) implements Responder {
   @Override
-  public void send(int status, JsonNode body, int retryAfterS) {
-    target.send(status, body, retryAfterS);
+  public void respond(UserResponse response) {
+    target.respond(response);
   }
 
   @Override
-  public void later(RetryReason reason) {
+  public void respondRetry(RetryReason reason) {
     counts.add(reason);
-    target.later(reason);
+    target.respondRetry(reason);
   }
 }
--- a/src/main/java/org/dewreach/request/JobLookup.java
+++ b/src/main/java/org/dewreach/request/JobLookup.java
@@ -1,5 +1,6 @@
 package org.dewreach.request;
 
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.dewreach.config.Settings;
 import org.dewreach.history.FinalState;
@@ -23,20 +24,16 @@
 final class JobLookup {
   private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
 
-  /**
-   * Share of the state service's rate for looking up what the cluster state does not have. A
-   * default of this project.
-   */
+  /** Share of the state service's rate that lookups may take. A default of this project. */
   private static final double RATE_SHARE = 0.3;
 
-  /** The state of a job that was looked up, and how many of its tasks are done. */
-  record Result(JobState jobState, int done) {}
-
-  /** Takes the outcome of a lookup. */
-  interface Callback {
-    /** Called with null if there is no such job. */
-    void onResult(Result found);
-  }
+  /**
+   * A job that was found.
+   *
+   * @param jobState its state
+   * @param done how many of its tasks are done
+   */
+  record Found(JobState jobState, int done) {}
 
   private final ClusterState clusterState;
   private final LeaderlessJobImporter jobImporter;
@@ -59,52 +56,72 @@
   }
 
   /**
-   * Reads the state of a job that the cluster state does not have: accepted without us, or over;
-   * null if there is none. A job moves from the new records into our cluster state, and from there
-   * to the final ones, so looking in this order misses none.
+   * Reads a job that the cluster state does not have: accepted without this leader, or ended. A job
+   * moves from the new records into the cluster state, and from there to the final records, so
+   * looking in this order misses none.
+   *
+   * @param onResult receives the job, or nothing if it does not exist
+   * @param onUnknown receives why it could not be found out
    */
-  void find(String id, Callback then, Consumer<RetryReason> unknown, long nowMicros) {
+  void find(
+      String jobId,
+      Consumer<Optional<Found>> onResult,
+      Consumer<RetryReason> onUnknown,
+      long nowMicros) {
     if (!budget.tryAcquire(nowMicros)) {
-      unknown.accept(RetryReason.STATE_RATE);
+      onUnknown.accept(RetryReason.STATE_RATE);
       return;
     }
     state.get(
-        Keys.leaderlessJob(id),
+        Keys.leaderlessJob(jobId),
         (now, result) -> {
-          if (result instanceof KeyValue found) {
-            boolean cancelled = LeaderlessJobRecord.isCancelled(found.value());
-            jobImporter.importJob(found, now);
-            then.onResult(new Result(cancelled ? JobState.CANCELLED : JobState.PENDING, 0));
+          if (result instanceof KeyValue newJob) {
+            onResult.accept(Optional.of(importNewJob(newJob, now)));
           } else if (result instanceof RequestFailure) {
-            unknown.accept(RetryReason.READ_FAILED);
-          } else if (clusterState.jobs().containsKey(id)) {
-            unknown.accept(RetryReason.BEING_ACCEPTED);
+            onUnknown.accept(RetryReason.READ_FAILED);
+          } else if (clusterState.jobs().containsKey(jobId)) {
+            onUnknown.accept(RetryReason.BEING_ACCEPTED);
           } else {
-            findOver(id, then, unknown);
+            findEnded(jobId, onResult, onUnknown);
           }
         });
   }
 
-  private void findOver(String id, Callback then, Consumer<RetryReason> unknown) {
+  private Found importNewJob(KeyValue newJob, long nowMicros) {
+    boolean cancelled = LeaderlessJobRecord.isCancelled(newJob.value());
+    jobImporter.importJob(newJob, nowMicros);
+    return new Found(cancelled ? JobState.CANCELLED : JobState.PENDING, 0);
+  }
+
+  private void findEnded(
+      String jobId, Consumer<Optional<Found>> onResult, Consumer<RetryReason> onUnknown) {
     state.get(
-        Keys.finalState(id),
+        Keys.finalState(jobId),
         (now, result) -> {
           if (result instanceof ReadResult.Absent) {
-            then.onResult(null);
-            return;
-          }
-          if (!(result instanceof KeyValue entry)) {
-            unknown.accept(RetryReason.READ_FAILED);
-            return;
-          }
-          try {
-            FinalState found = FinalStateRecord.decode(entry.value());
-            finalStates.read(id, found);
-            then.onResult(new Result(found.jobState(), found.done()));
-          } catch (MalformedException e) {
-            LOG.error("final record of {} not understood", id);
-            unknown.accept(RetryReason.RECORD_MALFORMED);
+            onResult.accept(Optional.empty());
+          } else if (result instanceof KeyValue ended) {
+            decodeEnded(jobId, ended, onResult, onUnknown);
+          } else {
+            onUnknown.accept(RetryReason.READ_FAILED);
           }
         });
   }
+
+  private void decodeEnded(
+      String jobId,
+      KeyValue ended,
+      Consumer<Optional<Found>> onResult,
+      Consumer<RetryReason> onUnknown) {
+    FinalState finalState;
+    try {
+      finalState = FinalStateRecord.decode(ended.value());
+    } catch (MalformedException e) {
+      LOG.error("final state malformed: job={} error={}", jobId, e.getMessage());
+      onUnknown.accept(RetryReason.RECORD_MALFORMED);
+      return;
+    }
+    finalStates.read(jobId, finalState);
+    onResult.accept(Optional.of(new Found(finalState.jobState(), finalState.done())));
+  }
 }
--- a/src/main/java/org/dewreach/request/LeaderDiscovery.java
+++ b/src/main/java/org/dewreach/request/LeaderDiscovery.java
@@ -1,10 +1,10 @@
 package org.dewreach.request;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import org.dewreach.config.Settings;
 import org.dewreach.leadership.DelegateRenewer;
 import org.dewreach.leadership.Election;
-import org.dewreach.peer.Forwarded;
+import org.dewreach.peer.KnownLeader;
+import org.dewreach.peer.PeerMessageCodec;
 import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
 
@@ -13,7 +13,7 @@
   /** A node started in an outage asks the others soon. */
   private static final long STARTED_ALONE_MICROS = 1_000_000;
 
-  private static final long ASK_PEERS_INTERVAL_MICROS = 500_000;
+  private static final long ASK_INTERVAL_MICROS = 500_000;
 
   private static final long ASK_TIMEOUT_MICROS = 1_000_000;
 
@@ -25,9 +25,10 @@
   private final Election election;
   private final DelegateRenewer delegateRenewer;
   private long startedAt = -1;
-  private long askPeersAt;
+  private long nextAskAt;
   private int nextPeer;
 
+  /** A discovery that starts with the first tick. */
   public LeaderDiscovery(
       Outbox outbox, Settings settings, Election election, DelegateRenewer delegateRenewer) {
     this.outbox = outbox;
@@ -37,7 +38,7 @@
   }
 
   /**
-   * Asks the next node if it is time.
+   * Asks the next node if it is due.
    *
    * @param hasTerm true if this node was elected and has not noticed the end of its term
    * @param doubtsLeader true if the known leader did not take a request lately
@@ -49,18 +50,20 @@
     // A leader without authority may have been followed by another one without noticing.
     boolean ask =
         hasTerm ? !election.hasAuthority(nowMicros) : stateServiceSilent(nowMicros) || doubtsLeader;
-    if (!ask || nowMicros < askPeersAt || settings.members().isEmpty()) {
+    if (!ask || nowMicros < nextAskAt || settings.members().isEmpty()) {
       return;
     }
-    askPeersAt = nowMicros + ASK_PEERS_INTERVAL_MICROS;
+    nextAskAt = nowMicros + ASK_INTERVAL_MICROS;
     Settings.Member member = settings.members().get(nextPeer++ % settings.members().size());
     outbox.call(
         new Target.Member(member.name()),
         "GET",
-        Forwarded.LEADER_PATH,
+        PeerMessageCodec.LEADER_PATH,
         null,
         ASK_TIMEOUT_MICROS,
-        this::onReply);
+        (now, status, body) ->
+            PeerMessageCodec.decodeKnownLeader(status, body)
+                .ifPresent(known -> onReply(known, now)));
   }
 
   private boolean stateServiceSilent(long nowMicros) {
@@ -69,11 +72,8 @@
         : nowMicros - election.lastContact() > STATE_SILENT_MICROS;
   }
 
-  private void onReply(long at, int status, JsonNode body) {
-    if (status == 200 && body != null && body.path("leader").isTextual()) {
-      long term = body.path("term").asLong(0);
-      election.hint(body.path("leader").textValue(), term, at);
-      delegateRenewer.over(term);
-    }
+  private void onReply(KnownLeader known, long nowMicros) {
+    election.hint(known.leader(), known.term(), nowMicros);
+    delegateRenewer.over(known.term());
   }
 }
--- a/src/main/java/org/dewreach/request/LeaderForwarder.java
+++ b/src/main/java/org/dewreach/request/LeaderForwarder.java
@@ -1,51 +1,58 @@
 package org.dewreach.request;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import org.dewreach.peer.Forwarded;
-import org.dewreach.port.Event;
+import org.dewreach.peer.ForwardedReply;
+import org.dewreach.peer.ForwardedRequest;
+import org.dewreach.peer.PeerMessageCodec;
 import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
+import org.dewreach.wire.HttpStatus;
+import org.dewreach.wire.UserResponse;
 
-/** Forwards users' requests to the leader; serves them without it if it does not answer. */
+/** Forwards users' requests to the leader; has them served without it if it does not reply. */
 public final class LeaderForwarder {
-  /** Users wait 2 s for the answer to a query, of which some is left for reading the record. */
+  /** Users wait 2 s for the response to a query, of which some is left for reading the record. */
   private static final long FORWARD_TIMEOUT_MICROS = 1_200_000;
 
   /**
    * A leader that has been silent lately is not waited for longer than this: the job can be kept
-   * without it. One that answers is only slow, and keeping jobs without it would add to its load:
+   * without it. One that replies is only slow, and keeping jobs without it would add to its load:
    * each then takes three state changes instead of one.
    */
   private static final long FORWARD_SUBMIT_TIMEOUT_MICROS = 150_000;
 
-  /** As long as the leader answers others. */
+  /** As long as the leader replies to others. */
   private static final long SLOW_SUBMIT_TIMEOUT_MICROS = 600_000;
 
-  /** A leader that answered within this time is alive. */
+  /** A leader that replied within this time is alive. */
   private static final long RECENT_REPLY_MICROS = 300_000;
 
-  /** A leader that did not answer is left alone for this long, where there is another way. */
+  /** A leader that did not reply is left alone for this long, where there is another way. */
   private static final long LEADER_PAUSE_MICROS = 500_000;
 
   /** After a request that no leader took, the other nodes are asked who leads. */
   private static final long LEADER_DOUBT_MICROS = 3_000_000;
 
   private final Outbox outbox;
-  private final LeaderlessRequestHandler direct;
-  private String askedLeader;
-  private long leaderAnsweredAt;
+  private final LeaderlessRequestHandler leaderlessHandler;
+  private String lastLeader;
+  private long leaderRepliedAt;
   private long pausedUntil;
   private long doubtUntil;
 
-  public LeaderForwarder(Outbox outbox, LeaderlessRequestHandler direct) {
+  /**
+   * A forwarder.
+   *
+   * @param leaderlessHandler serves the requests that the leader does not
+   */
+  public LeaderForwarder(Outbox outbox, LeaderlessRequestHandler leaderlessHandler) {
     this.outbox = outbox;
-    this.direct = direct;
+    this.leaderlessHandler = leaderlessHandler;
   }
 
   /**
    * True if the request is not to be forwarded just now, as it can be served without the leader.
    */
-  public boolean paused(UserRequest request, long nowMicros) {
+  public boolean isPausedFor(UserRequest request, long nowMicros) {
     return !(request instanceof UserRequest.Cancel) && nowMicros < pausedUntil;
   }
 
@@ -54,52 +61,61 @@
     return nowMicros < doubtUntil;
   }
 
-  /** Sends the request to the leader, whose answer becomes the user's. */
+  /**
+   * Sends a request to the leader, whose response is relayed to the user.
+   *
+   * @param message the request as it was received
+   * @param request the same request, parsed
+   */
   public void forward(
-      String leader, Event.Request request, UserRequest parsed, Responder answer, long nowMicros) {
-    if (!leader.equals(askedLeader)) {
+      String leader,
+      ForwardedRequest message,
+      UserRequest request,
+      Responder responder,
+      long nowMicros) {
+    if (!leader.equals(lastLeader)) {
       // A new leader is taken to be alive.
-      askedLeader = leader;
-      leaderAnsweredAt = nowMicros;
+      lastLeader = leader;
+      leaderRepliedAt = nowMicros;
     }
     outbox.call(
         new Target.Member(leader),
         "POST",
-        Forwarded.PATH,
-        Forwarded.request(request.method(), request.path(), request.body()),
-        timeoutMicros(parsed, nowMicros),
-        (at, status, body) -> onReply(parsed, answer, at, status, body));
+        PeerMessageCodec.FORWARD_PATH,
+        PeerMessageCodec.encode(message),
+        timeoutMicros(request, nowMicros),
+        (now, status, body) ->
+            onReply(request, responder, PeerMessageCodec.decodeReply(status, body), now));
   }
 
   private long timeoutMicros(UserRequest request, long nowMicros) {
     if (!(request instanceof UserRequest.Submit)) {
       return FORWARD_TIMEOUT_MICROS;
     }
-    boolean suspect = nowMicros - leaderAnsweredAt > RECENT_REPLY_MICROS;
-    return suspect ? FORWARD_SUBMIT_TIMEOUT_MICROS : SLOW_SUBMIT_TIMEOUT_MICROS;
+    boolean silent = nowMicros - leaderRepliedAt > RECENT_REPLY_MICROS;
+    return silent ? FORWARD_SUBMIT_TIMEOUT_MICROS : SLOW_SUBMIT_TIMEOUT_MICROS;
   }
 
-  private void onReply(UserRequest request, Responder answer, long at, int status, JsonNode body) {
-    int given = status == 200 && body != null ? body.path("status").asInt(503) : 503;
-    boolean busy = status == 200 && Forwarded.isBusy(body);
-    if (given != 503 || busy) {
-      leaderAnsweredAt = at;
-    }
-    if (busy) {
+  private void onReply(
+      UserRequest request, Responder responder, ForwardedReply reply, long nowMicros) {
+    if (reply instanceof ForwardedReply.Busy) {
       // It leads, and has more to do than it can: going round it would not help.
-      answer.send(503, null, ConcurrencyLimiter.BUSY_RETRY_S);
-    } else if (given != 503) {
-      JsonNode inner = body.get("body");
-      boolean empty = inner == null || inner.isNull();
-      answer.send(given, empty ? null : inner, body.path("retry").asInt(0));
-    } else {
-      // Guards against polls that fail for a while because the leader could not answer one of
-      // them: in an outage it still knows most jobs, and nobody else knows any.
-      if (status != 200 || Forwarded.isNotLeading(body)) {
-        pausedUntil = at + LEADER_PAUSE_MICROS;
-        doubtUntil = at + LEADER_DOUBT_MICROS;
+      leaderRepliedAt = nowMicros;
+      responder.respond(UserResponse.unavailable(ConcurrencyLimiter.BUSY_RETRY_S));
+      return;
+    }
+    if (reply instanceof ForwardedReply.Handled handled) {
+      if (handled.response().status() != HttpStatus.UNAVAILABLE) {
+        leaderRepliedAt = nowMicros;
+        responder.respond(handled.response());
+        return;
       }
-      direct.handle(request, answer);
+    } else {
+      // Only then. Guards against polls that fail for a while because the leader could not answer
+      // one of them: in an outage it still knows most jobs, and nobody else knows any.
+      pausedUntil = nowMicros + LEADER_PAUSE_MICROS;
+      doubtUntil = nowMicros + LEADER_DOUBT_MICROS;
     }
+    leaderlessHandler.handle(request, responder);
   }
 }
--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -2,38 +2,36 @@
 
 import java.util.BitSet;
 import java.util.List;
+import java.util.function.LongSupplier;
 import org.dewreach.config.Settings;
-import org.dewreach.history.FinalState;
-import org.dewreach.history.FinalStateRecord;
 import org.dewreach.history.FinalStates;
 import org.dewreach.model.Admission;
+import org.dewreach.request.StoredJobReader.StoredJob;
 import org.dewreach.state.JobRecord;
 import org.dewreach.state.LeaderlessJobRecord;
 import org.dewreach.state.MachineTypeCatalog;
-import org.dewreach.store.KeyValue;
 import org.dewreach.store.KeyValueStore;
 import org.dewreach.store.Keys;
 import org.dewreach.store.Mutation;
 import org.dewreach.store.Precondition;
-import org.dewreach.store.ReadResult;
 import org.dewreach.store.TokenBucket;
 import org.dewreach.store.TransactionResult;
+import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.JobState;
+import org.dewreach.wire.JobStatus;
 import org.dewreach.wire.MalformedException;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import org.dewreach.wire.UserResponse;
 
 /**
- * Answers users straight from the state service, for when no leader can be asked.
+ * Serves users straight from the state service while no leader is reachable.
  *
  * <p>Reading is always safe. A new job is written under a key of its own, from which only a leader
- * takes it over, in one transaction; so it needs no leader to be accepted or cancelled, and nobody
+ * imports it, in one transaction; so it needs no leader to be accepted or cancelled, and nobody
  * starts it before. Other jobs are changed by leaders alone.
  */
 public final class LeaderlessRequestHandler {
-  private static final Logger LOG = LoggerFactory.getLogger(LeaderlessRequestHandler.class);
-  private static final long TIMEOUT_MICROS = 1_500_000;
+  private static final long WRITE_TIMEOUT_MICROS = 1_500_000;
 
   /**
    * Share of the state service's rates that one node without a leader takes. A default of this
@@ -42,227 +40,164 @@
   private static final double STATE_RATE_SHARE = 0.25;
 
   private final KeyValueStore state;
-  private final FinalStates finalStates;
   private final MachineTypeCatalog catalog;
   private final Settings settings;
   private final String boot;
+  private final LongSupplier clock;
   private final long wallOffsetMicros;
-  private final TokenBucket reads;
-  private final TokenBucket writes;
+  private final StoredJobReader reader;
+  private final TokenBucket writeBudget;
   private long lastWrite;
-  private long now;
 
+  /**
+   * A handler.
+   *
+   * @param boot a text that no other process has, also not an earlier one of this node
+   * @param clock tells event time
+   * @param wallOffsetMicros time of day minus event time
+   */
   public LeaderlessRequestHandler(
       KeyValueStore state,
       FinalStates finalStates,
       MachineTypeCatalog catalog,
       Settings settings,
       String boot,
+      LongSupplier clock,
       long wallOffsetMicros) {
     this.state = state;
-    this.finalStates = finalStates;
     this.catalog = catalog;
     this.settings = settings;
     this.boot = boot;
+    this.clock = clock;
     this.wallOffsetMicros = wallOffsetMicros;
-    double rps = settings.stateLimits().rps() * STATE_RATE_SHARE;
+    double readRps = settings.stateLimits().rps() * STATE_RATE_SHARE;
+    this.reader = new StoredJobReader(state, finalStates, readRps, clock);
     double writeRps = settings.stateLimits().writeRps() * STATE_RATE_SHARE;
-    this.reads = new TokenBucket(rps, rps);
-    this.writes = new TokenBucket(writeRps, writeRps);
+    this.writeBudget = new TokenBucket(writeRps, writeRps);
   }
 
-  /** Answers queries by reading, and writes what no leader has taken over yet. */
-  public void handle(UserRequest request, Responder answer) {
+  /** Serves queries by reading, and writes what no leader has imported yet. */
+  public void handle(UserRequest request, Responder responder) {
     // Renewals of the lead come first: polls in a bad moment must not use up the rate.
-    boolean writing = request instanceof UserRequest.Submit;
-    boolean admitted = writing ? writes.tryAcquire(now) : reads.available(now) >= 1;
+    boolean writes = request instanceof UserRequest.Submit;
+    boolean admitted = writes ? writeBudget.tryAcquire(clock.getAsLong()) : reader.mayRead();
     if (!admitted) {
-      answer.later(RetryReason.STATE_RATE);
+      responder.respondRetry(RetryReason.STATE_RATE);
       return;
     }
     if (request instanceof UserRequest.Query query) {
-      read(
+      reader.read(
           query.jobId(),
-          answer,
-          found -> found.send(answer, true),
-          () -> answer.send(404, null, 0));
+          job -> responder.respond(UserResponse.ok(job.statusWithCounts())),
+          () -> respondNotFound(responder),
+          responder::respondRetry);
     } else if (request instanceof UserRequest.Submit submit) {
-      submit(submit, answer);
+      handleSubmission(submit, responder);
     } else if (request instanceof UserRequest.Cancel cancel) {
-      read(cancel.jobId(), answer, found -> cancel(found, answer), () -> answer.send(404, null, 0));
-    }
-  }
-
-  /** A job as found in the state service, under the key given: not over if it has a record. */
-  private record Found(
-      String key, String id, JobRecord live, long revision, JobState jobState, int done) {
-    void send(Responder answer, boolean counts) {
-      answer.send(200, counts ? jobState.answer(id, done, 0) : jobState.answer(id), 0);
+      reader.read(
+          cancel.jobId(),
+          job -> cancel(job, responder),
+          () -> respondNotFound(responder),
+          responder::respondRetry);
     }
   }
 
-  private interface Then {
-    void on(Found found);
-  }
-
-  /**
-   * Where a job may be. It moves from the new records to the live ones and from there to the final
-   * ones, each in one transaction. Most are live, so those are looked at first, and again after the
-   * new ones: a job that was somewhere at the start is then met, however it moves meanwhile.
-   */
-  private static List<String> keysToRead(String id) {
-    return List.of(Keys.job(id), Keys.leaderlessJob(id), Keys.job(id), Keys.finalState(id));
+  private static void respondNotFound(Responder responder) {
+    responder.respond(UserResponse.empty(HttpStatus.NOT_FOUND));
   }
 
-  /**
-   * Looks for a job. All reads are paid for at the start, and what is not needed is given back.
-   *
-   * <p>Guards against the requests that reach a controller while it stands still: each was counted
-   * as one read and took up to four, so all at once were more than the state service allows.
-   */
-  private void read(String id, Responder answer, Then then, Runnable absent) {
-    List<String> keys = keysToRead(id);
-    reads.consume(now, keys.size());
-    readFirst(keys, id, answer, then, absent);
-  }
-
-  /** Reads the first of the keys, and the rest of them if it does not exist. */
-  private void readFirst(
-      List<String> keys, String id, Responder answer, Then then, Runnable absent) {
-    if (keys.isEmpty()) {
-      absent.run();
-      return;
-    }
-    String key = keys.get(0);
-    List<String> rest = keys.subList(1, keys.size());
-    state.get(
-        key,
-        (now, result) -> {
-          if (result instanceof ReadResult.Absent) {
-            readFirst(rest, id, answer, then, absent);
-            return;
-          }
-          reads.refund(rest.size());
-          if (result instanceof KeyValue entry) {
-            decode(id, entry, answer, then);
-          } else {
-            answer.later(RetryReason.READ_FAILED);
-          }
-        });
-  }
-
-  private void decode(String id, KeyValue entry, Responder answer, Then then) {
-    try {
-      boolean isFinal = entry.key().equals(Keys.finalState(id));
-      then.on(isFinal ? foundFinal(id, entry) : foundLive(id, entry));
-    } catch (MalformedException e) {
-      LOG.error("{} not understood: {}", entry.key(), e.getMessage());
-      answer.later(RetryReason.RECORD_MALFORMED);
-    }
-  }
-
-  private Found foundFinal(String id, KeyValue entry) throws MalformedException {
-    FinalState found = FinalStateRecord.decode(entry.value());
-    finalStates.read(id, found);
-    return new Found(entry.key(), id, null, 0, found.jobState(), found.done());
-  }
-
-  private static Found foundLive(String id, KeyValue entry) throws MalformedException {
-    JobRecord job = JobRecord.decode(entry.value());
-    int done = job.done().cardinality();
-    JobState jobState = done > 0 ? JobState.RUNNING : JobState.PENDING;
-    return new Found(
-        entry.key(),
-        id,
-        job,
-        entry.revision(),
-        job.cancelled() ? JobState.CANCELLED : jobState,
-        done);
-  }
-
-  private void submit(UserRequest.Submit submit, Responder answer) {
+  private void handleSubmission(UserRequest.Submit submit, Responder responder) {
+    String jobId = submit.jobId();
     JobSpec spec;
     try {
-      spec = JobSpec.parse(submit.body());
+      spec = submit.submission().parseSpec();
     } catch (MalformedException e) {
-      unlessKnown(submit.jobId(), answer, () -> answer.send(400, null, 0));
+      respondUnlessKnown(
+          jobId, responder, () -> responder.respond(UserResponse.empty(HttpStatus.BAD_REQUEST)));
       return;
     }
     if (!catalog.known()) {
-      unlessKnown(submit.jobId(), answer, () -> answer.later(RetryReason.NO_CATALOG));
+      respondUnlessKnown(jobId, responder, () -> responder.respondRetry(RetryReason.NO_CATALOG));
     } else if (Admission.refusal(spec, settings.teams(), catalog.types()) != null) {
-      unlessKnown(submit.jobId(), answer, () -> answer.send(422, null, 0));
+      respondUnlessKnown(
+          jobId, responder, () -> responder.respond(UserResponse.empty(HttpStatus.UNPROCESSABLE)));
     } else {
-      create(spec, answer);
+      create(spec, responder);
     }
   }
 
-  /** A repeat of a job that is known is answered with its state, whatever it would be now. */
-  private void unlessKnown(String id, Responder answer, Runnable otherwise) {
-    read(id, answer, found -> found.send(answer, false), otherwise);
+  /** A repeat of a known job is answered with its state, even if it would be refused now. */
+  private void respondUnlessKnown(String jobId, Responder responder, Runnable respond) {
+    reader.read(
+        jobId,
+        job -> responder.respond(UserResponse.ok(job.status())),
+        respond,
+        responder::respondRetry);
   }
 
-  private void create(JobSpec spec, Responder answer) {
-    String id = spec.id();
+  private void create(JobSpec spec, Responder responder) {
+    String jobId = spec.id();
     // The time of acceptance is only used for ordering; a node's wall clock is good enough.
-    var data = LeaderlessJobRecord.encode(spec, wallMicros(), false, new BitSet(), mark());
+    long acceptedWallMicros = clock.getAsLong() + wallOffsetMicros;
+    Mutation put =
+        new Mutation(
+            Keys.leaderlessJob(jobId),
+            LeaderlessJobRecord.encode(
+                spec, acceptedWallMicros, false, new BitSet(), nextWriteId()));
     state.commit(
         List.of(
-            new Precondition(Keys.leaderlessJob(id), 0),
-            new Precondition(Keys.job(id), 0),
-            new Precondition(Keys.finalState(id), 0)),
-        List.of(new Mutation(Keys.leaderlessJob(id), data)),
+            new Precondition(Keys.leaderlessJob(jobId), 0),
+            new Precondition(Keys.job(jobId), 0),
+            new Precondition(Keys.finalState(jobId), 0)),
+        List.of(put),
         0,
-        TIMEOUT_MICROS,
+        WRITE_TIMEOUT_MICROS,
         (now, result) -> {
           if (result instanceof TransactionResult.Committed) {
-            answer.send(201, JobState.PENDING.answer(id), 0);
+            responder.respond(
+                UserResponse.created(JobStatus.withoutCounts(jobId, JobState.PENDING)));
           } else if (result instanceof TransactionResult.PreconditionFailed) {
-            unlessKnown(id, answer, () -> answer.later(RetryReason.BEING_ACCEPTED));
+            respondUnlessKnown(
+                jobId, responder, () -> responder.respondRetry(RetryReason.BEING_ACCEPTED));
           } else {
             // Unclear or refused: the user's next try finds out.
-            answer.later(RetryReason.WRITE_NOT_CONFIRMED);
+            responder.respondRetry(RetryReason.WRITE_NOT_CONFIRMED);
           }
         });
   }
 
-  private void cancel(Found found, Responder answer) {
-    if (found.live() == null || found.live().cancelled()) {
-      found.send(answer, false);
+  private void cancel(StoredJob job, Responder responder) {
+    JobRecord live = job.live();
+    if (live == null || live.cancelled()) {
+      responder.respond(UserResponse.ok(job.status()));
       return;
     }
-    if (!found.key().equals(Keys.leaderlessJob(found.id()))) {
+    if (!job.key().equals(Keys.leaderlessJob(job.jobId()))) {
       // Its tasks may run: only a leader knows when they are sure to be gone in time.
-      answer.later(RetryReason.NEEDS_LEADER);
+      responder.respondRetry(RetryReason.NEEDS_LEADER);
       return;
     }
-    JobRecord live = found.live();
-    var data =
-        LeaderlessJobRecord.encode(
-            live.spec(), live.acceptedWallMicros(), true, live.done(), mark());
+    Mutation put =
+        new Mutation(
+            job.key(),
+            LeaderlessJobRecord.encode(
+                live.spec(), live.acceptedWallMicros(), true, live.done(), nextWriteId()));
     state.commit(
-        List.of(new Precondition(found.key(), found.revision())),
-        List.of(new Mutation(found.key(), data)),
+        List.of(new Precondition(job.key(), job.revision())),
+        List.of(put),
         0,
-        TIMEOUT_MICROS,
+        WRITE_TIMEOUT_MICROS,
         (now, result) -> {
           if (result instanceof TransactionResult.Committed) {
-            answer.send(200, JobState.CANCELLED.answer(found.id()), 0);
+            responder.respond(
+                UserResponse.ok(JobStatus.withoutCounts(job.jobId(), JobState.CANCELLED)));
           } else {
-            answer.later(RetryReason.WRITE_NOT_CONFIRMED);
+            responder.respondRetry(RetryReason.WRITE_NOT_CONFIRMED);
           }
         });
   }
 
-  public void now(long nowMicros) {
-    now = nowMicros;
-  }
-
-  private long wallMicros() {
-    return now + wallOffsetMicros;
-  }
-
-  private String mark() {
+  private String nextWriteId() {
     return boot + "." + ++lastWrite;
   }
 }
--- a/src/main/java/org/dewreach/request/PendingQueries.java
+++ b/src/main/java/org/dewreach/request/PendingQueries.java
@@ -6,89 +6,115 @@
 import java.util.List;
 import java.util.Map;
 import org.dewreach.model.Job;
+import org.dewreach.model.JobPhase;
 import org.dewreach.state.JobRecordWriter;
+import org.dewreach.wire.JobState;
 
 /**
- * Questions about jobs whose end is being written, which wait for the outcome for a moment.
+ * Queries, and repeated submissions, of jobs whose end is being written: they wait for the outcome
+ * for a moment.
  *
  * <p>If it takes longer, the job's last durable state is told, for as long as the write is
- * certainly not applied. Guards against jobs that cannot be asked about while nothing can be
- * written: their ends wait for as long as an outage of the state service lasts.
+ * certainly not applied. Guards against jobs that cannot be queried while nothing can be written:
+ * their ends wait for as long as an outage of the state service lasts.
  *
- * <p>While the write may be applied without our knowing, its user is told to come back. Guards
- * against telling an older state than another node has told: it may have read the new record while
- * the response to our write was still on its way.
+ * <p>While the write may be applied without our knowing, the user is told to retry. Guards against
+ * telling an older state than another node has told: it may have read the new record while the
+ * response to our write was still on its way.
  */
 final class PendingQueries {
-  /** Users wait 2 s, and a node that forwards a question 1.2 s. A default of this project. */
+  /** Users wait 2 s, and a node that forwards a query 1.2 s. A default of this project. */
   private static final long MAX_WAIT_MICROS = 1_000_000;
 
   /**
-   * A question.
+   * A query.
    *
-   * @param tellLastState answers with the job's last durable state
-   * @param askAgain answers once the end is durable
+   * @param job the job whose end is being written
+   * @param responder where the response goes
+   * @param respondLastDurable responds with the job's last durable state
+   * @param handleAgain handles the request again once the end is durable
+   * @param sinceMicros since when it waits
    */
-  private record Question(
-      Job job, Responder answer, Runnable tellLastState, Runnable askAgain, long sinceMicros) {}
+  private record Pending(
+      Job job,
+      Responder responder,
+      Runnable respondLastDurable,
+      Runnable handleAgain,
+      long sinceMicros) {}
 
   private final JobRecordWriter recordWriter;
-  private final Map<String, List<Question>> waiting = new HashMap<>();
+  private final Map<String, List<Pending>> pendingByJob = new HashMap<>();
 
   PendingQueries(JobRecordWriter recordWriter) {
     this.recordWriter = recordWriter;
   }
 
-  /** Answers once the job's end is durable, or after a moment without it. */
-  void await(Job job, Responder answer, Runnable tellLastState, Runnable askAgain, long nowMicros) {
-    Question question = new Question(job, answer, tellLastState, askAgain, nowMicros);
+  /** True while a write that ends the job has no outcome. */
+  static boolean endIsBeingWritten(Job job) {
+    return job.phase() == JobPhase.CANCEL_COMMITTING
+        || job.phase() == JobPhase.FINALIZING && job.finalState() == JobState.DONE;
+  }
+
+  /**
+   * Adds a query, which is responded to once the job's end is durable, or after a moment without.
+   *
+   * @param respondLastDurable responds with the job's last durable state
+   * @param handleAgain handles the request again once the end is durable
+   */
+  void add(
+      Job job,
+      Responder responder,
+      Runnable respondLastDurable,
+      Runnable handleAgain,
+      long nowMicros) {
+    Pending pending = new Pending(job, responder, respondLastDurable, handleAgain, nowMicros);
     if (recordWriter.stalled(nowMicros)) {
-      answerWithoutEnd(question);
+      respondWithoutEnd(pending);
     } else {
-      waiting.computeIfAbsent(job.id(), id -> new ArrayList<>(1)).add(question);
+      pendingByJob.computeIfAbsent(job.id(), id -> new ArrayList<>(1)).add(pending);
     }
   }
 
-  private void answerWithoutEnd(Question question) {
-    if (recordWriter.endInDoubt(question.job())) {
-      question.answer().later(RetryReason.END_IN_DOUBT);
+  private void respondWithoutEnd(Pending pending) {
+    if (recordWriter.endInDoubt(pending.job())) {
+      pending.responder().respondRetry(RetryReason.END_IN_DOUBT);
     } else {
-      question.tellLastState().run();
+      pending.respondLastDurable().run();
     }
   }
 
-  /** Answers those that have waited for long, or all if writes do not get through. */
+  /** Responds to queries that have waited for too long, or to all if writes are stalled. */
   void tick(long nowMicros) {
     boolean stalled = recordWriter.stalled(nowMicros);
-    for (Iterator<List<Question>> all = waiting.values().iterator(); all.hasNext(); ) {
-      List<Question> questions = all.next();
-      questions.removeIf(
-          question -> {
-            boolean due = stalled || nowMicros - question.sinceMicros() > MAX_WAIT_MICROS;
+    for (Iterator<List<Pending>> lists = pendingByJob.values().iterator(); lists.hasNext(); ) {
+      List<Pending> ofJob = lists.next();
+      ofJob.removeIf(
+          pending -> {
+            boolean due = stalled || nowMicros - pending.sinceMicros() > MAX_WAIT_MICROS;
             if (due) {
-              answerWithoutEnd(question);
+              respondWithoutEnd(pending);
             }
             return due;
           });
-      if (questions.isEmpty()) {
-        all.remove();
+      if (ofJob.isEmpty()) {
+        lists.remove();
       }
     }
   }
 
   /** The job's end is durable. */
-  void onEnd(String jobId) {
-    List<Question> questions = waiting.remove(jobId);
-    if (questions != null) {
-      questions.forEach(question -> question.askAgain().run());
+  void onEndDurable(String jobId) {
+    List<Pending> ofJob = pendingByJob.remove(jobId);
+    if (ofJob != null) {
+      ofJob.forEach(pending -> pending.handleAgain().run());
     }
   }
 
-  /** The term is over: users are told to come back. */
+  /** The term is over: users are told to retry. */
   void close() {
-    waiting
-        .values()
-        .forEach(all -> all.forEach(item -> item.answer().later(RetryReason.NO_AUTHORITY)));
-    waiting.clear();
+    for (List<Pending> ofJob : pendingByJob.values()) {
+      ofJob.forEach(pending -> pending.responder().respondRetry(RetryReason.NO_AUTHORITY));
+    }
+    pendingByJob.clear();
   }
 }
--- a/src/main/java/org/dewreach/request/Responder.java
+++ b/src/main/java/org/dewreach/request/Responder.java
@@ -1,14 +1,15 @@
 package org.dewreach.request;
 
-import com.fasterxml.jackson.databind.JsonNode;
+import org.dewreach.wire.UserResponse;
 
-/** Where the answer to a user's request goes, whichever node took the request. */
+/** Where the response to a user's request goes, whichever node received the request. */
 @FunctionalInterface
 public interface Responder {
-  void send(int status, JsonNode body, int retryAfterS);
+  /** Sends the response; called once per request. */
+  void respond(UserResponse response);
 
-  /** Tells the user to come back. */
-  default void later(RetryReason reason) {
-    send(503, null, 1);
+  /** Tells the user to retry in a second, for the given reason. */
+  default void respondRetry(RetryReason reason) {
+    respond(UserResponse.unavailable(1));
   }
 }
--- a/src/main/java/org/dewreach/request/RetryCounts.java
+++ b/src/main/java/org/dewreach/request/RetryCounts.java
@@ -1,33 +1,33 @@
 package org.dewreach.request;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.Arrays;
-import java.util.Locale;
+import java.util.EnumMap;
+import java.util.Map;
 import java.util.stream.Collectors;
 
-/** How often users were told to come back, by reason, since the start of the process. */
+/** How often users were told to retry, by reason, since the start of the process. */
 final class RetryCounts {
-  private final long[] counts = new long[RetryReason.values().length];
+  private final Map<RetryReason, Long> counts = new EnumMap<>(RetryReason.class);
+
+  RetryCounts() {
+    for (RetryReason reason : RetryReason.values()) {
+      counts.put(reason, 0L);
+    }
+  }
 
   void add(RetryReason reason) {
-    counts[reason.ordinal()]++;
+    counts.merge(reason, 1L, Long::sum);
   }
 
   /** The reasons that occurred, with their counts. */
   String summary() {
-    return Arrays.stream(RetryReason.values())
-        .filter(reason -> counts[reason.ordinal()] > 0)
-        .map(reason -> name(reason) + " " + counts[reason.ordinal()])
+    return counts.entrySet().stream()
+        .filter(entry -> entry.getValue() > 0)
+        .map(entry -> entry.getKey().label() + " " + entry.getValue())
         .collect(Collectors.joining(", "));
   }
 
-  void fill(ObjectNode node) {
-    for (RetryReason reason : RetryReason.values()) {
-      node.put(name(reason), counts[reason.ordinal()]);
-    }
-  }
-
-  private static String name(RetryReason reason) {
-    return reason.name().toLowerCase(Locale.ROOT);
+  /** The counts of all reasons, in the order of the reasons. */
+  Map<RetryReason, Long> snapshot() {
+    return new EnumMap<>(counts);
   }
 }
--- a/src/main/java/org/dewreach/request/RetryReason.java
+++ b/src/main/java/org/dewreach/request/RetryReason.java
@@ -1,6 +1,8 @@
 package org.dewreach.request;
 
-/** Why a user was told to come back, counted for operators. */
+import java.util.Locale;
+
+/** Why a user was told to retry, counted for operators. */
 public enum RetryReason {
   /** More requests are in progress than the load limit allows. */
   LOAD_LIMIT,
@@ -27,5 +29,10 @@
   /** Only a leader can do this, and none was reached. */
   NEEDS_LEADER,
   /** A record of the job could not be read. */
-  RECORD_MALFORMED
+  RECORD_MALFORMED;
+
+  /** The reason's name in the log and in the stats. */
+  public String label() {
+    return name().toLowerCase(Locale.ROOT);
+  }
 }
--- /dev/null
+++ b/src/main/java/org/dewreach/request/SubmissionHandler.java
@@ -0,0 +1,179 @@
+package org.dewreach.request;
+
+import java.util.List;
+import java.util.Optional;
+import org.dewreach.config.Settings;
+import org.dewreach.model.Admission;
+import org.dewreach.model.Job;
+import org.dewreach.model.JobPhase;
+import org.dewreach.state.ClusterState;
+import org.dewreach.state.JobRecordWriter;
+import org.dewreach.state.MachineTypeCatalog;
+import org.dewreach.wire.HttpStatus;
+import org.dewreach.wire.JobSpec;
+import org.dewreach.wire.JobStatus;
+import org.dewreach.wire.MalformedException;
+import org.dewreach.wire.UserResponse;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The leader's handling of submissions. */
+final class SubmissionHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
+
+  private final ClusterState clusterState;
+  private final JobRecordWriter recordWriter;
+  private final JobLookup lookup;
+  private final PendingQueries pendingQueries;
+  private final MachineTypeCatalog catalog;
+  private final Settings settings;
+  private final long wallOffsetMicros;
+  private final WaitingResponders awaitingAcceptance = new WaitingResponders();
+
+  SubmissionHandler(
+      ClusterState clusterState,
+      JobRecordWriter recordWriter,
+      JobLookup lookup,
+      PendingQueries pendingQueries,
+      MachineTypeCatalog catalog,
+      Settings settings,
+      long wallOffsetMicros) {
+    this.clusterState = clusterState;
+    this.recordWriter = recordWriter;
+    this.lookup = lookup;
+    this.pendingQueries = pendingQueries;
+    this.catalog = catalog;
+    this.settings = settings;
+    this.wallOffsetMicros = wallOffsetMicros;
+  }
+
+  void handle(UserRequest.Submit submit, Responder responder, long nowMicros) {
+    String jobId = submit.jobId();
+    Job known = clusterState.jobs().get(jobId);
+    if (known != null) {
+      handleRepeat(submit, known, responder, nowMicros);
+      return;
+    }
+    JobSpec spec;
+    try {
+      spec = submit.submission().parseSpec();
+    } catch (MalformedException e) {
+      refuseUnlessKnown(jobId, responder, HttpStatus.BAD_REQUEST, e.getMessage(), nowMicros);
+      return;
+    }
+    if (!catalog.known()) {
+      responder.respondRetry(RetryReason.NO_CATALOG);
+      return;
+    }
+    if (recordWriter.stalled(nowMicros)) {
+      responder.respondRetry(RetryReason.WRITES_STALLED);
+      return;
+    }
+    String refusal = Admission.refusal(spec, settings.teams(), catalog.types());
+    if (refusal != null) {
+      refuseUnlessKnown(jobId, responder, HttpStatus.UNPROCESSABLE, refusal, nowMicros);
+      return;
+    }
+    accept(spec, responder, nowMicros);
+  }
+
+  private void accept(JobSpec spec, Responder responder, long nowMicros) {
+    String jobId = spec.id();
+    Job job = new Job(spec, nowMicros + wallOffsetMicros, true, JobPhase.PERSISTING);
+    clusterState.jobs().put(jobId, job);
+    awaitingAcceptance.add(jobId, responder);
+    if (!recordWriter.accept(job, nowMicros, () -> onRecordExists(job, nowMicros))) {
+      clusterState.jobs().remove(jobId);
+      awaitingAcceptance.respondRetry(jobId, RetryReason.WRITE_QUEUE_FULL);
+    }
+  }
+
+  /** A repeated submission of a job that the cluster state has. */
+  private void handleRepeat(
+      UserRequest.Submit submit, Job known, Responder responder, long nowMicros) {
+    if (known.phase() == JobPhase.PERSISTING) {
+      awaitingAcceptance.add(known.id(), responder);
+    } else if (PendingQueries.endIsBeingWritten(known)) {
+      pendingQueries.add(
+          known,
+          responder,
+          () -> respondStatus(known, responder),
+          () -> handle(submit, responder, nowMicros),
+          nowMicros);
+    } else {
+      respondStatus(known, responder);
+    }
+  }
+
+  private static void respondStatus(Job job, Responder responder) {
+    responder.respond(UserResponse.ok(JobStatus.withoutCounts(job.id(), job.jobState())));
+  }
+
+  /**
+   * A record exists although the cluster state lacks it: the job has ended, or was accepted without
+   * this leader.
+   */
+  private void onRecordExists(Job job, long nowMicros) {
+    clusterState.jobs().remove(job.id());
+    List<Responder> responders = awaitingAcceptance.remove(job.id());
+    if (responders.isEmpty()) {
+      return;
+    }
+    lookup.find(
+        job.id(),
+        found -> responders.forEach(responder -> respondFound(job.id(), found, responder)),
+        reason -> responders.forEach(responder -> responder.respondRetry(reason)),
+        nowMicros);
+  }
+
+  private static void respondFound(
+      String jobId, Optional<JobLookup.Found> found, Responder responder) {
+    if (found.isPresent()) {
+      JobStatus jobStatus = JobStatus.withoutCounts(jobId, found.get().jobState());
+      responder.respond(UserResponse.ok(jobStatus));
+    } else {
+      responder.respondRetry(RetryReason.BEING_ACCEPTED);
+    }
+  }
+
+  /** A repeat of a known job is answered with its state, even if it would be refused now. */
+  private void refuseUnlessKnown(
+      String jobId, Responder responder, int status, String error, long nowMicros) {
+    lookup.find(
+        jobId,
+        found -> {
+          // One that the cluster state has now was accepted during the lookup.
+          if (found.isPresent() || clusterState.jobs().containsKey(jobId)) {
+            respondFound(jobId, found, responder);
+          } else {
+            LOG.info("submission refused: job={} status={} error={}", jobId, status, error);
+            responder.respond(UserResponse.refused(status, error));
+          }
+        },
+        responder::respondRetry,
+        nowMicros);
+  }
+
+  /**
+   * Guards against responses held back while writes do not get through: users are told at once to
+   * retry.
+   */
+  void onWritesStalled() {
+    awaitingAcceptance.respondRetryToAll(RetryReason.WRITES_STALLED);
+  }
+
+  void onAccepted(Job job) {
+    // One that was accepted without this leader may have been cancelled without it too.
+    JobStatus jobStatus = JobStatus.withoutCounts(job.id(), job.jobState());
+    awaitingAcceptance.respond(job.id(), UserResponse.created(jobStatus));
+  }
+
+  void onImportFailed(String jobId) {
+    awaitingAcceptance.respondRetry(jobId, RetryReason.BEING_ACCEPTED);
+  }
+
+  /** The term is over: users are told to retry. */
+  void close() {
+    awaitingAcceptance.respondRetryToAll(RetryReason.NO_AUTHORITY);
+  }
+}
--- a/src/main/java/org/dewreach/request/UserRequest.java
+++ b/src/main/java/org/dewreach/request/UserRequest.java
@@ -1,13 +1,18 @@
 package org.dewreach.request;
 
-import com.fasterxml.jackson.databind.JsonNode;
+import org.dewreach.wire.JobSubmission;
 
-/** A user's request, after routing. */
+/** A user's request. */
 public sealed interface UserRequest {
+  /** The id of the job that the request is about; null in a submission without a valid id. */
   String jobId();
 
-  /** POST /work; the body is judged where it is handled. */
-  record Submit(String jobId, JsonNode body) implements UserRequest {}
+  /**
+   * POST /work.
+   *
+   * @param submission the body, which is parsed where the request is handled
+   */
+  record Submit(String jobId, JobSubmission submission) implements UserRequest {}
 
   /** GET /work/{id}. */
   record Query(String jobId) implements UserRequest {}
--- a/src/main/java/org/dewreach/request/UserRequestLimits.java
+++ b/src/main/java/org/dewreach/request/UserRequestLimits.java
@@ -1,15 +1,14 @@
 package org.dewreach.request;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The users' requests in progress on this controller, their limits, and why users were told to come
- * back.
+ * The users' requests in progress on this controller, their limits, and why users were told to
+ * retry.
  *
- * <p>Questions have a limit of their own. Guards against answers that need no write being shed for
+ * <p>Queries have a limit of their own. Guards against queries, which need no write, being shed for
  * as long as requests that wait for writes fill the limit, as after an outage or while more jobs
  * come than can be written.
  */
@@ -19,50 +18,53 @@
   /** Submissions and cancellations, which wait for writes. */
   private final ConcurrencyLimiter changes = new ConcurrencyLimiter();
 
-  private final ConcurrencyLimiter questions = new ConcurrencyLimiter();
+  private final ConcurrencyLimiter queries = new ConcurrencyLimiter();
   private final RetryCounts retries = new RetryCounts();
   private final LongSupplier nowMicros;
 
+  /**
+   * Limits without any request in progress.
+   *
+   * @param nowMicros tells event time
+   */
   public UserRequestLimits(LongSupplier nowMicros) {
     this.nowMicros = nowMicros;
   }
 
   private ConcurrencyLimiter limiterOf(UserRequest request) {
-    return request instanceof UserRequest.Query ? questions : changes;
+    return request instanceof UserRequest.Query ? queries : changes;
   }
 
-  /** True if the request is one too many; it is counted as shed then. */
+  /** True if the request exceeds its limit; it is counted as shed then. */
   public boolean sheds(UserRequest request) {
-    boolean full = limiterOf(request).full();
-    if (full) {
+    boolean sheds = limiterOf(request).sheds();
+    if (sheds) {
       retries.add(RetryReason.LOAD_LIMIT);
     }
-    return full;
+    return sheds;
   }
 
-  /** Counts the request as in progress until it is answered; what is sent goes to the target. */
-  public Responder enter(UserRequest request, Responder target) {
+  /** Counts the request as in progress until its response, which goes to the target. */
+  public Responder admit(UserRequest request, Responder target) {
     ConcurrencyLimiter limiter = limiterOf(request);
-    ConcurrencyLimiter.Entry entry = limiter.enter(nowMicros.getAsLong());
-    Responder leaving =
-        (status, body, retryAfterS) -> {
-          limiter.leave(entry, status, nowMicros.getAsLong());
-          target.send(status, body, retryAfterS);
+    ConcurrencyLimiter.Admitted admitted = limiter.admit(nowMicros.getAsLong());
+    Responder completing =
+        response -> {
+          limiter.complete(admitted, response, nowMicros.getAsLong());
+          target.respond(response);
         };
-    return new CountingResponder(leaving, retries);
+    return new CountingResponder(completing, retries);
   }
 
-  /** Logs what operators want to know from time to time. */
-  public void log() {
+  /** Logs a summary for operators. */
+  public void logSummary() {
     LOG.info("load of submissions and cancellations: {}", changes.summary());
-    LOG.info("load of questions: {}", questions.summary());
+    LOG.info("load of queries: {}", queries.summary());
     LOG.info("retries: {}", retries.summary());
   }
 
   /** Numbers for operators. */
-  public void fill(ObjectNode node) {
-    changes.fill(node.putObject("users"));
-    questions.fill(node.putObject("questions"));
-    retries.fill(node.putObject("retries"));
+  public UserRequestStats stats() {
+    return new UserRequestStats(changes.stats(), queries.stats(), retries.snapshot());
   }
 }
--- a/src/main/java/org/dewreach/request/UserRequestParser.java
+++ b/src/main/java/org/dewreach/request/UserRequestParser.java
@@ -1,13 +1,13 @@
 package org.dewreach.request;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.dewreach.wire.JobSpec;
+import org.dewreach.wire.JobSubmission;
 
 /** Maps the method and path of a user's HTTP request to a typed request. */
 public final class UserRequestParser {
   private static final String JOBS_PATH = "/work";
   private static final String JOB_PREFIX = JOBS_PATH + "/";
-  private static final String WITHDRAW_SUFFIX = "/abort";
+  private static final String CANCEL_SUFFIX = "/abort";
 
   private UserRequestParser() {}
 
@@ -18,7 +18,7 @@
    */
   public static UserRequest parse(String method, String path, JsonNode body) {
     if (path.equals(JOBS_PATH)) {
-      return method.equals("POST") ? new UserRequest.Submit(validId(body), body) : null;
+      return method.equals("POST") ? submit(new JobSubmission(body)) : null;
     }
     if (!path.startsWith(JOB_PREFIX)) {
       return null;
@@ -27,15 +27,13 @@
     if (method.equals("GET") && rest.indexOf('/') < 0) {
       return new UserRequest.Query(rest);
     }
-    if (method.equals("POST") && rest.endsWith(WITHDRAW_SUFFIX)) {
-      return new UserRequest.Cancel(rest.substring(0, rest.length() - WITHDRAW_SUFFIX.length()));
+    if (method.equals("POST") && rest.endsWith(CANCEL_SUFFIX)) {
+      return new UserRequest.Cancel(rest.substring(0, rest.length() - CANCEL_SUFFIX.length()));
     }
     return null;
   }
 
-  private static String validId(JsonNode body) {
-    JsonNode uid = body == null ? null : body.get("uid");
-    boolean valid = uid != null && uid.isTextual() && JobSpec.isId(uid.textValue());
-    return valid ? uid.textValue() : null;
+  private static UserRequest submit(JobSubmission submission) {
+    return new UserRequest.Submit(submission.jobIdOrNull(), submission);
   }
 }
--- a/src/main/java/org/dewreach/wire/JobState.java
+++ b/src/main/java/org/dewreach/wire/JobState.java
@@ -1,7 +1,5 @@
 package org.dewreach.wire;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-
 /** What a user is told about a job. */
 public enum JobState {
   /** Accepted; no task has been started. */
@@ -33,14 +31,4 @@
     }
     throw new MalformedException("standing: unknown");
   }
-
-  /** The answer to a submission or a cancellation. */
-  public ObjectNode answer(String jobId) {
-    return Codec.map().put("uid", jobId).put("standing", word);
-  }
-
-  /** The answer to a query. */
-  public ObjectNode answer(String jobId, int done, int running) {
-    return answer(jobId).put("done", done).put("running", running);
-  }
 }
--- a/src/test/java/org/dewreach/sim/BadInputTest.java
+++ b/src/test/java/org/dewreach/sim/BadInputTest.java
@@ -205,8 +205,9 @@
    * known, so 503 is right there for whatever depends on that. Without a leader the state service
    * tells.
    *
-   * <p>Guards: {@code JobRequestHandler.unlessKnown} and {@code
-   * LeaderlessRequestHandler.unlessKnown}; {@code Answer.later}, which says when to come back.
+   * <p>Guards: {@code SubmissionHandler.refuseUnlessKnown} and {@code
+   * LeaderlessRequestHandler.respondUnlessKnown}; {@code Responder.respondRetry}, which says when
+   * to come back.
    */
   @ParameterizedTest
   @EnumSource(Situation.class)
--- a/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
+++ b/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
@@ -288,7 +288,7 @@
   }
 
   /**
-   * Red without counting all reads in {@code LeaderlessRequestHandler.read}: what users had asked a
+   * Red without counting all reads in {@code StoredJobReader.read}: what users had asked a
    * controller that stood still took 335 state requests in one second, of 250 allowed; now 147.
    */
   @ParameterizedTest(name = "{0}")
