--- a/src/main/java/org/dewreach/cli/ClassLoadingRun.java
+++ b/src/main/java/org/dewreach/cli/ClassLoadingRun.java
@@ -18,7 +18,7 @@
 import org.dewreach.config.SettingsReader;
 import org.dewreach.config.Tuning;
 import org.dewreach.controller.Controller;
-import org.dewreach.net.Bodies;
+import org.dewreach.net.BodyFormat;
 import org.dewreach.net.HttpClient;
 import org.dewreach.net.HttpServer;
 import org.dewreach.port.Event;
@@ -117,10 +117,10 @@
   private static void talk() throws InterruptedException {
     EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try {
-      for (Bodies bodies : Bodies.values()) {
+      for (BodyFormat format : BodyFormat.values()) {
         HttpServer server =
             new HttpServer(
-                bodies,
+                format,
                 (method, path, body, reply) -> reply.send(HttpStatus.OK, body, 1),
                 MAX_CONNECTIONS);
         Channel channel = server.listen(loop, new Settings.Address("127.0.0.1", 0));
@@ -131,7 +131,7 @@
                 new HttpClient(loop, 2, 2)
                     .call(
                         new Settings.Address("127.0.0.1", port),
-                        bodies,
+                        format,
                         "POST",
                         "/work",
                         Codec.map().put("text", "x").put("number", SAMPLE_NUMBER).put("count", 1),
--- a/src/main/java/org/dewreach/cli/JobCommands.java
+++ b/src/main/java/org/dewreach/cli/JobCommands.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import org.dewreach.config.Settings;
-import org.dewreach.net.Bodies;
+import org.dewreach.net.BodyFormat;
 import org.dewreach.net.HttpClient;
 import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.JobSpec;
@@ -50,7 +50,7 @@
             () ->
                 client.call(
                     address,
-                    Bodies.CBOR,
+                    BodyFormat.CBOR,
                     method,
                     path,
                     body,
--- /dev/null
+++ b/src/main/java/org/dewreach/net/BodyFormat.java
@@ -0,0 +1,57 @@
+package org.dewreach.net;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import org.dewreach.peer.PeerCodec;
+import org.dewreach.wire.Codec;
+
+/** How bodies are encoded on a connection. */
+public enum BodyFormat {
+  /** CBOR, at the public interfaces. */
+  CBOR("application/cbor", Codec::read, Codec::write),
+  /** MessagePack, between controllers. */
+  MESSAGE_PACK("application/msgpack", PeerCodec::read, PeerCodec::write);
+
+  /** Decodes a body. */
+  private interface Decoder {
+    JsonNode decode(byte[] body) throws IOException;
+  }
+
+  /** Encodes a body. */
+  private interface Encoder {
+    byte[] encode(JsonNode body);
+  }
+
+  private final String mediaType;
+  private final Decoder decoder;
+  private final Encoder encoder;
+
+  BodyFormat(String mediaType, Decoder decoder, Encoder encoder) {
+    this.mediaType = mediaType;
+    this.decoder = decoder;
+    this.encoder = encoder;
+  }
+
+  String mediaType() {
+    return mediaType;
+  }
+
+  /** The encoded body; empty for null. */
+  byte[] encode(JsonNode body) {
+    return body == null ? new byte[0] : encoder.encode(body);
+  }
+
+  /** The decoded body, or null if it is empty or cannot be decoded. */
+  JsonNode decodeOrNull(byte[] body) {
+    if (body.length == 0) {
+      return null;
+    }
+    try {
+      JsonNode node = decoder.decode(body);
+      return node == null || node.isMissingNode() ? null : node;
+    } catch (IOException | RuntimeException e) {
+      // Decoders of untrusted bytes also throw unchecked; to the sender both are malformed.
+      return null;
+    }
+  }
+}
--- a/src/main/java/org/dewreach/net/HttpClient.java
+++ b/src/main/java/org/dewreach/net/HttpClient.java
@@ -54,15 +54,15 @@
   private static final int CONNECT_TIMEOUT_MS = 3_000;
 
   /** How long a connection is kept without a call. */
-  private static final long KEPT_MICROS = 30_000_000;
+  private static final long IDLE_TIMEOUT_MICROS = 30_000_000;
 
-  private static final long SWEEP_MICROS = 5_000_000;
+  private static final long EXPIRY_CHECK_INTERVAL_MICROS = 5_000_000;
 
-  /** Takes the outcome; status 0 if no response came. */
+  /** Takes the outcome of a call; status 0 if no response came. */
   @FunctionalInterface
-  public interface Outcome {
+  public interface ResponseHandler {
     /** Called once per call. */
-    void on(int status, JsonNode body);
+    void onResponse(int status, JsonNode body);
   }
 
   private final EventLoopGroup loop;
@@ -74,7 +74,7 @@
   private final Set<Connection> idle = new LinkedHashSet<>();
 
   private int open;
-  private boolean sweeping;
+  private boolean expiryCheckScheduled;
 
   /**
    * A client.
@@ -90,40 +90,40 @@
   /** Sends a request; the outcome comes later, on the event loop. */
   public void call(
       Settings.Address address,
-      Bodies bodies,
+      BodyFormat format,
       String method,
       String path,
       JsonNode body,
       long timeoutMicros,
-      Outcome outcome) {
-    Call call = new Call(bodies, method, path, body, outcome);
+      ResponseHandler handler) {
+    Call call = new Call(format, method, path, body, handler);
     Pool pool = pools.computeIfAbsent(address, Pool::new);
-    call.timer = loop.schedule(() -> pool.timedOut(call), timeoutMicros, TimeUnit.MICROSECONDS);
+    call.timer = loop.schedule(() -> pool.onTimeout(call), timeoutMicros, TimeUnit.MICROSECONDS);
     pool.submit(call);
-    if (!sweeping) {
-      sweeping = true;
-      loop.schedule(this::sweep, SWEEP_MICROS, TimeUnit.MICROSECONDS);
+    if (!expiryCheckScheduled) {
+      expiryCheckScheduled = true;
+      loop.schedule(this::closeExpired, EXPIRY_CHECK_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
     }
   }
 
   /** Closes what has been idle for long, and forgets hosts without connections. */
-  private void sweep() {
+  private void closeExpired() {
     long now = System.nanoTime();
     for (Connection connection : List.copyOf(idle)) {
-      if (now - connection.idleSinceNanos < TimeUnit.MICROSECONDS.toNanos(KEPT_MICROS)) {
+      if (now - connection.idleSinceNanos < TimeUnit.MICROSECONDS.toNanos(IDLE_TIMEOUT_MICROS)) {
         break;
       }
       connection.close();
     }
-    pools.values().removeIf(Pool::unused);
-    sweeping = !pools.isEmpty();
-    if (sweeping) {
-      loop.schedule(this::sweep, SWEEP_MICROS, TimeUnit.MICROSECONDS);
+    pools.values().removeIf(Pool::isUnused);
+    expiryCheckScheduled = !pools.isEmpty();
+    if (expiryCheckScheduled) {
+      loop.schedule(this::closeExpired, EXPIRY_CHECK_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
     }
   }
 
   /** True if one more may be opened, for which the longest idle one makes way. */
-  private boolean evictIdleConnection() {
+  private boolean makeRoom() {
     if (open >= maxOpen && !idle.isEmpty()) {
       idle.iterator().next().close();
     }
@@ -134,30 +134,50 @@
     return open;
   }
 
+  /** Decodes responses for one connection. */
+  private static final class ResponsePipeline extends ChannelInitializer<SocketChannel> {
+    private final Connection connection;
+
+    ResponsePipeline(Connection connection) {
+      this.connection = connection;
+    }
+
+    @Override
+    protected void initChannel(SocketChannel channel) {
+      channel
+          .pipeline()
+          .addLast(
+              new HttpClientCodec(
+                  HttpLimits.MAX_INITIAL_LINE, HttpLimits.MAX_HEADERS, HttpLimits.MAX_CHUNK))
+          .addLast(new HttpObjectAggregator(MAX_RESPONSE))
+          .addLast(connection);
+    }
+  }
+
   /** A call that has no outcome yet, or had one. */
   private static final class Call {
-    final Bodies bodies;
+    final BodyFormat format;
     final String method;
     final String path;
     final JsonNode body;
-    final Outcome outcome;
+    final ResponseHandler handler;
     ScheduledFuture<?> timer;
     Connection connection;
     boolean ended;
 
-    Call(Bodies bodies, String method, String path, JsonNode body, Outcome outcome) {
-      this.bodies = bodies;
+    Call(BodyFormat format, String method, String path, JsonNode body, ResponseHandler handler) {
+      this.format = format;
       this.method = method;
       this.path = path;
       this.body = body;
-      this.outcome = outcome;
+      this.handler = handler;
     }
 
     void end(int status, JsonNode answer) {
       if (!ended) {
         ended = true;
         timer.cancel(false);
-        outcome.on(status, answer);
+        handler.onResponse(status, answer);
       }
     }
   }
@@ -173,7 +193,7 @@
       this.address = address;
     }
 
-    boolean unused() {
+    boolean isUnused() {
       return connections == 0 && queued.isEmpty();
     }
 
@@ -182,7 +202,7 @@
       if (connection != null) {
         idle.remove(connection);
         connection.send(call);
-      } else if (connections < maxPerHost && evictIdleConnection()) {
+      } else if (connections < maxPerHost && makeRoom()) {
         connections++;
         open++;
         connect(call);
@@ -205,24 +225,10 @@
               .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
               .option(ChannelOption.TCP_NODELAY, true)
               .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-              .handler(
-                  new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel channel) {
-                      channel
-                          .pipeline()
-                          .addLast(
-                              new HttpClientCodec(
-                                  HttpLimits.MAX_INITIAL_LINE,
-                                  HttpLimits.MAX_HEADERS,
-                                  HttpLimits.MAX_CHUNK))
-                          .addLast(new HttpObjectAggregator(MAX_RESPONSE))
-                          .addLast(connection);
-                    }
-                  });
+              .handler(new ResponsePipeline(connection));
       ChannelFuture future = bootstrap.connect(address.host(), address.port());
       connection.channel = future.channel();
-      connection.channel.closeFuture().addListener(closed -> connection.closed());
+      connection.channel.closeFuture().addListener(ignored -> connection.onClosed());
       future.addListener(
           connected -> {
             if (connected.isSuccess() && !call.ended) {
@@ -233,7 +239,7 @@
           });
     }
 
-    void timedOut(Call call) {
+    void onTimeout(Call call) {
       queued.remove(call);
       if (call.connection != null) {
         call.connection.close();
@@ -241,7 +247,7 @@
       call.end(0, null);
     }
 
-    void freed(Connection connection) {
+    void onReleased(Connection connection) {
       Call next = queued.poll();
       if (next != null) {
         connection.send(next);
@@ -252,7 +258,7 @@
       }
     }
 
-    void lost(Connection connection) {
+    void onClosed(Connection connection) {
       connections--;
       open--;
       free.remove(connection);
@@ -269,7 +275,7 @@
     private final Pool pool;
     private Channel channel;
     private Call current;
-    private boolean gone;
+    private boolean closed;
     private long idleSinceNanos;
 
     Connection(Pool pool) {
@@ -279,7 +285,7 @@
     void send(Call call) {
       current = call;
       call.connection = this;
-      byte[] content = call.body == null ? new byte[0] : call.bodies.write(call.body);
+      byte[] content = call.format.encode(call.body);
       FullHttpRequest request =
           new DefaultFullHttpRequest(
               HttpVersion.HTTP_1_1,
@@ -287,18 +293,18 @@
               call.path,
               Unpooled.wrappedBuffer(content));
       request.headers().set(HttpHeaderNames.HOST, pool.address.toString());
-      request.headers().set(HttpHeaderNames.CONTENT_TYPE, call.bodies.mediaType());
+      request.headers().set(HttpHeaderNames.CONTENT_TYPE, call.format.mediaType());
       HttpUtil.setContentLength(request, content.length);
       channel.writeAndFlush(request);
     }
 
     void release() {
       current = null;
-      if (gone) {
+      if (closed) {
         return;
       }
       if (channel.isActive()) {
-        pool.freed(this);
+        pool.onReleased(this);
       } else {
         close();
       }
@@ -310,14 +316,14 @@
       }
     }
 
-    void closed() {
-      if (gone) {
+    void onClosed() {
+      if (closed) {
         return;
       }
-      gone = true;
+      closed = true;
       Call call = current;
       current = null;
-      pool.lost(this);
+      pool.onClosed(this);
       if (call != null) {
         call.end(0, null);
       }
@@ -330,7 +336,7 @@
         close();
         return;
       }
-      JsonNode body = call.bodies.readOrNull(ByteBufUtil.getBytes(response.content()));
+      JsonNode body = call.format.decodeOrNull(ByteBufUtil.getBytes(response.content()));
       int status = response.status().code();
       if (HttpUtil.isKeepAlive(response)) {
         release();
--- a/src/main/java/org/dewreach/net/HttpServer.java
+++ b/src/main/java/org/dewreach/net/HttpServer.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.netty.bootstrap.ServerBootstrap;
+import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.buffer.UnpooledByteBufAllocator;
@@ -40,7 +41,10 @@
   /** Bytes of a request's body; longer ones are malformed. */
   private static final int MAX_BODY = 64 * 1024;
 
-  /** Users poll about every 5 s and workers report more often: silent for this long is gone. */
+  /**
+   * Users poll about every 5 s and workers send heartbeats more often: silent for this long is
+   * gone.
+   */
   private static final int IDLE_S = 90;
 
   /**
@@ -57,7 +61,7 @@
      *
      * @param body the decoded body; null if there was none or it could not be decoded
      */
-    void on(String method, String path, JsonNode body, Reply reply);
+    void onRequest(String method, String path, JsonNode body, Reply reply);
   }
 
   /** Sends the answer to one request. */
@@ -71,18 +75,18 @@
     void send(int status, JsonNode body, int retryAfterS);
   }
 
-  private final Bodies bodies;
+  private final BodyFormat format;
   private final Handler handler;
   private final int maxConnections;
   private final long silentNanos;
   private int connections;
 
   /** Connections without a request in progress, the one that has been so for longest first. */
-  private final Set<Requests> idle = new LinkedHashSet<>();
+  private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
   /** A server that lets a connection make way after the usual time. */
-  public HttpServer(Bodies bodies, Handler handler, int maxConnections) {
-    this(bodies, handler, maxConnections, SILENT_MICROS);
+  public HttpServer(BodyFormat format, Handler handler, int maxConnections) {
+    this(format, handler, maxConnections, SILENT_MICROS);
   }
 
   /**
@@ -90,8 +94,8 @@
    *
    * @param silentMicros when sockets run out, a connection that was silent for longer makes way
    */
-  public HttpServer(Bodies bodies, Handler handler, int maxConnections, long silentMicros) {
-    this.bodies = bodies;
+  public HttpServer(BodyFormat format, Handler handler, int maxConnections, long silentMicros) {
+    this.format = format;
     this.handler = handler;
     this.maxConnections = maxConnections;
     this.silentNanos = TimeUnit.MICROSECONDS.toNanos(silentMicros);
@@ -120,20 +124,20 @@
   }
 
   private void accept(SocketChannel channel) {
-    if (connections >= maxConnections && !closeIdle()) {
-      // Sockets are kept for calls to workers, the state service and the cloud.
+    if (connections >= maxConnections && !closeLongestIdle()) {
+      // The other sockets are for calls to workers, the key-value store and the cloud.
       channel.close();
       return;
     }
-    Requests requests = new Requests(channel);
+    ClientConnection connection = new ClientConnection(channel);
     connections++;
-    requests.rest();
+    connection.markIdle();
     channel
         .closeFuture()
         .addListener(
             future -> {
               connections--;
-              idle.remove(requests);
+              idle.remove(connection);
             });
     channel
         .pipeline()
@@ -142,19 +146,19 @@
             new HttpServerCodec(
                 HttpLimits.MAX_INITIAL_LINE, HttpLimits.MAX_HEADERS, HttpLimits.MAX_CHUNK))
         .addLast(new Aggregator())
-        .addLast(requests);
+        .addLast(connection);
   }
 
   /**
    * Closes the connection that has been silent for longest, if that is longer than users and
    * workers ever are. Guards against half-open and silent connections that keep others out.
    */
-  private boolean closeIdle() {
+  private boolean closeLongestIdle() {
     if (idle.isEmpty()) {
       return false;
     }
-    Requests longest = idle.iterator().next();
-    if (System.nanoTime() - longest.restingSinceNanos < silentNanos) {
+    ClientConnection longest = idle.iterator().next();
+    if (System.nanoTime() - longest.idleSinceNanos < silentNanos) {
       return false;
     }
     longest.channel.close();
@@ -170,31 +174,30 @@
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
       // The protocol calls this malformed (400), where HTTP would say 413.
-      FullHttpResponse response = plain(HttpResponseStatus.BAD_REQUEST, Unpooled.EMPTY_BUFFER);
+      FullHttpResponse response = response(HttpResponseStatus.BAD_REQUEST, Unpooled.EMPTY_BUFFER);
       response.headers().set(HttpHeaderNames.CONNECTION, "close");
       context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
   }
 
-  private static FullHttpResponse plain(
-      HttpResponseStatus status, io.netty.buffer.ByteBuf content) {
+  private static FullHttpResponse response(HttpResponseStatus status, ByteBuf content) {
     FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
     HttpUtil.setContentLength(response, content.readableBytes());
     return response;
   }
 
-  /** The requests of one connection. */
-  private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+  /** The requests of one client connection. */
+  private final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final Channel channel;
-    private long restingSinceNanos;
+    private long idleSinceNanos;
 
-    Requests(Channel channel) {
+    ClientConnection(Channel channel) {
       this.channel = channel;
     }
 
     /** No request is in progress here. */
-    void rest() {
-      restingSinceNanos = System.nanoTime();
+    void markIdle() {
+      idleSinceNanos = System.nanoTime();
       idle.add(this);
     }
 
@@ -206,8 +209,8 @@
         send(context, HttpStatus.BAD_REQUEST, null, 0, false);
         return;
       }
-      JsonNode body = bodies.readOrNull(ByteBufUtil.getBytes(request.content()));
-      handler.on(
+      JsonNode body = format.decodeOrNull(ByteBufUtil.getBytes(request.content()));
+      handler.onRequest(
           request.method().name(),
           request.uri(),
           body,
@@ -216,10 +219,10 @@
 
     private void send(
         ChannelHandlerContext context, int status, JsonNode body, int retryAfterS, boolean keep) {
-      byte[] content = body == null ? new byte[0] : bodies.write(body);
+      byte[] content = format.encode(body);
       FullHttpResponse response =
-          plain(HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(content));
-      response.headers().set(HttpHeaderNames.CONTENT_TYPE, bodies.mediaType());
+          response(HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(content));
+      response.headers().set(HttpHeaderNames.CONTENT_TYPE, format.mediaType());
       if (retryAfterS > 0) {
         response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterS);
       }
@@ -227,7 +230,7 @@
         response.headers().set(HttpHeaderNames.CONNECTION, "close");
       }
       if (channel.isActive()) {
-        rest();
+        markIdle();
       }
       var sent = context.writeAndFlush(response);
       if (!keep) {
@@ -237,7 +240,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      LOG.debug("connection closed: {}", cause.toString());
+      LOG.debug("client connection failed: cause=\"{}\"", cause.toString());
       context.close();
     }
   }
--- a/src/main/java/org/dewreach/net/Node.java
+++ b/src/main/java/org/dewreach/net/Node.java
@@ -19,7 +19,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A running controller: the core on an event loop, with its servers and its client. */
+/** A running controller: the core on an event loop, with its servers and its clients. */
 public final class Node {
   private static final Logger LOG = LoggerFactory.getLogger(Node.class);
   private static final long TICK_MS = 50;
@@ -27,8 +27,8 @@
   /** Exit status after an error in the core, as in sysexits.h. */
   private static final int EXIT_INTERNAL_ERROR = 70;
 
-  /** A worker's connection without so many reports in a row may be gone. */
-  private static final int SILENT_REPORTS = 3;
+  /** A worker's connection without so many heartbeats in a row may be gone. */
+  private static final int SILENT_HEARTBEATS = 3;
 
   /** Calls to one host at a time; a watch occupies one of them. */
   private static final int MAX_CALLS_PER_HOST = 16;
@@ -39,18 +39,21 @@
    */
   private static final int MAX_LEADERSHIP_CALLS_PER_HOST = 4;
 
-  /** A command, and a question for its count. */
+  /** A command, and a status request. */
   private static final int MAX_CALLS_PER_WORKER = 2;
 
-  /** Sockets for what is not counted one by one: listening, an operator's look, one just closed. */
+  /** Sockets not counted one by one: listening, an operator's request, one just closed. */
   private static final int OTHER_SOCKETS = 8;
 
+  /** Nothing listens there. */
+  private static final Settings.Address UNREACHABLE = new Settings.Address("127.0.0.1", 1);
+
   private final Settings settings;
   private final EventLoopGroup loop;
-  private final HttpClient services;
-  private final HttpClient authority;
-  private final HttpClient workers;
-  private final Controller core;
+  private final HttpClient serviceClient;
+  private final HttpClient leadershipClient;
+  private final HttpClient workerClient;
+  private final Controller controller;
   private final Map<String, Settings.Address> members = new HashMap<>();
   private final Long2ObjectOpenHashMap<HttpServer.Reply> requests = new Long2ObjectOpenHashMap<>();
   private final long startNanos;
@@ -66,12 +69,12 @@
     this.startNanos = startNanos;
     this.loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     int hosts = settings.members().size() + 2;
-    this.services = new HttpClient(loop, MAX_CALLS_PER_HOST, hosts * MAX_CALLS_PER_HOST);
+    this.serviceClient = new HttpClient(loop, MAX_CALLS_PER_HOST, hosts * MAX_CALLS_PER_HOST);
     int electorate = settings.members().size() + 1;
-    this.authority =
+    this.leadershipClient =
         new HttpClient(
             loop, MAX_LEADERSHIP_CALLS_PER_HOST, electorate * MAX_LEADERSHIP_CALLS_PER_HOST);
-    this.workers =
+    this.workerClient =
         new HttpClient(loop, MAX_CALLS_PER_WORKER, settings.limits().connectionsToWorkers());
     long wallMicros = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
     // Two processes of a node are told apart by their start; the clock alone may step back.
@@ -81,7 +84,7 @@
             + Long.toString(ProcessHandle.current().pid(), Character.MAX_RADIX)
             + "-"
             + Long.toString(startNanos, Character.MAX_RADIX);
-    this.core =
+    this.controller =
         new Controller(settings, tuning, boot, new Random(boot.hashCode()), wallMicros - now());
     settings.members().forEach(member -> members.put(member.name(), member.address()));
   }
@@ -101,17 +104,20 @@
         Math.max(OTHER_SOCKETS, settings.limits().connectionsFromClients(fromPeers + toServices));
     HttpServer clients =
         new HttpServer(
-            Bodies.CBOR,
+            BodyFormat.CBOR,
             (m, p, b, r) -> request(Event.Source.PUBLIC, m, p, b, r),
             fromClients,
-            Math.max(HttpServer.SILENT_MICROS, SILENT_REPORTS * settings.workers().reportMicros()));
+            Math.max(
+                HttpServer.SILENT_MICROS, SILENT_HEARTBEATS * settings.workers().reportMicros()));
     HttpServer peers =
         new HttpServer(
-            Bodies.MESSAGE_PACK, (m, p, b, r) -> request(Event.Source.PEER, m, p, b, r), fromPeers);
+            BodyFormat.MESSAGE_PACK,
+            (m, p, b, r) -> request(Event.Source.PEER, m, p, b, r),
+            fromPeers);
     peers.listen(loop, settings.internalListen());
     clients.listen(loop, settings.clientListen());
     loop.scheduleAtFixedRate(() -> handle(new Event.Tick()), 0, TICK_MS, TimeUnit.MILLISECONDS);
-    LOG.info("node {} serves users at {}", settings.name(), settings.clientListen());
+    LOG.info("controller started: node={} address={}", settings.name(), settings.clientListen());
   }
 
   private void request(
@@ -123,10 +129,11 @@
 
   private void handle(Event event) {
     try {
-      core.handle(now(), event).forEach(this::carryOut);
+      controller.handle(now(), event).forEach(this::carryOut);
     } catch (RuntimeException e) {
       // The cluster state may be half changed: ending here lets a clean start rebuild them.
-      LOG.error("the core failed on {}: ending this process", event.getClass().getSimpleName(), e);
+      LOG.error(
+          "controller failed, ending the process: event={}", event.getClass().getSimpleName(), e);
       Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
     }
   }
@@ -149,7 +156,7 @@
       client(call)
           .call(
               address(target),
-              target instanceof Target.Member ? Bodies.MESSAGE_PACK : Bodies.CBOR,
+              target instanceof Target.Member ? BodyFormat.MESSAGE_PACK : BodyFormat.CBOR,
               call.method(),
               call.path(),
               call.body(),
@@ -160,19 +167,19 @@
 
   private HttpClient client(Effect.Call call) {
     if (call.target() instanceof Target.Worker) {
-      return workers;
+      return workerClient;
     }
-    return call.pool() == ConnectionPool.LEADERSHIP ? authority : services;
+    return call.pool() == ConnectionPool.LEADERSHIP ? leadershipClient : serviceClient;
   }
 
-  /** A worker's own word; one that is no address leads nowhere, and the call ends unanswered. */
-  private static Settings.Address parse(String text) {
+  /** The address that a worker gave; if it is malformed, the call ends without a response. */
+  private static Settings.Address workerAddress(String text) {
     int colon = text.lastIndexOf(':');
     try {
       return new Settings.Address(
           text.substring(0, Math.max(0, colon)), Integer.parseInt(text.substring(colon + 1)));
     } catch (NumberFormatException e) {
-      return new Settings.Address("127.0.0.1", 1);
+      return UNREACHABLE;
     }
   }
 
@@ -181,7 +188,7 @@
       return members.get(member.name());
     }
     if (target instanceof Target.Worker worker) {
-      return parse(worker.address());
+      return workerAddress(worker.address());
     }
     return target instanceof Target.Cloud ? settings.cloud() : settings.state();
   }
