--- a/src/main/java/org/dewreach/request/ConcurrencyStats.java
+++ b/src/main/java/org/dewreach/request/ConcurrencyStats.java
@@ -21,4 +21,23 @@
     long shed,
     long p50Micros,
     long p99Micros,
-    long maxMicros) {}
+    long maxMicros) {
+
+  /** One line for the log. */
+  String summary() {
+    return "in_progress="
+        + inProgress
+        + " limit="
+        + limit
+        + " answered="
+        + answered
+        + " turned_away="
+        + turnedAway
+        + " shed="
+        + shed
+        + " p50_us="
+        + p50Micros
+        + " p99_us="
+        + p99Micros;
+  }
+}
--- /dev/null
+++ b/src/test/java/org/dewreach/request/LeaderForwarderTest.java
@@ -0,0 +1,134 @@
+package org.dewreach.request;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import org.dewreach.cloud.CloudClient;
+import org.dewreach.config.Settings;
+import org.dewreach.controller.SettingsFixture;
+import org.dewreach.history.FinalStates;
+import org.dewreach.peer.ForwardedReply;
+import org.dewreach.peer.ForwardedRequest;
+import org.dewreach.peer.PeerMessageCodec;
+import org.dewreach.port.Effect;
+import org.dewreach.port.Event;
+import org.dewreach.port.Outbox;
+import org.dewreach.port.Target;
+import org.dewreach.state.MachineTypeCatalog;
+import org.dewreach.store.KeyValueStore;
+import org.dewreach.wire.Codec;
+import org.dewreach.wire.JobState;
+import org.dewreach.wire.JobStatus;
+import org.dewreach.wire.JobSubmission;
+import org.dewreach.wire.UserResponse;
+import org.dewreach.wire.UserResponseCodec;
+import org.junit.jupiter.api.Test;
+
+/** What a follower does with the leader's replies to forwarded requests. */
+class LeaderForwarderTest {
+  private static final long S = 1_000_000;
+  private static final Settings SETTINGS = SettingsFixture.oneNode();
+  private static final UserRequest QUERY = new UserRequest.Query("req-1");
+  private static final UserRequest CANCEL = new UserRequest.Cancel("req-1");
+  private static final UserRequest SUBMIT =
+      new UserRequest.Submit("req-1", new JobSubmission(Codec.map().put("uid", "req-1")));
+  private static final ForwardedRequest MESSAGE = new ForwardedRequest("GET", "/work/req-1", null);
+
+  private final Outbox outbox = new Outbox();
+  private final KeyValueStore state = new KeyValueStore(outbox);
+  private final MachineTypeCatalog catalog =
+      new MachineTypeCatalog(state, new CloudClient(outbox, 100));
+  private final LeaderForwarder forwarder =
+      new LeaderForwarder(
+          outbox,
+          new LeaderlessRequestHandler(
+              state, new FinalStates(), catalog, SETTINGS, "boot", () -> S, 0));
+  private final List<UserResponse> responses = new ArrayList<>();
+
+  /** Forwards a request and returns the call to the leader. */
+  private Effect.Call forward(UserRequest request, long nowMicros) {
+    forwarder.forward("n2", MESSAGE, request, responses::add, nowMicros);
+    Effect.Call call = (Effect.Call) outbox.drain().get(0);
+    assertEquals(new Target.Member("n2"), call.target());
+    return call;
+  }
+
+  private void reply(Effect.Call call, int status, JsonNode body, long nowMicros) {
+    outbox.reply(nowMicros, new Event.Reply(call.callId(), status, body));
+  }
+
+  private void reply(Effect.Call call, ForwardedReply reply, long nowMicros) {
+    reply(call, 200, PeerMessageCodec.encode(reply), nowMicros);
+  }
+
+  /** True if the request was given to the handler that needs no leader, which reads the job. */
+  private boolean servedWithoutLeader() {
+    List<Effect> effects = outbox.drain();
+    return effects.size() == 1
+        && effects.get(0) instanceof Effect.Call call
+        && call.target() == Target.STATE;
+  }
+
+  @Test
+  void theLeadersResponseBecomesTheUsers() {
+    JobStatus jobStatus = JobStatus.withCounts("req-1", JobState.RUNNING, 1, 2);
+    UserResponse response = UserResponse.ok(jobStatus);
+    reply(forward(QUERY, S), new ForwardedReply.Handled(response), S);
+    assertEquals(1, responses.size());
+    assertEquals(200, responses.get(0).status());
+    assertEquals(
+        UserResponseCodec.encode(jobStatus), UserResponseCodec.encode(responses.get(0).body()));
+    assertFalse(forwarder.doubtsLeader(S));
+  }
+
+  @Test
+  void ofABusyLeaderUsersAreToldToRetryLater() {
+    reply(forward(QUERY, S), new ForwardedReply.Busy(), S);
+    assertEquals(List.of(UserResponse.unavailable(ConcurrencyLimiter.BUSY_RETRY_S)), responses);
+    assertFalse(forwarder.isPausedFor(QUERY, S));
+  }
+
+  @Test
+  void aNodeThatDoesNotLeadIsLeftAloneForAWhileAndDoubted() {
+    reply(forward(QUERY, S), new ForwardedReply.NotLeading(), S);
+    assertTrue(servedWithoutLeader());
+    assertTrue(forwarder.isPausedFor(QUERY, S));
+    assertTrue(forwarder.isPausedFor(SUBMIT, S));
+    assertFalse(forwarder.isPausedFor(CANCEL, S), "only the leader can cancel a job that runs");
+    assertTrue(forwarder.doubtsLeader(S));
+    assertFalse(forwarder.isPausedFor(QUERY, S + S / 2));
+    assertTrue(forwarder.doubtsLeader(3 * S));
+    assertFalse(forwarder.doubtsLeader(4 * S));
+  }
+
+  @Test
+  void aLeaderWithoutAReplyIsLeftAloneForAWhileAndDoubted() {
+    reply(forward(QUERY, S), 0, null, S);
+    assertTrue(servedWithoutLeader());
+    assertTrue(forwarder.isPausedFor(QUERY, S));
+    assertTrue(forwarder.doubtsLeader(S));
+  }
+
+  /** Guards against polls that fail for a while because the leader could not answer one of them. */
+  @Test
+  void aLeaderThatCannotAnswerOneQueryIsAskedTheNext() {
+    reply(forward(QUERY, S), new ForwardedReply.Handled(UserResponse.unavailable(1)), S);
+    assertTrue(servedWithoutLeader());
+    assertFalse(forwarder.isPausedFor(QUERY, S));
+    assertFalse(forwarder.doubtsLeader(S));
+  }
+
+  @Test
+  void submissionsWaitLessForALeaderThatHasBeenSilent() {
+    long aliveMicros = forward(SUBMIT, S).timeoutMicros();
+    long silentMicros = forward(SUBMIT, 2 * S).timeoutMicros();
+    assertTrue(silentMicros < aliveMicros, silentMicros + " and " + aliveMicros);
+    reply(forward(QUERY, 2 * S), new ForwardedReply.Busy(), 2 * S);
+    assertEquals(aliveMicros, forward(SUBMIT, 2 * S).timeoutMicros(), "it replied");
+    assertTrue(forward(QUERY, 9 * S).timeoutMicros() > aliveMicros, "queries wait in any case");
+  }
+}
