--- a/src/test/java/org/dewreach/sim/Clock.java
+++ b/src/test/java/org/dewreach/sim/Clock.java
@@ -4,6 +4,9 @@
 
 /** Simulated time and what is to happen when. */
 final class Clock {
+  /** A second of simulated time, which is counted in microseconds. */
+  static final long SECOND = 1_000_000;
+
   private record Entry(long at, long order, Runnable action) implements Comparable<Entry> {
     @Override
     public int compareTo(Entry other) {
