--- /dev/null
+++ b/src/test/java/org/dewreach/sim/WorkerTasks.java
@@ -0,0 +1,188 @@
+package org.dewreach.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Random;
+import java.util.stream.Stream;
+import org.dewreach.wire.JobSpec;
+
+/** The tasks on one simulated machine: carries out commands, runs the tasks and ends them. */
+final class WorkerTasks {
+  private static final String DONE = "done";
+  private static final String ERROR = "error";
+
+  private final Simulation simulation;
+  private final SimWorker worker;
+  private final Clock clock;
+  private final Random random;
+  private final Map<String, SimTask> tasks = new LinkedHashMap<>();
+
+  WorkerTasks(Simulation simulation, SimWorker worker) {
+    this.simulation = simulation;
+    this.worker = worker;
+    this.clock = simulation.clock;
+    this.random = simulation.random;
+  }
+
+  /** All tasks end, and nothing is known of them any more. */
+  void endAll() {
+    tasks.values().forEach(task -> leave(task, false));
+    tasks.clear();
+  }
+
+  private void leave(SimTask task, boolean completed) {
+    if (task.onMachine) {
+      task.onMachine = false;
+      simulation.checker.onEnd(worker, task.jobId(), task.index(), completed);
+    }
+  }
+
+  /** Adds what a heartbeat tells of the tasks. */
+  void report(ArrayNode list) {
+    for (SimTask task : tasks.values()) {
+      if (simulation.workerDefects.hidesTasks && task.onMachine) {
+        continue;
+      }
+      ObjectNode item = list.addObject().put("piece", task.name);
+      item.put("try", task.attempt).put("standing", task.state.wireName);
+      if (task.cause != null) {
+        item.put("cause", task.cause);
+      }
+    }
+  }
+
+  /** Carries out one command of a controller. */
+  void execute(JsonNode command) {
+    String name = command.path("piece").asText();
+    long attempt = command.path("try").asLong();
+    SimTask present = tasks.get(name);
+    switch (command.path("verb").asText()) {
+      case "start" -> start(name, attempt, present);
+      case "halt" -> stop(attempt, present);
+      case "clear" -> remove(attempt, present);
+      default -> throw new IllegalArgumentException(command.toString());
+    }
+  }
+
+  private void stop(long attempt, SimTask present) {
+    boolean obeys = !simulation.workerDefects.ignoresStops;
+    if (obeys && present != null && present.attempt == attempt && !present.hasExited()) {
+      exit(present, "stopped");
+    }
+  }
+
+  private void remove(long attempt, SimTask present) {
+    if (present != null && present.attempt == attempt && present.hasExited()) {
+      tasks.remove(present.name);
+      worker.markChanged();
+    }
+  }
+
+  private void start(String name, long attempt, SimTask present) {
+    if (present != null && (present.attempt == attempt || !present.hasExited())) {
+      if (present.attempt < attempt && !simulation.workerDefects.hidesTasks) {
+        throw new IllegalStateException(name + " started over another attempt on " + worker.name);
+      }
+      return;
+    }
+    SimTask task = new SimTask(name, attempt);
+    tasks.put(name, task);
+    worker.markChanged();
+    JobSpec spec = specOf(task);
+    if (spec == null) {
+      exit(task, "no_such");
+    } else if (cpusUsed() > worker.cpus + 1e-6 || memoryUsed() > worker.memoryGb + 1e-6) {
+      exit(task, "full");
+    } else {
+      clock.in(500_000 + random.nextInt(3_000_000), () -> begin(task, spec));
+    }
+  }
+
+  /** The task has its image; on a machine that hangs it begins when that goes on. */
+  private void begin(SimTask task, JobSpec spec) {
+    if (tasks.get(task.name) != task || task.state != SimTask.State.PULLING) {
+      return;
+    }
+    if (worker.hung()) {
+      clock.at(worker.hungUntil(), () -> begin(task, spec));
+      return;
+    }
+    task.state = SimTask.State.RUNNING;
+    task.onMachine = true;
+    worker.started++;
+    simulation.checker.onStart(worker, task.jobId(), task.index());
+    worker.reportChange();
+    Long failsAfter = simulation.users.failsAfter.get(task.jobId());
+    if (worker.sick) {
+      clock.in(200_000, () -> finish(task, ERROR));
+    } else if (failsAfter != null) {
+      clock.in(failsAfter, () -> finish(task, ERROR));
+    } else if (spec.expectedMicros() > 0) {
+      long run = spec.expectedMicros() * (50 + random.nextInt(100)) / 100;
+      clock.in(run, () -> finish(task, DONE));
+    }
+  }
+
+  private void finish(SimTask task, String cause) {
+    if (tasks.get(task.name) == task && task.state == SimTask.State.RUNNING) {
+      if (worker.hung()) {
+        clock.at(worker.hungUntil(), () -> finish(task, cause));
+        return;
+      }
+      exit(task, cause);
+    }
+  }
+
+  private void exit(SimTask task, String cause) {
+    if (simulation.workerDefects.startsStopped && task.state == SimTask.State.PULLING) {
+      clock.in(3_000_000, () -> simulation.checker.onStart(worker, task.jobId(), task.index()));
+    }
+    task.state = SimTask.State.EXITED;
+    task.cause = cause;
+    leave(task, cause.equals(DONE) && !simulation.workerDefects.claimsDone);
+    worker.reportChange();
+  }
+
+  // What is on the machine
+
+  private JobSpec specOf(SimTask task) {
+    return simulation.users.spec(task.jobId());
+  }
+
+  private Stream<SimTask> notExited() {
+    return tasks.values().stream().filter(task -> !task.hasExited());
+  }
+
+  /** The descriptions of the tasks that are here, running or to be run. */
+  private Stream<JobSpec> specs() {
+    return notExited().map(this::specOf).filter(Objects::nonNull);
+  }
+
+  double cpusUsed() {
+    return specs().mapToDouble(JobSpec::cpus).sum();
+  }
+
+  double memoryUsed() {
+    return specs().mapToDouble(JobSpec::memoryGb).sum();
+  }
+
+  /** Adds what is on the machine, running or to be run, to the use of each team. */
+  void addUse(Map<String, Double> used) {
+    specs().forEach(spec -> used.merge(spec.team(), spec.cpus(), Double::sum));
+  }
+
+  /** The tasks of a job that are here, running or to be run. */
+  List<Integer> tasksOf(String jobId) {
+    return notExited().filter(task -> task.jobId().equals(jobId)).map(SimTask::index).toList();
+  }
+
+  /** The names of the tasks that run. */
+  List<String> running() {
+    return tasks.values().stream().filter(task -> task.onMachine).map(task -> task.name).toList();
+  }
+}
