--- a/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
@@ -58,7 +58,7 @@
         Job job = item.job();
         requirements.add(
             new CapacityRequirement(
-                job.spec(), tasks, slackMicros(job, nowMicros), job.boundInZones()));
+                job.spec(), tasks, slackMicros(job, nowMicros), job.boundCountByZone()));
       }
     }
     return requirements;
@@ -108,9 +108,10 @@
       return item.tasks();
     }
     // In floating point: the owner's estimate may be anything.
-    double work = (double) job.pending() * (spec.expectedMicros() + TASK_OVERHEAD_MICROS);
-    int parallel = (int) Math.min(job.pending(), Math.ceil(work / horizonMicros(job, nowMicros)));
-    return Math.min(item.tasks(), Math.max(0, parallel - job.bound().size()));
+    double work = (double) job.pendingCount() * (spec.expectedMicros() + TASK_OVERHEAD_MICROS);
+    int parallel =
+        (int) Math.min(job.pendingCount(), Math.ceil(work / horizonMicros(job, nowMicros)));
+    return Math.min(item.tasks(), Math.max(0, parallel - job.boundTasks().size()));
   }
 
   /** Within what time a job's pending tasks are to be done: half of what its objective leaves. */
--- a/src/main/java/org/dewreach/controller/CancellationGate.java
+++ b/src/main/java/org/dewreach/controller/CancellationGate.java
@@ -52,7 +52,7 @@
   }
 
   private boolean mayRunIn(Job job, String zone) {
-    return job.boundInZone(zone) > 0 || !recovery.allTasksKnown(job);
+    return job.boundCountInZone(zone) > 0 || !recovery.allTasksKnown(job);
   }
 
   /**
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -129,7 +129,7 @@
     if (phase == Phase.RECOVERING) {
       components.stalledRecovery.tick(authoritySince, nowMicros);
     } else {
-      components.recoveryClock.noteFinished(nowMicros);
+      components.recoveryClock.recordFinished(nowMicros);
     }
     catalog.saveIfRefreshed(components.queue, nowMicros);
     components.registry.tick(nowMicros);
--- a/src/main/java/org/dewreach/controller/RecoveryReporter.java
+++ b/src/main/java/org/dewreach/controller/RecoveryReporter.java
@@ -6,7 +6,7 @@
 import org.dewreach.model.MachinePhase;
 import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
-import org.dewreach.state.RecoveryClock;
+import org.dewreach.state.RecoveryDurationTracker;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -24,10 +24,11 @@
   private final long term;
   private final ClusterState clusterState;
   private final FleetManager fleet;
-  private final RecoveryClock clock;
+  private final RecoveryDurationTracker clock;
   private long nextReportAt;
 
-  RecoveryReporter(long term, ClusterState clusterState, FleetManager fleet, RecoveryClock clock) {
+  RecoveryReporter(
+      long term, ClusterState clusterState, FleetManager fleet, RecoveryDurationTracker clock) {
     this.term = term;
     this.clusterState = clusterState;
     this.fleet = fleet;
--- a/src/main/java/org/dewreach/controller/TermComponents.java
+++ b/src/main/java/org/dewreach/controller/TermComponents.java
@@ -18,7 +18,7 @@
 import org.dewreach.state.JobRecordWriter;
 import org.dewreach.state.LeaderlessJobImporter;
 import org.dewreach.state.MachineRegistry;
-import org.dewreach.state.RecoveryClock;
+import org.dewreach.state.RecoveryDurationTracker;
 import org.dewreach.store.CommitQueue;
 import org.dewreach.store.Keys;
 import org.dewreach.store.Precondition;
@@ -53,7 +53,7 @@
   final FleetManager fleet;
   final HandoverPolicy handoverPolicy;
   final RecoveryTracker recovery;
-  final RecoveryClock recoveryClock;
+  final RecoveryDurationTracker recoveryClock;
   final StalledRecovery stalledRecovery;
   final CancellationGate cancellationGate;
   final JobRecordWriter recordWriter;
@@ -87,7 +87,8 @@
     this.fleet = newFleetManager(nowMicros);
     this.handoverPolicy = newHandoverPolicy();
     this.recovery = new RecoveryTracker(clusterState, fleet);
-    this.recoveryClock = new RecoveryClock(services.store(), queue, services.wallOffsetMicros());
+    this.recoveryClock =
+        new RecoveryDurationTracker(services.store(), queue, services.wallOffsetMicros());
     this.stalledRecovery = new StalledRecovery(recovery, fleet, recoveryClock, settings);
     this.cancellationGate = new CancellationGate(clusterState, settings, delegations, recovery);
     this.recordWriter = new JobRecordWriter(queue, cancellationGate, callbacks.records());
--- a/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
@@ -97,7 +97,7 @@
 
   private static boolean mayCommand(Machine machine) {
     return (machine.phase() == MachinePhase.UP || machine.phase() == MachinePhase.DRAINING)
-        && machine.recorded()
+        && machine.commandable()
         && machine.heartbeats().incarnation() >= 0;
   }
 
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
@@ -46,7 +46,7 @@
       responseLoss.onHeartbeat(observation, newIncarnation, previousHeartbeatMicros);
     }
     CommandBatch commands = reconcile(observation);
-    if (!machine.recorded()) {
+    if (!machine.commandable()) {
       return HeartbeatResponse.withoutCommands(term);
     }
     List<WorkerCommand> sent = commands.forResponse(observation.evidence());
--- a/src/main/java/org/dewreach/heartbeat/ResponseLossDetector.java
+++ b/src/main/java/org/dewreach/heartbeat/ResponseLossDetector.java
@@ -35,14 +35,14 @@
     boolean tokenArrived = observation.heartbeat().token() == term;
     boolean arrived =
         tokenArrived && !newIncarnation && !startMissing(observation, previousHeartbeatMicros);
-    boolean wasMissing = machine.heartbeats().missesReplies();
-    machine.heartbeats().recordReplyDelivery(arrived);
-    if (machine.heartbeats().missesReplies() != wasMissing) {
+    boolean wasMissing = machine.heartbeats().missesResponses();
+    machine.heartbeats().recordResponseDelivery(arrived);
+    if (machine.heartbeats().missesResponses() != wasMissing) {
       LOG.info(
           "machine response delivery changed: machine={} from={} to={}",
           machine.name(),
           word(wasMissing),
-          word(machine.heartbeats().missesReplies()));
+          word(machine.heartbeats().missesResponses()));
       clusterState.requestPlacement();
     }
   }
--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -93,7 +93,7 @@
     return reported.cause() == Cause.DONE
         && job != null
         && (job.mayStillComplete() || job.phase() == JobPhase.FINALIZING)
-        && !job.record().done().get(reported.name().index());
+        && !job.storedState().doneTasks().get(reported.name().index());
   }
 
   private void onExit(Machine machine, Task task, Cause cause, long nowMicros) {
@@ -134,7 +134,9 @@
       }
       return;
     }
-    if (job != null && !job.bound().containsKey(name.index()) && job.phase() != JobPhase.ENDED) {
+    if (job != null
+        && !job.boundTasks().containsKey(name.index())
+        && job.phase() != JobPhase.ENDED) {
       adopt(machine, job, reported, observation.nowMicros());
     } else {
       LOG.info(
@@ -182,7 +184,7 @@
   private void reconcileBound(Observation observation, Task task, CommandBatch commands) {
     long nowMicros = observation.nowMicros();
     Job job = task.job();
-    boolean wanted = job.phase() == JobPhase.ACTIVE && !job.done().get(task.index());
+    boolean wanted = job.phase() == JobPhase.ACTIVE && !job.doneTasks().get(task.index());
     if (!wanted && task.phase() != TaskPhase.STOPPING) {
       clusterState.stop(task, "not wanted any more", nowMicros);
     }
--- a/src/main/java/org/dewreach/membership/FailureDetector.java
+++ b/src/main/java/org/dewreach/membership/FailureDetector.java
@@ -134,7 +134,7 @@
             || machine.phase() == MachinePhase.DRAINING;
     return expected
         && condition != MachineCondition.RESTARTED
-        && !machine.heartbeats().missesReplies();
+        && !machine.heartbeats().missesResponses();
   }
 
   private MachineCondition condition(Machine machine, long nowMicros) {
@@ -159,7 +159,7 @@
     if (silent) {
       return MachineCondition.SILENT;
     }
-    return machine.heartbeats().missesReplies()
+    return machine.heartbeats().missesResponses()
         ? MachineCondition.MISSES_REPLIES
         : MachineCondition.RESPONSIVE;
   }
--- a/src/main/java/org/dewreach/membership/RecoveryTracker.java
+++ b/src/main/java/org/dewreach/membership/RecoveryTracker.java
@@ -82,7 +82,7 @@
    * machines.
    */
   public boolean allTasksKnown(Job job) {
-    return job.submittedThisTerm()
+    return job.addedThisTerm()
         || unreconciledByPool.values().stream()
             .noneMatch(machine -> SortFirstFit.permitted(job.spec(), machine));
   }
--- a/src/main/java/org/dewreach/membership/StalledRecovery.java
+++ b/src/main/java/org/dewreach/membership/StalledRecovery.java
@@ -4,7 +4,7 @@
 import org.dewreach.config.Settings;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.state.RecoveryClock;
+import org.dewreach.state.RecoveryDurationTracker;
 
 /**
  * Ends a recovery that has been open for too long over several terms: the machines that hold it up
@@ -19,13 +19,16 @@
 
   private final RecoveryTracker recovery;
   private final FleetManager fleet;
-  private final RecoveryClock clock;
+  private final RecoveryDurationTracker clock;
   private final long patienceMicros;
   private long nextCheckAt;
 
   /** For one term. */
   public StalledRecovery(
-      RecoveryTracker recovery, FleetManager fleet, RecoveryClock clock, Settings settings) {
+      RecoveryTracker recovery,
+      FleetManager fleet,
+      RecoveryDurationTracker clock,
+      Settings settings) {
     this.recovery = recovery;
     this.fleet = fleet;
     this.clock = clock;
@@ -47,7 +50,7 @@
     nextCheckAt = nowMicros + CHECK_INTERVAL_MICROS;
     List<Machine> holders = silentHolders(nowMicros);
     if (!holders.isEmpty()) {
-      clock.noteOpen(recoveringSince, nowMicros);
+      clock.recordOpen(recoveringSince, nowMicros);
     }
     if (clock.openMicros(nowMicros) >= patienceMicros) {
       holders.stream()
--- a/src/main/java/org/dewreach/model/HeartbeatState.java
+++ b/src/main/java/org/dewreach/model/HeartbeatState.java
@@ -8,14 +8,14 @@
    * Replies in a row that did not arrive, from which a machine is taken to miss replies. A default
    * of this project.
    */
-  private static final int MAX_MISSED_REPLIES = 2;
+  private static final int MISSED_RESPONSES_THRESHOLD = 2;
 
   private long incarnation = -1;
   private long sequence = -1;
   private long lastHeartbeat;
   private long lastLeaseRenewal;
   private boolean unreachable;
-  private int missedReplies;
+  private int missedResponses;
   private RestartCheck restartCheck = RestartCheck.NONE;
 
   /** The state of a machine that was found at the given time, which counts as a heartbeat. */
@@ -87,13 +87,13 @@
   }
 
   /** Records whether the worker's last heartbeat shows that our reply to the one before arrived. */
-  public void recordReplyDelivery(boolean arrived) {
-    missedReplies = arrived ? 0 : missedReplies + 1;
+  public void recordResponseDelivery(boolean arrived) {
+    missedResponses = arrived ? 0 : missedResponses + 1;
   }
 
   /** True if heartbeats arrive here, but replies and commands do not arrive there. */
-  public boolean missesReplies() {
-    return missedReplies >= MAX_MISSED_REPLIES;
+  public boolean missesResponses() {
+    return missedResponses >= MISSED_RESPONSES_THRESHOLD;
   }
 
   /** Whether the worker may have restarted. */
--- a/src/main/java/org/dewreach/model/Job.java
+++ b/src/main/java/org/dewreach/model/Job.java
@@ -15,10 +15,10 @@
 public final class Job {
   private final JobSpec spec;
   private final long acceptedWallMicros;
-  private final boolean submittedThisTerm;
-  private final BitSet done = new BitSet();
-  private final Int2ObjectMap<Task> bound = new Int2ObjectLinkedOpenHashMap<>();
-  private final StoredRecord record = new StoredRecord();
+  private final boolean addedThisTerm;
+  private final BitSet doneTasks = new BitSet();
+  private final Int2ObjectMap<Task> boundTasks = new Int2ObjectLinkedOpenHashMap<>();
+  private final StoredJobState storedState = new StoredJobState();
   private final RetryBackoff backoff = new RetryBackoff();
   private JobPhase phase;
   private JobState finalState;
@@ -30,19 +30,19 @@
 
   private int doneCount;
   private int boundNotDone;
-  private final Object2IntOpenHashMap<String> boundInZone = new Object2IntOpenHashMap<>();
+  private final Object2IntOpenHashMap<String> boundCountInZone = new Object2IntOpenHashMap<>();
 
   /**
    * A job.
    *
    * @param acceptedWallMicros time of day of its submission
-   * @param submittedThisTerm true if it was submitted under the current term, so that no earlier
-   *     leader can have started any of its tasks
+   * @param addedThisTerm true if it was submitted under the current term, so that no earlier leader
+   *     can have started any of its tasks
    */
-  public Job(JobSpec spec, long acceptedWallMicros, boolean submittedThisTerm, JobPhase phase) {
+  public Job(JobSpec spec, long acceptedWallMicros, boolean addedThisTerm, JobPhase phase) {
     this.spec = spec;
     this.acceptedWallMicros = acceptedWallMicros;
-    this.submittedThisTerm = submittedThisTerm;
+    this.addedThisTerm = addedThisTerm;
     this.phase = phase;
   }
 
@@ -101,13 +101,13 @@
   /**
    * True if it was submitted under the current term, so that no earlier leader started any of it.
    */
-  public boolean submittedThisTerm() {
-    return submittedThisTerm;
+  public boolean addedThisTerm() {
+    return addedThisTerm;
   }
 
   /** What the key-value store holds of it. */
-  public StoredRecord record() {
-    return record;
+  public StoredJobState storedState() {
+    return storedState;
   }
 
   /** When and where it is tried again after failures. */
@@ -139,8 +139,8 @@
   }
 
   /** The completed tasks, for reading; {@link #markDone} changes them. */
-  public BitSet done() {
-    return done;
+  public BitSet doneTasks() {
+    return doneTasks;
   }
 
   /** How many tasks are done. */
@@ -150,12 +150,12 @@
 
   /** Marks a task as done; false if it was marked before. */
   public boolean markDone(int index) {
-    if (index >= spec.tasks() || done.get(index)) {
+    if (index >= spec.tasks() || doneTasks.get(index)) {
       return false;
     }
-    done.set(index);
+    doneTasks.set(index);
     doneCount++;
-    if (bound.containsKey(index)) {
+    if (boundTasks.containsKey(index)) {
       boundNotDone--;
     }
     return true;
@@ -163,60 +163,60 @@
 
   /** Sets the tasks that the stored record says are done, when the job is loaded. */
   public void restoreProgress(BitSet saved) {
-    done.or(saved);
-    doneCount = done.cardinality();
-    record.done((BitSet) saved.clone());
+    doneTasks.or(saved);
+    doneCount = doneTasks.cardinality();
+    storedState.doneTasks((BitSet) saved.clone());
   }
 
   /** True if every task is done; a service never is. */
-  public boolean complete() {
+  public boolean allTasksDone() {
     return spec.jobKind() != JobKind.SERVICE && doneCount >= spec.tasks();
   }
 
   /** The bound tasks, for reading; {@link #bind} and {@link #unbind} change them. */
-  public Int2ObjectMap<Task> bound() {
-    return Int2ObjectMaps.unmodifiable(bound);
+  public Int2ObjectMap<Task> boundTasks() {
+    return Int2ObjectMaps.unmodifiable(boundTasks);
   }
 
   /** True if a task is bound to a machine. */
-  public boolean hasBound() {
-    return !bound.isEmpty();
+  public boolean hasBoundTasks() {
+    return !boundTasks.isEmpty();
   }
 
   /** Binds a task to its machine. */
   public void bind(Task task) {
-    if (bound.put(task.index(), task) != null) {
+    if (boundTasks.put(task.index(), task) != null) {
       throw new IllegalStateException(task.name() + " is bound already");
     }
-    boundNotDone += done.get(task.index()) ? 0 : 1;
-    boundInZone.addTo(task.machine().zone(), 1);
+    boundNotDone += doneTasks.get(task.index()) ? 0 : 1;
+    boundCountInZone.addTo(task.machine().zone(), 1);
   }
 
   /** Unbinds a task; it is pending again unless it is done. */
   public void unbind(Task task) {
-    bound.remove(task.index());
-    boundNotDone -= done.get(task.index()) ? 0 : 1;
-    boundInZone.addTo(task.machine().zone(), -1);
+    boundTasks.remove(task.index());
+    boundNotDone -= doneTasks.get(task.index()) ? 0 : 1;
+    boundCountInZone.addTo(task.machine().zone(), -1);
     nextPendingFrom = Math.min(nextPendingFrom, task.index());
   }
 
   /** True if a bound task was not seen to have begun: it may yet, as long as it is bound. */
   public boolean hasTaskNotStarted() {
-    return bound.values().stream().anyMatch(task -> !task.hasStarted());
+    return boundTasks.values().stream().anyMatch(task -> !task.hasStarted());
   }
 
   /** Tasks that are bound to machines of the zone. */
-  public int boundInZone(String zone) {
-    return boundInZone.getInt(zone);
+  public int boundCountInZone(String zone) {
+    return boundCountInZone.getInt(zone);
   }
 
   /** The number of bound tasks in each zone, for reading. */
-  public Map<String, Integer> boundInZones() {
-    return Collections.unmodifiableMap(boundInZone);
+  public Map<String, Integer> boundCountByZone() {
+    return Collections.unmodifiableMap(boundCountInZone);
   }
 
   /** Tasks that are neither done nor bound to a machine; counted, since every pass asks. */
-  public int pending() {
+  public int pendingCount() {
     return spec.tasks() - doneCount - boundNotDone;
   }
 
@@ -233,7 +233,7 @@
   /** The lowest task above the given one that is neither done nor bound, or -1. */
   public int pendingAfter(int index) {
     for (int i = index + 1; i < spec.tasks(); i++) {
-      if (!done.get(i) && !bound.containsKey(i)) {
+      if (!doneTasks.get(i) && !boundTasks.containsKey(i)) {
         return i;
       }
     }
@@ -256,13 +256,13 @@
   }
 
   private JobState unfinishedState() {
-    return doneCount > 0 || running() > 0 ? JobState.RUNNING : JobState.PENDING;
+    return doneCount > 0 || runningCount() > 0 ? JobState.RUNNING : JobState.PENDING;
   }
 
   /** Tasks that were seen running. */
-  public int running() {
+  public int runningCount() {
     int running = 0;
-    for (Task task : bound.values()) {
+    for (Task task : boundTasks.values()) {
       switch (task.phase()) {
         case RUNNING, STOPPING -> running++;
         default -> {
--- a/src/main/java/org/dewreach/model/Machine.java
+++ b/src/main/java/org/dewreach/model/Machine.java
@@ -23,7 +23,7 @@
   private final boolean commandedByEarlierTerm;
   private MachinePhase phase;
   private String address;
-  private boolean recorded;
+  private boolean commandable;
   private long knownSince;
   private long idleSince;
   private long reclaimAt = -1;
@@ -140,13 +140,13 @@
   }
 
   /** True if it is recorded durably: it may be given commands. */
-  public boolean recorded() {
-    return recorded;
+  public boolean commandable() {
+    return commandable;
   }
 
   /** Sets whether it is recorded durably. */
-  public void recorded(boolean now) {
-    recorded = now;
+  public void commandable(boolean now) {
+    commandable = now;
   }
 
   /** What its worker's heartbeats have told. */
@@ -276,8 +276,8 @@
   }
 
   /** True if a task of a lower priority is bound to it. */
-  public boolean hasTaskBelow(Priority priority) {
-    return resourceUsage.hasTaskBelow(priority);
+  public boolean hasTaskOfLowerPriority(Priority priority) {
+    return resourceUsage.hasTaskOfLowerPriority(priority);
   }
 
   private boolean needsImage(String image) {
@@ -307,11 +307,11 @@
   /** True if new tasks could be placed on it if it were not cordoned. */
   public boolean schedulableOnceUncordoned() {
     return phase == MachinePhase.UP
-        && recorded
+        && commandable
         && !quarantined()
         && reclaimAt < 0
         && !heartbeats.unreachable()
-        && !heartbeats.missesReplies()
+        && !heartbeats.missesResponses()
         && heartbeats.restartCheck() != RestartCheck.CONFIRMED;
   }
 }
--- a/src/main/java/org/dewreach/model/ResourceUsage.java
+++ b/src/main/java/org/dewreach/model/ResourceUsage.java
@@ -49,7 +49,7 @@
   }
 
   /** True if a task of a lower priority is bound. */
-  boolean hasTaskBelow(Priority bound) {
+  boolean hasTaskOfLowerPriority(Priority bound) {
     for (Priority priority : Priority.values()) {
       if (tasksByPriority[priority.ordinal()] > 0 && bound.above(priority)) {
         return true;
--- a/src/main/java/org/dewreach/model/RetryBackoff.java
+++ b/src/main/java/org/dewreach/model/RetryBackoff.java
@@ -14,7 +14,7 @@
   /**
    * So many machines on which it failed in a row speak against the job. A default of this project.
    */
-  private static final int REPEATED_FAILURES = 2;
+  private static final int REPEATED_FAILURE_THRESHOLD = 2;
 
   /**
    * A machine on which a task of the job failed is avoided by it for this long. A default of this
@@ -71,7 +71,7 @@
    * not the machines. It is tried with one task at a time then.
    */
   public boolean failsRepeatedly() {
-    return failures >= REPEATED_FAILURES;
+    return failures >= REPEATED_FAILURE_THRESHOLD;
   }
 
   /** True if it failed once and has neither completed a task nor failed elsewhere since. */
--- a/src/main/java/org/dewreach/model/StoredRecord.java
+++ b/src/main/java/org/dewreach/model/StoredJobState.java
@@ -3,12 +3,12 @@
 import java.util.BitSet;
 
 /** What the key-value store holds of a job. */
-public final class StoredRecord {
+public final class StoredJobState {
   private long revision;
   private long progressWrittenAt;
-  private BitSet done = new BitSet();
+  private BitSet doneTasks = new BitSet();
 
-  StoredRecord() {}
+  StoredJobState() {}
 
   /** The record's revision, the precondition of the next write. */
   public long revision() {
@@ -31,12 +31,12 @@
   }
 
   /** The completed tasks that the record tells of, and so a new leader would know of. */
-  public BitSet done() {
-    return done;
+  public BitSet doneTasks() {
+    return doneTasks;
   }
 
   /** Sets the completed tasks that the record tells of. */
-  public void done(BitSet written) {
-    done = written;
+  public void doneTasks(BitSet written) {
+    doneTasks = written;
   }
 }
--- a/src/main/java/org/dewreach/model/package-info.java
+++ b/src/main/java/org/dewreach/model/package-info.java
@@ -5,7 +5,7 @@
  * package. Each of the three has one method, {@code become}, that changes its state; their other
  * concerns are classes of their own: {@link org.dewreach.model.HeartbeatState}, {@link
  * org.dewreach.model.DirectCommands}, {@link org.dewreach.model.FailureHistory}, {@link
- * org.dewreach.model.RetryBackoff} and {@link org.dewreach.model.StoredRecord}.
+ * org.dewreach.model.RetryBackoff} and {@link org.dewreach.model.StoredJobState}.
  *
  * <p>Nothing here sends messages, logs or knows how anything is stored. Not thread-safe; runs on
  * the controller's event loop.
--- a/src/main/java/org/dewreach/placement/QueueOrder.java
+++ b/src/main/java/org/dewreach/placement/QueueOrder.java
@@ -151,7 +151,7 @@
   public static boolean isStarved(Job job, long wallMicros) {
     return wallMicros - job.acceptedWallMicros() > STARVED_AFTER_MICROS
         && job.doneCount() == 0
-        && !job.hasBound();
+        && !job.hasBoundTasks();
   }
 
   private Rank rank(Job job, Band band, long wallMicros) {
@@ -160,7 +160,7 @@
     if (target < 0) {
       return new Rank(job, band, Timeliness.ON_TIME, 0);
     }
-    double work = (double) job.pending() * spec.cpus() * spec.expectedMicros();
+    double work = (double) job.pendingCount() * spec.cpus() * spec.expectedMicros();
     return new Rank(job, band, timeliness(job, target, wallMicros), work);
   }
 
--- a/src/main/java/org/dewreach/request/CancellationHandler.java
+++ b/src/main/java/org/dewreach/request/CancellationHandler.java
@@ -86,7 +86,7 @@
     job.cancelRequestedAt(nowMicros);
     // At once, not with the next heartbeats, and also while nothing can be written: the user is
     // told when the tasks are gone.
-    List.copyOf(job.bound().values())
+    List.copyOf(job.boundTasks().values())
         .forEach(task -> clusterState.stop(task, "job cancelled", nowMicros));
     clusterState.requestPlacement();
     recordWriter.writeIfDue(job, nowMicros);
--- a/src/main/java/org/dewreach/request/JobRequestHandler.java
+++ b/src/main/java/org/dewreach/request/JobRequestHandler.java
@@ -107,7 +107,7 @@
   private static void respondStatus(Job job, Responder responder) {
     responder.respond(
         UserResponse.ok(
-            JobStatus.withCounts(job.id(), job.jobState(), job.doneCount(), job.running())));
+            JobStatus.withCounts(job.id(), job.jobState(), job.doneCount(), job.runningCount())));
   }
 
   /** Responds to requests that have waited for too long. */
--- a/src/main/java/org/dewreach/scheduling/JobPlacement.java
+++ b/src/main/java/org/dewreach/scheduling/JobPlacement.java
@@ -57,7 +57,7 @@
   static boolean isAllOrNothing(Job job) {
     JobSpec spec = job.spec();
     return spec.jobKind() == JobKind.GANG
-        || spec.sameZone() && spec.jobKind() == JobKind.SERVICE && job.bound().isEmpty();
+        || spec.sameZone() && spec.jobKind() == JobKind.SERVICE && job.boundTasks().isEmpty();
   }
 
   /** True if a task would have found room but for its earlier direct start on that machine. */
@@ -67,9 +67,9 @@
 
   /** Places at most so many of the pending tasks, and tells how many. */
   int place(int most) {
-    int pending = job.pending();
+    int pending = job.pendingCount();
     boolean allOrNothing = isAllOrNothing(job);
-    boolean runs = gang && !job.bound().isEmpty();
+    boolean runs = gang && !job.boundTasks().isEmpty();
     if (runs || allOrNothing && most < pending) {
       return 0;
     }
@@ -92,8 +92,8 @@
     if (!spec.sameZone() || spec.tasks() == 1) {
       return Collections.singletonList(null);
     }
-    if (!job.bound().isEmpty()) {
-      return List.of(job.bound().values().iterator().next().machine().zone());
+    if (!job.boundTasks().isEmpty()) {
+      return List.of(job.boundTasks().values().iterator().next().machine().zone());
     }
     List<String> zones = new ArrayList<>();
     for (Machine machine : clusterState.sortedMachines().machines()) {
@@ -144,7 +144,7 @@
     }
     if (spec.spreadZones()) {
       int mostInZone = (spec.tasks() + 1) / 2;
-      allowed = allowed.and(machine -> job.boundInZone(machine.zone()) < mostInZone);
+      allowed = allowed.and(machine -> job.boundCountInZone(machine.zone()) < mostInZone);
     }
     return allowed;
   }
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -61,7 +61,7 @@
   private Priority lowestBoundPriority() {
     Priority lowest = null;
     for (Job job : clusterState.jobs().values()) {
-      if (!job.bound().isEmpty() && (lowest == null || lowest.above(job.spec().priority()))) {
+      if (!job.boundTasks().isEmpty() && (lowest == null || lowest.above(job.spec().priority()))) {
         lowest = job.spec().priority();
       }
     }
@@ -122,7 +122,7 @@
             free.take(spec);
             return true;
           }
-          if (machine.hasTaskBelow(spec.priority())) {
+          if (machine.hasTaskOfLowerPriority(spec.priority())) {
             candidates.add(machine);
           }
         }
--- a/src/main/java/org/dewreach/scheduling/ServiceHeadroom.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceHeadroom.java
@@ -39,7 +39,7 @@
   static boolean isExempt(Job job, long wallMicros) {
     return appliesTo(job.spec())
         && job.doneCount() == 0
-        && !job.hasBound()
+        && !job.hasBoundTasks()
         && wallMicros - job.acceptedWallMicros() > EXEMPT_AFTER_MICROS;
   }
 
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -69,7 +69,7 @@
     List<Job> queue =
         queueOrder.order(
             clusterState.jobs().values(),
-            job -> job.startable() && job.pending() > 0 && !unseen.containsKey(job),
+            job -> job.startable() && job.pendingCount() > 0 && !unseen.containsKey(job),
             nowMicros + wallOffsetMicros);
     clusterState.sortedMachines().invalidateIndex();
     Pass pass = new Pass(nowMicros, bootMicros);
@@ -84,7 +84,7 @@
   private Map<Job, Integer> reserveQuotaOfUnseenTasks(Predicate<Job> allTasksKnown) {
     Map<Job, Integer> unseen = new HashMap<>();
     for (Job job : clusterState.jobs().values()) {
-      int pending = allTasksKnown.test(job) ? 0 : job.pending();
+      int pending = allTasksKnown.test(job) ? 0 : job.pendingCount();
       if (pending > 0) {
         clusterState.quotas().add(job.spec(), pending);
         unseen.put(job, pending);
@@ -102,7 +102,7 @@
    */
   private static boolean isOnTrial(Job job, long nowMicros) {
     return job.backoff().failsRepeatedly()
-        && job.bound().values().stream()
+        && job.boundTasks().values().stream()
             .anyMatch(task -> nowMicros - task.boundAt() < TRIAL_MICROS);
   }
 
@@ -132,7 +132,7 @@
       if (job.backoff().notBefore() > nowMicros || isOnTrial(job, nowMicros)) {
         return;
       }
-      int withinQuota = clusterState.quotas().startableTasks(job.spec(), job.pending());
+      int withinQuota = clusterState.quotas().startableTasks(job.spec(), job.pendingCount());
       if (withinQuota == 0) {
         return;
       }
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -155,7 +155,7 @@
             stored.spot(),
             stored.commandable() ? MachinePhase.UNKNOWN : MachinePhase.BOOTING,
             nowMicros);
-    machine.recorded(stored.commandable());
+    machine.commandable(stored.commandable());
     machine.knownSince(Math.min(nowMicros, stored.knownSinceWallMicros() - wallOffsetMicros));
     return machine;
   }
@@ -168,7 +168,7 @@
             stored.acceptedWallMicros(),
             false,
             stored.cancelled() ? JobPhase.CANCELLED : JobPhase.ACTIVE);
-    job.record().revision(entry.revision());
+    job.storedState().revision(entry.revision());
     job.restoreProgress(stored.done());
     clusterState.addJob(job);
   }
--- a/src/main/java/org/dewreach/state/JobRecord.java
+++ b/src/main/java/org/dewreach/state/JobRecord.java
@@ -74,7 +74,7 @@
    *
    * <p>Guards against results that are removed from their workers as if they were durable.
    */
-  public static BitSet storedPart(BitSet done) {
+  public static BitSet storedDoneTasks(BitSet done) {
     return done.get(0, storedEnd(done));
   }
 
--- a/src/main/java/org/dewreach/state/JobRecordWriter.java
+++ b/src/main/java/org/dewreach/state/JobRecordWriter.java
@@ -94,7 +94,7 @@
     return writeFirstRecord(
         job,
         Precondition.absent(Keys.leaderlessJob(job.id())),
-        List.of(putRecord(job, job.done(), false)),
+        List.of(putRecord(job, job.doneTasks(), false)),
         JobPhase.ACTIVE,
         nowMicros,
         onExists);
@@ -113,7 +113,7 @@
     return writeFirstRecord(
         job,
         Precondition.unchanged(leaderlessKey, revision),
-        List.of(putRecord(job, job.done(), cancelled), Mutation.delete(leaderlessKey)),
+        List.of(putRecord(job, job.doneTasks(), cancelled), Mutation.delete(leaderlessKey)),
         cancelled ? JobPhase.CANCELLED : JobPhase.ACTIVE,
         nowMicros,
         onChanged);
@@ -137,7 +137,7 @@
             onOutcome(
                 job,
                 (now, revision) -> {
-                  job.record().revision(revision);
+                  job.storedState().revision(revision);
                   job.become(phaseOnceWritten);
                   listener.onAccepted(job, now);
                   writeIfDue(job, now);
@@ -153,7 +153,7 @@
     }
     switch (job.phase()) {
       case CANCEL_REQUESTED -> {
-        if (job.complete()) {
+        if (job.allTasksDone()) {
           writeFinalState(job, nowMicros);
         } else if (cancellationCheck.tasksEndInTime(job, nowMicros)) {
           job.become(JobPhase.CANCEL_COMMITTING);
@@ -163,12 +163,12 @@
       }
       case CANCEL_COMMITTING -> writeCancellation(job, nowMicros);
       case CANCELLED -> {
-        if (job.bound().isEmpty() && (job.submittedThisTerm() || mayFinalizeCancelled)) {
+        if (job.boundTasks().isEmpty() && (job.addedThisTerm() || mayFinalizeCancelled)) {
           writeFinalState(job, nowMicros);
         }
       }
       case ACTIVE -> {
-        if (job.complete()) {
+        if (job.allTasksDone()) {
           writeFinalState(job, nowMicros);
         } else if (progressDue(job, nowMicros)) {
           writeProgress(job, nowMicros);
@@ -181,14 +181,14 @@
   }
 
   private boolean progressDue(Job job, long nowMicros) {
-    return nowMicros - job.record().progressWrittenAt() >= PROGRESS_INTERVAL_MICROS
-        && !job.done().equals(job.record().done())
+    return nowMicros - job.storedState().progressWrittenAt() >= PROGRESS_INTERVAL_MICROS
+        && !job.doneTasks().equals(job.storedState().doneTasks())
         && queue.pendingWrites() < PROGRESS_PENDING_LIMIT;
   }
 
   private void writeProgress(Job job, long nowMicros) {
     ConditionalWrite write = overwrite(job, false, Urgency.DEFERRABLE, now -> writeIfDue(job, now));
-    job.record().progressWrittenAt(nowMicros);
+    job.storedState().progressWrittenAt(nowMicros);
     offer(job, new PendingWrite(write, false), nowMicros);
   }
 
@@ -203,23 +203,23 @@
               listener.onCancelled(job, now);
               writeIfDue(job, now);
             });
-    job.record().progressWrittenAt(nowMicros);
+    job.storedState().progressWrittenAt(nowMicros);
     offer(job, new PendingWrite(write, true), nowMicros);
   }
 
   /** A write of the job's record as it is now, over the one that is stored. */
   private ConditionalWrite overwrite(
       Job job, boolean cancelled, Urgency urgency, LongConsumer onWritten) {
-    BitSet done = (BitSet) job.done().clone();
+    BitSet done = (BitSet) job.doneTasks().clone();
     return new ConditionalWrite(
-        List.of(Precondition.unchanged(Keys.job(job.id()), job.record().revision())),
+        List.of(Precondition.unchanged(Keys.job(job.id()), job.storedState().revision())),
         List.of(putRecord(job, done, cancelled)),
         urgency,
         onOutcome(
             job,
             (now, revision) -> {
-              job.record().revision(revision);
-              job.record().done(JobRecord.storedPart(done));
+              job.storedState().revision(revision);
+              job.storedState().doneTasks(JobRecord.storedDoneTasks(done));
               onWritten.accept(now);
             },
             now -> reportConflict(job, now)));
@@ -234,7 +234,7 @@
     ConditionalWrite write =
         new ConditionalWrite(
             List.of(
-                Precondition.unchanged(jobKey, job.record().revision()),
+                Precondition.unchanged(jobKey, job.storedState().revision()),
                 Precondition.absent(finalKey)),
             List.of(
                 Mutation.put(finalKey, FinalStateRecord.encode(finalState)),
--- a/src/main/java/org/dewreach/state/MachineRegistry.java
+++ b/src/main/java/org/dewreach/state/MachineRegistry.java
@@ -97,7 +97,7 @@
   void restoreMachine(int pageNumber, Machine machine) {
     Page page = page(pageNumber);
     addToPage(page, machine);
-    if (machine.recorded()) {
+    if (machine.commandable()) {
       page.commandable.add(machine);
     }
   }
@@ -113,7 +113,7 @@
 
   /** Registers a machine for commands, which it may be given once that is durable. */
   public void registerForCommands(Machine machine, long nowMicros) {
-    if (machine.recorded()) {
+    if (machine.commandable()) {
       return;
     }
     Page page = pageOf.get(machine);
@@ -236,7 +236,7 @@
     page.awaitingCommands.remove(machine);
     if (page.machines.contains(machine)) {
       page.commandable.add(machine);
-      machine.recorded(true);
+      machine.commandable(true);
     }
   }
 }
--- a/src/main/java/org/dewreach/state/RecoveryClock.java
+++ b/src/main/java/org/dewreach/state/RecoveryDurationTracker.java
@@ -19,13 +19,13 @@
  * whose recovery is held up by silent machines notes that it is still open. A recovery that is not
  * held up costs neither a read nor a write.
  */
-public final class RecoveryClock {
-  private static final Logger LOG = LoggerFactory.getLogger(RecoveryClock.class);
+public final class RecoveryDurationTracker {
+  private static final Logger LOG = LoggerFactory.getLogger(RecoveryDurationTracker.class);
 
-  private static final long NOTED_EVERY_MICROS = 10_000_000;
+  private static final long RECORD_INTERVAL_MICROS = 10_000_000;
 
   /** A recovery that nobody has noted for this long is over: its record was left behind. */
-  private static final long VALID_MICROS = 45_000_000;
+  private static final long RECORD_VALIDITY_MICROS = 45_000_000;
 
   private static final long READ_RETRY_MICROS = 1_000_000;
   private static final long MICROS_PER_MS = 1_000;
@@ -55,7 +55,7 @@
    *
    * @param wallOffsetMicros time of day minus event time
    */
-  public RecoveryClock(KeyValueStore store, CommitQueue queue, long wallOffsetMicros) {
+  public RecoveryDurationTracker(KeyValueStore store, CommitQueue queue, long wallOffsetMicros) {
     this.store = store;
     this.queue = queue;
     this.wallOffsetMicros = wallOffsetMicros;
@@ -82,7 +82,7 @@
    *
    * @param recoveringSince when this term began to recover
    */
-  public void noteOpen(long recoveringSince, long nowMicros) {
+  public void recordOpen(long recoveringSince, long nowMicros) {
     if (phase == Phase.READ_DUE && nowMicros >= nextReadAt) {
       read();
     } else if (phase == Phase.KNOWN) {
@@ -91,7 +91,7 @@
   }
 
   /** Notes that this term has finished its recovery. */
-  public void noteFinished(long nowMicros) {
+  public void recordFinished(long nowMicros) {
     if (phase == Phase.KNOWN && stored != null) {
       LOG.info("recovery finished: open_ms={}", openMicros(nowMicros) / MICROS_PER_MS);
       write(null, nowMicros);
@@ -112,7 +112,7 @@
   private void onRead(ReadResult result, long nowMicros) {
     if (result instanceof KeyValue entry) {
       RecoveryRecord read = RecoveryRecord.decode(entry.value());
-      boolean valid = wallMicros(nowMicros) - read.lastOpenWallMicros() < VALID_MICROS;
+      boolean valid = wallMicros(nowMicros) - read.lastOpenWallMicros() < RECORD_VALIDITY_MICROS;
       stored = valid ? read : null;
       become(Phase.KNOWN);
     } else if (result instanceof ReadResult.Absent) {
@@ -127,7 +127,7 @@
     long wallMicros = wallMicros(nowMicros);
     if (stored == null) {
       write(new RecoveryRecord(wallMicros(recoveringSince), wallMicros), nowMicros);
-    } else if (wallMicros - stored.lastOpenWallMicros() >= NOTED_EVERY_MICROS) {
+    } else if (wallMicros - stored.lastOpenWallMicros() >= RECORD_INTERVAL_MICROS) {
       write(new RecoveryRecord(stored.sinceWallMicros(), wallMicros), nowMicros);
     }
   }
--- a/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
@@ -123,7 +123,7 @@
     Machine up = booting("m1", BOX, "b");
     up.become(MachinePhase.UNCONFIRMED, 500_000);
     up.become(MachinePhase.UP, 500_000);
-    up.recorded(true);
+    up.commandable(true);
     assertTrue(up.schedulable());
     assertEquals(
         Map.of("b", 2), plan(List.of(requirement(together("req-1", 4))), List.of(up), BOX));
--- a/src/test/java/org/dewreach/heartbeat/DirectCommandSenderTest.java
+++ b/src/test/java/org/dewreach/heartbeat/DirectCommandSenderTest.java
@@ -160,7 +160,7 @@
       task.become(TaskPhase.RUNNING, 0);
       cluster.state().stop(task, "test", S);
     }
-    Task stopped = plain.bound().get(0);
+    Task stopped = plain.boundTasks().get(0);
     WorkerCommand stop = new WorkerCommand.Stop(stopped.name(), stopped.attempt(), 0);
     assertEquals(new DirectCommandRequest(TERM, 3, List.of(stop)).toNode(), send(S).get(0).body());
   }
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -57,12 +57,12 @@
     Machine machine = machine("m1", MachinePhase.UNKNOWN);
     reconciler.onHeartbeat(
         machine, heartbeat(machine, 1, 5, 60, shown(0, TaskState.RUNNING, Cause.NONE)), S);
-    assertEquals(0, job.bound().size());
+    assertEquals(0, job.boundTasks().size());
     assertEquals(MachinePhase.UNCONFIRMED, machine.phase());
     assertFalse(machine.reconciled());
     reconciler.onHeartbeat(
         machine, heartbeat(machine, 1, 9, TERM, shown(0, TaskState.RUNNING, Cause.NONE)), 2 * S);
-    assertEquals(1, job.bound().size(), "now it is certain to be there");
+    assertEquals(1, job.boundTasks().size(), "now it is certain to be there");
     assertEquals(MachinePhase.UP, machine.phase());
   }
 
@@ -72,7 +72,7 @@
     Machine machine = machine("m1", MachinePhase.UNKNOWN);
     reconciler.onHeartbeat(
         machine, heartbeat(machine, 1, 5, 60, shown(2, TaskState.EXITED, Cause.DONE)), S);
-    assertTrue(job.done().get(2));
+    assertTrue(job.doneTasks().get(2));
   }
 
   /** Guards against a late copy: the first heartbeat of a machine that was returned long ago. */
@@ -94,15 +94,15 @@
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM), 2 * S);
     cluster.bind(job, 0, machine, TaskPhase.ASSIGNED, 3 * S);
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 3, TERM), 4 * S);
-    assertEquals(TaskPhase.STARTING, job.bound().get(0).phase());
+    assertEquals(TaskPhase.STARTING, job.boundTasks().get(0).phase());
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 4, TERM), 9 * S);
     assertTrue(machine.schedulable(), "once may be chance");
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 5, TERM), 14 * S);
-    assertTrue(machine.heartbeats().missesReplies());
+    assertTrue(machine.heartbeats().missesResponses());
     assertFalse(machine.schedulable());
-    assertEquals(1, job.bound().size(), "the start may still come, so the task stays bound");
+    assertEquals(1, job.boundTasks().size(), "the start may still come, so the task stays bound");
     reconciler.onHeartbeat(machine, heartbeat(machine, 2, 1, TERM), 20 * S);
-    assertEquals(0, job.bound().size(), "its incarnation is over, and all that was in it");
+    assertEquals(0, job.boundTasks().size(), "its incarnation is over, and all that was in it");
   }
 
   /**
@@ -115,11 +115,11 @@
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
     cluster.bind(job, 0, machine, TaskPhase.ASSIGNED, 2 * S);
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM), 3 * S);
-    clusterState.stop(job.bound().get(0), "not wanted", 3 * S);
+    clusterState.stop(job.boundTasks().get(0), "not wanted", 3 * S);
     reconciler.onDirectReply(machine, heartbeat(machine, 1, 3, TERM), 3 * S + 1);
-    assertEquals(1, job.bound().size(), "the response with its start may still arrive");
+    assertEquals(1, job.boundTasks().size(), "the response with its start may still arrive");
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 4, TERM), 4 * S);
-    assertEquals(0, job.bound().size(), "this heartbeat was sent after that response");
+    assertEquals(0, job.boundTasks().size(), "this heartbeat was sent after that response");
   }
 
   /** A start sent since the previous heartbeat may have passed this one on its way. */
@@ -134,7 +134,7 @@
       reconciler.onHeartbeat(
           machine, heartbeat(machine, 1, 2 + i, TERM, started(i)), (2 + i) * S + 1);
     }
-    assertFalse(machine.heartbeats().missesReplies());
+    assertFalse(machine.heartbeats().missesResponses());
   }
 
   /**
@@ -170,7 +170,7 @@
       shown[i] =
           new TaskStatus(
               new TaskName(job.id(), i),
-              job.bound().get(i).attempt(),
+              job.boundTasks().get(i).attempt(),
               TaskState.PULLING,
               Cause.NONE);
     }
@@ -189,7 +189,7 @@
             machine, heartbeat(machine, 1, 5, 60, shown(0, TaskState.RUNNING, Cause.NONE)), S);
     assertEquals(
         List.of(new WorkerCommand.Stop(new TaskName(job.id(), 0), 7, 0)), response.commands());
-    assertEquals(0, job.bound().size(), "the heartbeat may be old: it binds nothing");
+    assertEquals(0, job.boundTasks().size(), "the heartbeat may be old: it binds nothing");
   }
 
   /** Guards against a result that is lost with the leader while the end of its job is written. */
--- a/src/test/java/org/dewreach/membership/CloudReconcilerTest.java
+++ b/src/test/java/org/dewreach/membership/CloudReconcilerTest.java
@@ -224,12 +224,12 @@
     cluster.bind(job, 0, gone, TaskPhase.RUNNING, 0);
     cloud.reply(20 * S, list(20 * S), 200, page(false));
     assertReleased(gone);
-    assertTrue(job.hasBound(), "the list alone proves nothing");
+    assertTrue(job.hasBoundTasks(), "the list alone proves nothing");
     scaleIn.releaseMarked(20 * S);
     cloud.reply(20 * S, cloud.calls().get(0), 503, null);
-    assertTrue(job.hasBound());
+    assertTrue(job.hasBoundTasks());
     scaleIn.releaseMarked(22 * S);
     cloud.reply(22 * S, cloud.calls().get(0), 200, Codec.map());
-    assertFalse(job.hasBound());
+    assertFalse(job.hasBoundTasks());
   }
 }
--- a/src/test/java/org/dewreach/membership/FailureDetectorTest.java
+++ b/src/test/java/org/dewreach/membership/FailureDetectorTest.java
@@ -94,8 +94,8 @@
   @Test
   void aMachineThatMissesRepliesIsNeitherOverdueNorReachable() {
     Machine machine = up("m1", 20 * S);
-    machine.heartbeats().recordReplyDelivery(false);
-    machine.heartbeats().recordReplyDelivery(false);
+    machine.heartbeats().recordResponseDelivery(false);
+    machine.heartbeats().recordResponseDelivery(false);
     FleetHealth health = assess(List.of(machine), 21 * S);
     assertEquals(List.of(machine), health.in(MachineCondition.MISSES_REPLIES));
     assertEquals(List.of(), health.overdue());
--- a/src/test/java/org/dewreach/membership/HandoverPolicyTest.java
+++ b/src/test/java/org/dewreach/membership/HandoverPolicyTest.java
@@ -156,8 +156,8 @@
     machines(MachinePhase.UP);
     heardByOther = 0;
     for (Machine machine : cluster.state().machines().values()) {
-      machine.heartbeats().recordReplyDelivery(false);
-      machine.heartbeats().recordReplyDelivery(false);
+      machine.heartbeats().recordResponseDelivery(false);
+      machine.heartbeats().recordResponseDelivery(false);
     }
     for (; now <= 10 * S; now += STEP) {
       cluster.state().machines().values().forEach(m -> m.heartbeats().recordHeartbeat(now));
--- a/src/test/java/org/dewreach/membership/MachineHealthMonitorTest.java
+++ b/src/test/java/org/dewreach/membership/MachineHealthMonitorTest.java
@@ -69,7 +69,7 @@
     monitor.checkMachines(5 * S);
     assertPhase(MachinePhase.TERMINATING, silent);
     assertPhase(MachinePhase.UP, heard);
-    assertTrue(job.hasBound(), "its task counts as running until the machine is gone");
+    assertTrue(job.hasBoundTasks(), "its task counts as running until the machine is gone");
   }
 
   @Test
@@ -87,10 +87,10 @@
     cluster.bind(job, 0, silent.get(0), TaskPhase.RUNNING, 0);
     monitor.checkMachines(10 * S);
     assertPhase(MachinePhase.UP, silent);
-    assertTrue(job.hasBound());
+    assertTrue(job.hasBoundTasks());
     monitor.checkMachines(11 * S);
     assertPhase(MachinePhase.LOST, silent);
-    assertFalse(job.hasBound(), "its task was killed with the lease");
+    assertFalse(job.hasBoundTasks(), "its task was killed with the lease");
     monitor.checkMachines(76 * S);
     assertPhase(MachinePhase.TERMINATING, silent);
   }
@@ -119,10 +119,10 @@
     heartbeats(heard, 10 * S);
     monitor.checkMachines(10 * S);
     assertPhase(MachinePhase.TERMINATING, silent);
-    assertTrue(job.hasBound());
+    assertTrue(job.hasBoundTasks());
     heartbeats(heard, 11 * S);
     monitor.checkMachines(11 * S);
     assertPhase(MachinePhase.TERMINATING, silent);
-    assertFalse(job.hasBound(), "whether or not the cloud confirms the release");
+    assertFalse(job.hasBoundTasks(), "whether or not the cloud confirms the release");
   }
 }
--- a/src/test/java/org/dewreach/membership/StalledRecoveryTest.java
+++ b/src/test/java/org/dewreach/membership/StalledRecoveryTest.java
@@ -12,7 +12,7 @@
 import org.dewreach.model.MachinePhase;
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
-import org.dewreach.state.RecoveryClock;
+import org.dewreach.state.RecoveryDurationTracker;
 import org.dewreach.store.CommitQueue;
 import org.dewreach.store.Keys;
 import org.dewreach.store.Precondition;
@@ -41,7 +41,8 @@
           24,
           new TokenBucket(100, 100),
           () -> {});
-  private final RecoveryClock clock = new RecoveryClock(fixture.store(), queue, 0);
+  private final RecoveryDurationTracker clock =
+      new RecoveryDurationTracker(fixture.store(), queue, 0);
   private final FleetManager fleet =
       new FleetManager(
           ClusterFixture.TERM,
@@ -64,7 +65,7 @@
 
   /** An earlier term noted 5 s ago that recovery has been open for this long. */
   private void openFor(long micros) {
-    clock.noteOpen(0, 0);
+    clock.recordOpen(0, 0);
     JsonNode value = Codec.map().put("since", -micros).put("open", -5 * S);
     JsonNode entry =
         Codec.map().put("path", Keys.RECOVERY).put("stamp", 70).put("hold", 0).set("data", value);
--- a/src/test/java/org/dewreach/model/HeartbeatStateTest.java
+++ b/src/test/java/org/dewreach/model/HeartbeatStateTest.java
@@ -21,12 +21,12 @@
 
   @Test
   void twoMissedRepliesInARowShowThatNoneArrive() {
-    heartbeats.recordReplyDelivery(false);
-    assertFalse(heartbeats.missesReplies());
-    heartbeats.recordReplyDelivery(false);
-    assertTrue(heartbeats.missesReplies());
-    heartbeats.recordReplyDelivery(true);
-    assertFalse(heartbeats.missesReplies());
+    heartbeats.recordResponseDelivery(false);
+    assertFalse(heartbeats.missesResponses());
+    heartbeats.recordResponseDelivery(false);
+    assertTrue(heartbeats.missesResponses());
+    heartbeats.recordResponseDelivery(true);
+    assertFalse(heartbeats.missesResponses());
   }
 
   @Test
--- a/src/test/java/org/dewreach/model/JobTest.java
+++ b/src/test/java/org/dewreach/model/JobTest.java
@@ -57,13 +57,13 @@
   @Test
   void aTaskIsPendingUnlessItIsDoneOrBound() {
     Task first = bind(0);
-    assertEquals(2, job.pending());
+    assertEquals(2, job.pendingCount());
     assertEquals(1, job.nextPending());
     assertTrue(job.markDone(0));
     assertFalse(job.markDone(0), "known already");
-    assertEquals(2, job.pending(), "bound or done, it counts once");
+    assertEquals(2, job.pendingCount(), "bound or done, it counts once");
     job.unbind(first);
-    assertEquals(2, job.pending());
+    assertEquals(2, job.pendingCount());
     Task second = bind(1);
     assertEquals(2, job.nextPending());
     job.unbind(second);
@@ -76,7 +76,7 @@
   void aTaskIsBoundOnce() {
     bind(0);
     assertThrows(IllegalStateException.class, () -> bind(0));
-    assertEquals(1, job.boundInZone("a"));
+    assertEquals(1, job.boundCountInZone("a"));
   }
 
   @Test
@@ -84,8 +84,8 @@
     BitSet saved = new BitSet();
     saved.set(0, 3);
     job.restoreProgress(saved);
-    assertTrue(job.complete());
-    assertEquals(saved, job.record().done());
+    assertTrue(job.allTasksDone());
+    assertEquals(saved, job.storedState().doneTasks());
     assertEquals(-1, job.nextPending());
   }
 }
--- a/src/test/java/org/dewreach/model/MachineTest.java
+++ b/src/test/java/org/dewreach/model/MachineTest.java
@@ -54,12 +54,12 @@
     Task first = bind(0);
     Task second = bind(1);
     Task third = bind(2);
-    assertTrue(machine.hasTaskBelow(Priority.HIGH));
+    assertTrue(machine.hasTaskOfLowerPriority(Priority.HIGH));
     machine.unbind(first, S);
     machine.unbind(second, S);
     machine.unbind(third, S);
     assertEquals(8.0, machine.freeCpus());
-    assertFalse(machine.hasTaskBelow(Priority.HIGH));
+    assertFalse(machine.hasTaskOfLowerPriority(Priority.HIGH));
   }
 
   @Test
@@ -82,7 +82,7 @@
     assertFalse(machine.schedulable());
     machine.heartbeats().restartCheck(RestartCheck.CHECKING);
     assertTrue(machine.schedulable());
-    machine.recorded(false);
+    machine.commandable(false);
     assertFalse(machine.schedulable());
   }
 
--- a/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
+++ b/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
@@ -96,7 +96,7 @@
                   MachinePhase.BOOTING,
                   step);
           if (machines.size() < 150) {
-            machine.recorded(true);
+            machine.commandable(true);
             machine.become(MachinePhase.UP, step);
             list.add(machine);
             machines.add(machine);
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -52,10 +52,10 @@
     Job unseen = loaded("req-1", 7);
     Job seen = loaded("req-2", 6);
     placer.placeTasks(S, job -> job != unseen, 5 * S);
-    assertEquals(0, unseen.bound().size());
-    assertEquals(3, seen.bound().size(), "10 CPUs at most, of which 7 may be in use unseen");
+    assertEquals(0, unseen.boundTasks().size());
+    assertEquals(3, seen.boundTasks().size(), "10 CPUs at most, of which 7 may be in use unseen");
     placer.placeTasks(2 * S, job -> true, 5 * S);
-    assertEquals(10, unseen.bound().size() + seen.bound().size());
+    assertEquals(10, unseen.boundTasks().size() + seen.boundTasks().size());
   }
 
   /** Guards against a job that others always go before: it gets a first task after a while. */
@@ -67,8 +67,8 @@
       submitted("req-1" + i, 1);
     }
     placer.placeTasks(200 * S, job -> true, 5 * S);
-    assertTrue(large.hasBound());
-    assertEquals(1, large.bound().size(), "the others of this pass begin too");
+    assertTrue(large.hasBoundTasks());
+    assertEquals(1, large.boundTasks().size(), "the others of this pass begin too");
   }
 
   /**
@@ -81,8 +81,8 @@
     submitted("req-2", 1);
     machine.directCommands().recordStart(new TaskName("req-1", 0), 7);
     placer.placeTasks(S, job -> true, 5 * S);
-    assertEquals(Set.of(1, 2), Set.copyOf(first.bound().keySet()));
-    assertTrue(clusterState.jobs().get("req-2").hasBound());
+    assertEquals(Set.of(1, 2), Set.copyOf(first.boundTasks().keySet()));
+    assertTrue(clusterState.jobs().get("req-2").hasBoundTasks());
   }
 
   /** Guards against a job that waits for ever beside room that is kept for services. */
@@ -95,9 +95,9 @@
     }
     Job job = submitted("req-1", 4);
     placer.placeTasks(30 * S, each -> true, 60 * S);
-    assertEquals(0, job.bound().size());
+    assertEquals(0, job.boundTasks().size());
     placer.placeTasks(61 * S, each -> true, 60 * S);
-    assertEquals(1, job.bound().size(), "a first task, no more");
+    assertEquals(1, job.boundTasks().size(), "a first task, no more");
   }
 
   /** Guards against replicas that need each other's zone, lost when they are old, for ever. */
@@ -107,7 +107,7 @@
     Job service =
         cluster.submitted(JobSpecBuilder.service("req-9").tasks(3).sameZone(true).build());
     placer.placeTasks(700 * S, each -> true, 5 * S);
-    assertEquals(3, service.bound().size());
+    assertEquals(3, service.boundTasks().size());
   }
 
   /** Guards against a job that waits beside the only machine, where a task of it failed once. */
@@ -117,9 +117,9 @@
     Job job = submitted("req-1", 1);
     job.backoff().recordFailure("m1", S);
     placer.placeTasks(30 * S, each -> true, 5 * S);
-    assertEquals(0, job.bound().size());
+    assertEquals(0, job.boundTasks().size());
     placer.placeTasks(62 * S, each -> true, 5 * S);
-    assertEquals(1, job.bound().size());
+    assertEquals(1, job.boundTasks().size());
   }
 
   /** Guards against a job that fails everywhere holding room, or having machines rented for it. */
@@ -129,19 +129,20 @@
     Job job = submitted("req-1", 50);
     job.backoff().recordFailure("m8", S);
     placer.placeTasks(2 * S, each -> true, 5 * S);
-    assertEquals(10, job.bound().size(), "one machine says little");
-    List.copyOf(job.bound().values()).forEach(task -> clusterState.unbind(task, "test", 3 * S));
+    assertEquals(10, job.boundTasks().size(), "one machine says little");
+    List.copyOf(job.boundTasks().values())
+        .forEach(task -> clusterState.unbind(task, "test", 3 * S));
     job.backoff().recordFailure("m9", 3 * S);
     assertEquals(List.of(), placer.placeTasks(4 * S, each -> true, 5 * S));
-    assertEquals(0, job.bound().size(), "it rests");
+    assertEquals(0, job.boundTasks().size(), "it rests");
     assertEquals(List.of(), placer.placeTasks(6 * S, each -> true, 5 * S));
-    assertEquals(1, job.bound().size());
+    assertEquals(1, job.boundTasks().size());
     // Guards against one more task in each pass while the first has not failed yet.
     assertEquals(List.of(), placer.placeTasks(6_500_000, each -> true, 5 * S));
-    assertEquals(1, job.bound().size(), "one at a time");
+    assertEquals(1, job.boundTasks().size(), "one at a time");
     clusterState.markDone(job, 7);
     placer.placeTasks(7 * S, each -> true, 5 * S);
-    assertEquals(10, job.bound().size(), "it got somewhere");
+    assertEquals(10, job.boundTasks().size(), "it got somewhere");
   }
 
   /** Guards against long tasks that wait for each other, since two faulty machines were met. */
@@ -152,10 +153,10 @@
     job.backoff().recordFailure("m8", S);
     job.backoff().recordFailure("m9", S);
     placer.placeTasks(5 * S, each -> true, 5 * S);
-    assertEquals(1, job.bound().size());
+    assertEquals(1, job.boundTasks().size());
     placer.placeTasks(34 * S, each -> true, 5 * S);
-    assertEquals(1, job.bound().size(), "it may still fail");
+    assertEquals(1, job.boundTasks().size(), "it may still fail");
     placer.placeTasks(36 * S, each -> true, 5 * S);
-    assertEquals(2, job.bound().size(), "it runs on");
+    assertEquals(2, job.boundTasks().size(), "it runs on");
   }
 }
--- a/src/test/java/org/dewreach/state/JobRecordTest.java
+++ b/src/test/java/org/dewreach/state/JobRecordTest.java
@@ -81,9 +81,9 @@
     done.set(0, 40);
     done.set(50, 60_000, true);
     BitSet read = JobRecord.decode(new JobRecord(largest(), 0, false, done).encode()).done();
-    BitSet kept = JobRecord.storedPart(done);
+    BitSet kept = JobRecord.storedDoneTasks(done);
     kept.andNot(read);
     assertTrue(kept.isEmpty(), "taken for kept, and not in the record: " + kept);
-    assertTrue(JobRecord.storedPart(done).cardinality() > 10_000);
+    assertTrue(JobRecord.storedDoneTasks(done).cardinality() > 10_000);
   }
 }
--- a/src/test/java/org/dewreach/state/JobRecordWriterTest.java
+++ b/src/test/java/org/dewreach/state/JobRecordWriterTest.java
@@ -98,7 +98,7 @@
     assertEquals("put dw/job/req-1 remove dw/new/req-1", mutations(write));
     assertTrue(JobRecord.isCancelled(firstValue(write)));
     fixture.commit(write, 100, S);
-    assertEquals(100, job.record().revision());
+    assertEquals(100, job.storedState().revision());
     assertEquals(
         "put dw/over/req-1 remove dw/job/req-1",
         mutations(fixture.onlyRequest()),
@@ -128,7 +128,7 @@
     job.markDone(0);
     writer.writeIfDue(job, 10 * S);
     fixture.commit(fixture.onlyRequest(), 101, 10 * S);
-    assertEquals(1, job.record().done().cardinality());
+    assertEquals(1, job.storedState().doneTasks().cardinality());
     writer.writeIfDue(job, 20 * S);
     assertEquals(List.of(), fixture.requests(), "there is no further progress");
     job.markDone(1);
--- a/src/test/java/org/dewreach/state/MachineRegistryTest.java
+++ b/src/test/java/org/dewreach/state/MachineRegistryTest.java
@@ -66,7 +66,8 @@
     }
     assertEquals(rented.stream().map(Machine::name).toList(), names);
     assertTrue(mutations <= 5, mutations + " mutations for 200 machines");
-    rented.forEach(machine -> assertFalse(machine.recorded(), "not registered for commands yet"));
+    rented.forEach(
+        machine -> assertFalse(machine.commandable(), "not registered for commands yet"));
   }
 
   /** Guards against a command to a machine that a later leader would not wait for. */
@@ -77,10 +78,10 @@
     registry.registerForCommands(machine, 0);
     registry.tick(S);
     Effect.Call commit = fixture.requests().get(0);
-    assertFalse(machine.recorded());
+    assertFalse(machine.commandable());
     assertTrue(entries(commit.body().at("/then/0/data")).get(0).commandable());
     fixture.commit(commit, 31, 20 * S);
-    assertTrue(machine.recorded());
+    assertTrue(machine.commandable());
   }
 
   /** Guards against a late copy of a page that lacks machines registered since. */
--- a/src/test/java/org/dewreach/state/RecoveryClockTest.java
+++ b/src/test/java/org/dewreach/state/RecoveryDurationTrackerTest.java
@@ -15,8 +15,8 @@
 import org.dewreach.wire.Codec;
 import org.junit.jupiter.api.Test;
 
-/** For how long recovery has been open over several terms: {@link RecoveryClock}. */
-class RecoveryClockTest {
+/** For how long recovery has been open over several terms: {@link RecoveryDurationTracker}. */
+class RecoveryDurationTrackerTest {
   private static final long S = 1_000_000;
 
   /** Time of day less event time. */
@@ -30,11 +30,12 @@
           24,
           new TokenBucket(100, 100),
           () -> {});
-  private final RecoveryClock clock = new RecoveryClock(fixture.store(), queue, WALL);
+  private final RecoveryDurationTracker clock =
+      new RecoveryDurationTracker(fixture.store(), queue, WALL);
 
   /** A term begins at time 0, and finds what an earlier one noted at these event times. */
   private void beginWith(long since, long lastOpen) {
-    clock.noteOpen(0, 0);
+    clock.recordOpen(0, 0);
     JsonNode value = Codec.map().put("since", since + WALL).put("open", lastOpen + WALL);
     JsonNode entry =
         Codec.map().put("path", Keys.RECOVERY).put("stamp", 70).put("hold", 0).set("data", value);
@@ -42,7 +43,7 @@
   }
 
   private void beginWithNothing() {
-    clock.noteOpen(0, 0);
+    clock.recordOpen(0, 0);
     fixture.reply(fixture.onlyRequest(), 404, Codec.map().put("ledger_rev", 80), 0);
   }
 
@@ -58,7 +59,7 @@
 
   @Test
   void aRecoveryThatIsNotHeldUpCostsNothing() {
-    clock.noteFinished(3 * S);
+    clock.recordFinished(3 * S);
     assertNoRequest();
     assertEquals(0, clock.openMicros(3 * S));
   }
@@ -66,14 +67,14 @@
   @Test
   void oneThatIsHeldUpIsNotedAndNotedAgain() {
     beginWithNothing();
-    clock.noteOpen(0, 3 * S);
+    clock.recordOpen(0, 3 * S);
     JsonNode noted = onlyChange();
     assertEquals(Keys.RECOVERY, noted.get("put").textValue());
     assertEquals(WALL, noted.get("data").get("since").longValue());
     assertEquals(WALL + 3 * S, noted.get("data").get("open").longValue());
-    clock.noteOpen(0, 13 * S - 1);
+    clock.recordOpen(0, 13 * S - 1);
     assertNoRequest();
-    clock.noteOpen(0, 13 * S);
+    clock.recordOpen(0, 13 * S);
     JsonNode again = onlyChange();
     assertEquals(WALL, again.get("data").get("since").longValue());
     assertEquals(WALL + 13 * S, again.get("data").get("open").longValue());
@@ -83,17 +84,17 @@
   void theNextTermGoesOnCounting() {
     beginWith(-50 * S, -8 * S);
     assertEquals(52 * S, clock.openMicros(2 * S));
-    clock.noteOpen(0, 3 * S);
+    clock.recordOpen(0, 3 * S);
     assertEquals(WALL - 50 * S, onlyChange().get("data").get("since").longValue());
   }
 
   @Test
   void theTermThatFinishesRemovesIt() {
     beginWith(-50 * S, -8 * S);
-    clock.noteFinished(S);
+    clock.recordFinished(S);
     assertEquals(Keys.RECOVERY, onlyChange().get("remove").textValue());
     assertEquals(0, clock.openMicros(2 * S));
-    clock.noteFinished(2 * S);
+    clock.recordFinished(2 * S);
     assertNoRequest();
   }
 
@@ -101,17 +102,17 @@
   void whatWasLeftBehindLongAgoDoesNotCount() {
     beginWith(-500 * S, -45 * S);
     assertEquals(0, clock.openMicros(S));
-    clock.noteOpen(0, 3 * S);
+    clock.recordOpen(0, 3 * S);
     assertEquals(WALL, onlyChange().get("data").get("since").longValue());
   }
 
   @Test
   void aFailedReadIsRepeated() {
-    clock.noteOpen(0, 0);
+    clock.recordOpen(0, 0);
     fixture.reply(fixture.onlyRequest(), 503, null, 0);
-    clock.noteOpen(0, S - 1);
+    clock.recordOpen(0, S - 1);
     assertNoRequest();
-    clock.noteOpen(0, S);
+    clock.recordOpen(0, S);
     assertTrue(fixture.onlyRequest().path().endsWith(Keys.RECOVERY));
   }
 }
--- a/src/test/java/org/dewreach/testing/ClusterFixture.java
+++ b/src/test/java/org/dewreach/testing/ClusterFixture.java
@@ -48,7 +48,7 @@
   public static Machine newMachine(
       String name, MachineType type, boolean spot, MachinePhase phase) {
     Machine machine = new Machine(name, "", type, "a", spot, phase, 0);
-    machine.recorded(true);
+    machine.commandable(true);
     return machine;
   }
 
@@ -80,8 +80,8 @@
     return add(spec, false);
   }
 
-  private Job add(JobSpec spec, boolean submittedThisTerm) {
-    Job job = new Job(spec, 0, submittedThisTerm, JobPhase.ACTIVE);
+  private Job add(JobSpec spec, boolean addedThisTerm) {
+    Job job = new Job(spec, 0, addedThisTerm, JobPhase.ACTIVE);
     state.addJob(job);
     return job;
   }
