--- a/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
@@ -26,7 +26,7 @@
   /** Work that is done within this time is not spread over more machines. */
   private static final long MIN_HORIZON_MICROS = 15_000_000;
 
-  private static final double MIN_PATIENCE_S = 10;
+  private static final double MIN_MAX_WAIT_S = 10;
 
   /** The slack of a job without an objective: more than any other, and safe to add to. */
   private static final long UNLIMITED_SLACK_MICROS = Long.MAX_VALUE / 4;
@@ -67,7 +67,7 @@
   /** True if the machines that are there would work on the unplaced batch tasks for too long. */
   boolean hasLongBacklog(List<UnplacedTasks> unplaced, long nowMicros) {
     double backlogCpuS = 0;
-    double weightedPatience = 0;
+    double weightedMaxWaitS = 0;
     for (UnplacedTasks item : unplaced) {
       JobSpec spec = item.job().spec();
       if (spec.spot()) {
@@ -76,10 +76,10 @@
                 * spec.cpus()
                 * (spec.expectedMicros() / MICROS_PER_SECOND + TASK_OVERHEAD_S);
         backlogCpuS += cpuS;
-        weightedPatience += cpuS * patienceS(item.job(), nowMicros);
+        weightedMaxWaitS += cpuS * maxWaitS(item.job(), nowMicros);
       }
     }
-    return backlogCpuS > 0 && backlogCpuS > batchCpus() * weightedPatience / backlogCpuS;
+    return backlogCpuS > 0 && backlogCpuS > batchCpus() * weightedMaxWaitS / backlogCpuS;
   }
 
   /** The CPUs that batch tasks have or could have. */
@@ -139,12 +139,12 @@
   }
 
   /** How long work can wait for machines that are there: half of the time that it has left. */
-  private double patienceS(Job job, long nowMicros) {
+  private double maxWaitS(Job job, long nowMicros) {
     double longWaitS = tuning.longWaitMicros() / MICROS_PER_SECOND;
     if (!hasObjective(job)) {
       return longWaitS;
     }
     double spareS = slackMicros(job, nowMicros) / (2 * MICROS_PER_SECOND);
-    return Math.max(MIN_PATIENCE_S, Math.min(longWaitS, spareS));
+    return Math.max(MIN_MAX_WAIT_S, Math.min(longWaitS, spareS));
   }
 }
--- a/src/main/java/org/dewreach/autoscaling/CapacityPlan.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityPlan.java
@@ -17,7 +17,7 @@
 /** The machines that one plan counts on, and those that it adds. */
 final class CapacityPlan {
   /** A machine that takes longer than twice its boot time and this is overdue. */
-  private static final long BOOT_MARGIN_MICROS = 10_000_000;
+  private static final long BOOT_OVERDUE_MARGIN_MICROS = 10_000_000;
 
   /** The most machines that one rental request may ask for. */
   private static final int MAX_MACHINES_PER_REQUEST = 50;
@@ -30,7 +30,8 @@
 
     /** Takes capacity for as many tasks as fit and may be in its zone, and tells how many. */
     int assign(JobSpec spec, int maxTasks, ZoneAllowance allowance) {
-      int assigned = freeCapacity.take(spec, Math.min(maxTasks, allowance.remaining(pool.zone())));
+      int assigned =
+          freeCapacity.allocate(spec, Math.min(maxTasks, allowance.remaining(pool.zone())));
       allowance.consume(pool.zone(), assigned);
       return assigned;
     }
@@ -46,7 +47,7 @@
       Collection<Machine> machines, List<MachinePool> requestedPools, long nowMicros) {
     CapacityPlan plan = new CapacityPlan();
     for (Machine machine : machines) {
-      if (boots(machine, nowMicros)) {
+      if (isExpectedSoon(machine, nowMicros)) {
         plan.expected.add(new ExpectedMachine(MachinePool.of(machine)));
       }
     }
@@ -59,10 +60,11 @@
   }
 
   /** True for a machine that will soon be of use. One long overdue is not counted on. */
-  private static boolean boots(Machine machine, long nowMicros) {
+  private static boolean isExpectedSoon(Machine machine, long nowMicros) {
     return (machine.phase() == MachinePhase.BOOTING || machine.phase() == MachinePhase.UNCONFIRMED)
         && !machine.quarantined()
-        && nowMicros - machine.knownSince() < 2 * machine.type().bootMicros() + BOOT_MARGIN_MICROS;
+        && nowMicros - machine.knownSince()
+            < 2 * machine.type().bootMicros() + BOOT_OVERDUE_MARGIN_MICROS;
   }
 
   /** A copy of what concerns one zone, to try a job there. */
--- a/src/main/java/org/dewreach/autoscaling/PoolSelector.java
+++ b/src/main/java/org/dewreach/autoscaling/PoolSelector.java
@@ -15,7 +15,7 @@
   /**
    * Time over which what a machine costs until it is of use is spread. A default of this project.
    */
-  private static final double STARTUP_COST_SPREAD_S = 120;
+  private static final double STARTUP_COST_AMORTIZATION_S = 120;
 
   /**
    * How much dearer a machine counts that comes too late for the tasks. A default of this project.
@@ -89,12 +89,12 @@
   private static double costPerTask(MachinePool pool, RequirementGroup group, int maxTasks) {
     CapacityRequirement requirement = group.requirement();
     MachineType type = pool.type();
-    int tasks = FreeCapacity.of(type).take(requirement.spec(), maxTasks);
+    int tasks = FreeCapacity.of(type).allocate(requirement.spec(), maxTasks);
     // Until it has booted and fetched its images, a machine is paid for and of no use.
     double fetchS = type.fetchGbPerS() > 0 ? group.fetchGb(tasks) / type.fetchGbPerS() : 0;
     boolean late = type.bootMicros() + fetchS * MICROS_PER_SECOND > requirement.slackMicros();
     double startupS = type.bootMicros() / MICROS_PER_SECOND + fetchS;
-    double startupFactor = 1 + startupS / STARTUP_COST_SPREAD_S;
+    double startupFactor = 1 + startupS / STARTUP_COST_AMORTIZATION_S;
     return pool.price() * startupFactor * (late ? LATE_COST_FACTOR : 1) / tasks;
   }
 }
--- a/src/main/java/org/dewreach/autoscaling/RefusalBackoff.java
+++ b/src/main/java/org/dewreach/autoscaling/RefusalBackoff.java
@@ -5,7 +5,7 @@
 
 /** The pools of which the cloud had no machines lately, each with a pause that doubles. */
 final class RefusalBackoff {
-  private static final long FIRST_PAUSE_MICROS = 8_000_000;
+  private static final long INITIAL_PAUSE_MICROS = 8_000_000;
   private static final long MAX_PAUSE_MICROS = 40_000_000;
 
   private record Pause(long untilMicros, long lengthMicros) {}
@@ -24,13 +24,13 @@
     Pause last = pauses.get(Key.of(pool));
     long length =
         last == null
-            ? FIRST_PAUSE_MICROS
-            : Math.min(MAX_PAUSE_MICROS, Math.max(FIRST_PAUSE_MICROS, last.lengthMicros() * 2));
+            ? INITIAL_PAUSE_MICROS
+            : Math.min(MAX_PAUSE_MICROS, Math.max(INITIAL_PAUSE_MICROS, last.lengthMicros() * 2));
     pauses.put(Key.of(pool), new Pause(nowMicros + length, length));
   }
 
   /** The cloud had as many machines of the pool as were asked for. */
-  void onGranted(MachinePool pool) {
+  void onFulfilled(MachinePool pool) {
     pauses.remove(Key.of(pool));
   }
 
--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -29,19 +29,19 @@
   private static final double MAX_SERVICE_SHARE = 0.4;
 
   /** Machines that may be cordoned in one round. */
-  private static final int MAX_CORDONED_PER_ROUND = 3;
+  private static final int MIN_CORDON_LIMIT_PER_ROUND = 3;
 
   /**
    * Of a large fleet, one machine in this many may be cordoned in one round. A default of this
    * project.
    */
-  private static final int CORDONED_PER_ROUND_DIVISOR = 25;
+  private static final int MACHINES_PER_CORDON = 25;
 
   /** Prices per CPU that differ by less are equal. */
   private static final double PRICE_TOLERANCE = 1e-9;
 
   /** From the end of the boot until the first task can start. */
-  private static final long FIRST_HEARTBEAT_MICROS = 5_000_000;
+  private static final long FIRST_HEARTBEAT_DELAY_MICROS = 5_000_000;
 
   private final ClusterState clusterState;
   private final MachineTypeCatalog catalog;
@@ -67,7 +67,7 @@
     for (MachineType type : catalog.types()) {
       longest = Math.max(longest, type.bootMicros());
     }
-    return longest + FIRST_HEARTBEAT_MICROS;
+    return longest + FIRST_HEARTBEAT_DELAY_MICROS;
   }
 
   /**
@@ -87,8 +87,7 @@
       return;
     }
     int most =
-        Math.max(
-            MAX_CORDONED_PER_ROUND, clusterState.machines().size() / CORDONED_PER_ROUND_DIVISOR);
+        Math.max(MIN_CORDON_LIMIT_PER_ROUND, clusterState.machines().size() / MACHINES_PER_CORDON);
     for (int i = 0; i < most; i++) {
       Machine spare = mostExpensiveSpareMachine(nowMicros);
       if (spare == null) {
--- a/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
@@ -182,7 +182,7 @@
     if (count < request.rental.count()) {
       planner.onRefused(pool, nowMicros);
     } else {
-      planner.onGranted(pool);
+      planner.onFulfilled(pool);
     }
   }
 
--- a/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
+++ b/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
@@ -18,8 +18,8 @@
   }
 
   /** The cloud had all machines of the pool that were asked for. */
-  void onGranted(MachinePool pool) {
-    refusals.onGranted(pool);
+  void onFulfilled(MachinePool pool) {
+    refusals.onFulfilled(pool);
   }
 
   /**
--- a/src/main/java/org/dewreach/autoscaling/SharedZoneSelector.java
+++ b/src/main/java/org/dewreach/autoscaling/SharedZoneSelector.java
@@ -41,7 +41,7 @@
       CapacityPlan trial = plan.copyOf(zone);
       int left = trial.cover(group, ZoneAllowance.only(zone), selector);
       // Machines that came for the job and that wait with it for the others make it stay there.
-      double missing = 1 - (double) fittingNow(requirement, zone) / requirement.tasks();
+      double missing = 1 - (double) countTasksFittingNow(requirement, zone) / requirement.tasks();
       double price = (trial.price() - plan.price()) * missing;
       boolean cheaper = best != null && left == fewestLeft && price < bestPrice - PRICE_TOLERANCE;
       if (left < fewestLeft || cheaper) {
@@ -63,7 +63,7 @@
   }
 
   /** How many of the tasks fit into the free capacity of the zone's machines. */
-  private int fittingNow(CapacityRequirement requirement, String zone) {
+  private int countTasksFittingNow(CapacityRequirement requirement, String zone) {
     int tasks = 0;
     for (Machine machine : machines) {
       if (tasks < requirement.tasks()
@@ -71,7 +71,7 @@
           && machine.schedulable()
           && SortFirstFit.permitted(requirement.spec(), machine)) {
         int left = requirement.tasks() - tasks;
-        tasks += FreeCapacity.free(machine).take(requirement.spec(), left);
+        tasks += FreeCapacity.free(machine).allocate(requirement.spec(), left);
       }
     }
     return tasks;
--- a/src/main/java/org/dewreach/placement/FreeCapacity.java
+++ b/src/main/java/org/dewreach/placement/FreeCapacity.java
@@ -36,30 +36,30 @@
 
   /** True if there is room for one task of the job. */
   public boolean covers(JobSpec spec) {
-    return Rounding.covers(cpus, spec.cpus())
-        && Rounding.covers(gpus, spec.gpus())
-        && Rounding.covers(memoryGb, spec.memoryGb());
+    return ResourceAmounts.covers(cpus, spec.cpus())
+        && ResourceAmounts.covers(gpus, spec.gpus())
+        && ResourceAmounts.covers(memoryGb, spec.memoryGb());
   }
 
   /** Gives back the room of one task. */
-  public void add(JobSpec spec) {
+  public void deallocate(JobSpec spec) {
     cpus += spec.cpus();
     gpus += spec.gpus();
     memoryGb += spec.memoryGb();
   }
 
   /** Takes the room of one task, whether it is there or not. */
-  public void take(JobSpec spec) {
+  public void allocate(JobSpec spec) {
     cpus -= spec.cpus();
     gpus -= spec.gpus();
     memoryGb -= spec.memoryGb();
   }
 
   /** Takes room for as many tasks as fit, at most the number given, and tells how many. */
-  public int take(JobSpec spec, int most) {
+  public int allocate(JobSpec spec, int most) {
     int count = 0;
     while (count < most && covers(spec)) {
-      take(spec);
+      allocate(spec);
       count++;
     }
     return count;
--- a/src/main/java/org/dewreach/placement/FreeCapacityIndex.java
+++ b/src/main/java/org/dewreach/placement/FreeCapacityIndex.java
@@ -13,30 +13,30 @@
  */
 final class FreeCapacityIndex {
   /** Amounts of a position that offers nothing. */
-  private static final double NONE = -1;
+  private static final double UNAVAILABLE = -1;
 
-  private int leaves = 1;
+  private int leafCount = 1;
   private double[] cpus = new double[2];
   private double[] memory = new double[2];
   private double[] gpus = new double[2];
 
   /** Starts over with so many positions, none of which offers anything. */
-  void clear(int size) {
+  void reset(int size) {
     int needed = Math.max(1, Integer.highestOneBit(Math.max(1, size) * 2 - 1));
-    if (needed != leaves) {
-      leaves = needed;
+    if (needed != leafCount) {
+      leafCount = needed;
       cpus = new double[2 * needed];
       memory = new double[2 * needed];
       gpus = new double[2 * needed];
     }
-    Arrays.fill(cpus, NONE);
-    Arrays.fill(memory, NONE);
-    Arrays.fill(gpus, NONE);
+    Arrays.fill(cpus, UNAVAILABLE);
+    Arrays.fill(memory, UNAVAILABLE);
+    Arrays.fill(gpus, UNAVAILABLE);
   }
 
   /** Sets a position without looking at the ranges above it; {@link #build} follows. */
-  void put(int position, double freeCpus, double freeMemory, double freeGpus) {
-    int node = leaves + position;
+  void setLeaf(int position, double freeCpus, double freeMemory, double freeGpus) {
+    int node = leafCount + position;
     cpus[node] = freeCpus;
     memory[node] = freeMemory;
     gpus[node] = freeGpus;
@@ -44,20 +44,20 @@
 
   /** Computes all ranges from their positions. */
   void build() {
-    for (int node = leaves - 1; node > 0; node--) {
+    for (int node = leafCount - 1; node > 0; node--) {
       updateFromChildren(node);
     }
   }
 
   /** Takes everything from a position. */
   void remove(int position) {
-    set(position, NONE, NONE, NONE);
+    set(position, UNAVAILABLE, UNAVAILABLE, UNAVAILABLE);
   }
 
   /** Sets a position and the ranges above it. */
   void set(int position, double freeCpus, double freeMemory, double freeGpus) {
-    put(position, freeCpus, freeMemory, freeGpus);
-    for (int node = (leaves + position) / 2; node > 0; node /= 2) {
+    setLeaf(position, freeCpus, freeMemory, freeGpus);
+    for (int node = (leafCount + position) / 2; node > 0; node /= 2) {
       updateFromChildren(node);
     }
   }
@@ -70,14 +70,14 @@
 
   /** The first position, from the given one on, that covers the amounts; -1 if there is none. */
   int next(int from, double needCpus, double needMemory, double needGpus) {
-    if (from >= leaves) {
+    if (from >= leafCount) {
       return -1;
     }
-    int node = leaves + from;
+    int node = leafCount + from;
     while (true) {
       if (covers(node, needCpus, needMemory, needGpus)) {
-        if (node >= leaves) {
-          return node - leaves;
+        if (node >= leafCount) {
+          return node - leafCount;
         }
         node = 2 * node;
         continue;
@@ -97,8 +97,8 @@
   }
 
   private boolean covers(int node, double needCpus, double needMemory, double needGpus) {
-    return Rounding.covers(cpus[node], needCpus)
-        && Rounding.covers(memory[node], needMemory)
-        && Rounding.covers(gpus[node], needGpus);
+    return ResourceAmounts.covers(cpus[node], needCpus)
+        && ResourceAmounts.covers(memory[node], needMemory)
+        && ResourceAmounts.covers(gpus[node], needGpus);
   }
 }
--- a/src/main/java/org/dewreach/placement/QueueOrder.java
+++ b/src/main/java/org/dewreach/placement/QueueOrder.java
@@ -26,7 +26,7 @@
       Comparator.comparingLong(Job::acceptedWallMicros).thenComparing(Job::id);
 
   /** From placement to running: the command, and often an image. A default of this project. */
-  private static final long START_MICROS = 4_000_000;
+  private static final long TASK_START_MICROS = 4_000_000;
 
   /**
    * A job that misses its target by less than half of it is still better than a later one. A
@@ -38,26 +38,26 @@
    * With less slack than this, a job goes before those that can still wait. A default of this
    * project.
    */
-  private static final long PRESSING_SLACK_MICROS = 20_000_000;
+  private static final long URGENT_SLACK_MICROS = 20_000_000;
 
   /** A job that has waited for this long is to be served for its age. A default of this project. */
-  private static final long LONG_WAIT_MICROS = 150_000_000;
+  private static final long LONG_WAIT_THRESHOLD_MICROS = 150_000_000;
 
   /** Once a job has waited long, one order in this many goes by age. A default of this project. */
-  private static final int ORDERS_PER_ORDER_BY_AGE = 2;
+  private static final int AGE_ORDER_INTERVAL = 2;
 
   /**
    * A job waits no longer than this for its first task, if its priority gets any. A default of this
    * project.
    */
-  private static final long STARVED_AFTER_MICROS = 140_000_000;
+  private static final long STARVATION_THRESHOLD_MICROS = 140_000_000;
 
   /** What goes first among jobs of one priority. */
   private enum Band {
     /** Has waited too long for its first task. */
     STARVED,
     /** All others, in an order that goes by age. */
-    BY_AGE,
+    AGE_ORDERED,
     /** Within its team's guarantee. */
     GUARANTEED,
     /** Beyond its team's guarantee. */
@@ -67,7 +67,7 @@
   /** Whether a job can still be done in time. */
   private enum Timeliness {
     /** Only if it is placed soon. */
-    PRESSING,
+    URGENT,
     /** Yes, or it has no target. */
     ON_TIME,
     /** Not quite. */
@@ -77,23 +77,23 @@
   }
 
   /** The sort key of a job. */
-  private record Rank(Job job, Band band, Timeliness timeliness, double work) {
+  private record SortKey(Job job, Band band, Timeliness timeliness, double work) {
     /** A rank that is decided by the band and the job's age. */
-    Rank(Job job, Band band) {
-      this(job, band, Timeliness.PRESSING, 0);
+    SortKey(Job job, Band band) {
+      this(job, band, Timeliness.URGENT, 0);
     }
   }
 
-  private static final Comparator<Rank> BY_RANK =
-      Comparator.comparing((Rank rank) -> rank.job().spec().priority())
-          .thenComparing(Rank::band)
-          .thenComparing(Rank::timeliness)
-          .thenComparingDouble(Rank::work)
-          .thenComparing(Rank::job, BY_AGE);
+  private static final Comparator<SortKey> BY_SORT_KEY =
+      Comparator.comparing((SortKey key) -> key.job().spec().priority())
+          .thenComparing(SortKey::band)
+          .thenComparing(SortKey::timeliness)
+          .thenComparingDouble(SortKey::work)
+          .thenComparing(SortKey::job, BY_AGE);
 
   private final Map<String, Settings.Team> teams;
-  private final Map<String, Long> finishWithin = new HashMap<>();
-  private int ordersWithLongWait;
+  private final Map<String, Long> finishWithinMicrosByClass = new HashMap<>();
+  private int orderingsWithLongWait;
 
   /** Creates the order for these guarantees and objectives, of which those on finishing count. */
   public QueueOrder(Map<String, Settings.Team> teams, List<Settings.Objective> objectives) {
@@ -101,7 +101,7 @@
     for (Settings.Objective objective : objectives) {
       if (objective.kind() == Settings.ObjectiveKind.FINISH_WITHIN
           && objective.jobClass() != null) {
-        finishWithin.merge(objective.jobClass(), objective.withinMicros(), Math::min);
+        finishWithinMicrosByClass.merge(objective.jobClass(), objective.withinMicros(), Math::min);
       }
     }
   }
@@ -120,28 +120,28 @@
   public List<Job> order(Collection<Job> jobs, Predicate<Job> waits, long wallMicros) {
     Set<Job> guaranteed = guaranteed(jobs);
     List<Job> waiting = jobs.stream().filter(waits).toList();
-    boolean byAge = isTurnByAge(waiting, wallMicros);
-    List<Rank> ranks = new ArrayList<>(waiting.size());
+    boolean byAge = shouldOrderByAge(waiting, wallMicros);
+    List<SortKey> sortKeys = new ArrayList<>(waiting.size());
     for (Job job : waiting) {
       if (isStarved(job, wallMicros)) {
-        ranks.add(new Rank(job, Band.STARVED));
+        sortKeys.add(new SortKey(job, Band.STARVED));
       } else if (byAge) {
-        ranks.add(new Rank(job, Band.BY_AGE));
+        sortKeys.add(new SortKey(job, Band.AGE_ORDERED));
       } else {
         Band band = guaranteed.contains(job) ? Band.GUARANTEED : Band.UNGUARANTEED;
-        ranks.add(rank(job, band, wallMicros));
+        sortKeys.add(sortKey(job, band, wallMicros));
       }
     }
-    ranks.sort(BY_RANK);
-    List<Job> order = new ArrayList<>(ranks.size());
-    ranks.forEach(rank -> order.add(rank.job()));
+    sortKeys.sort(BY_SORT_KEY);
+    List<Job> order = new ArrayList<>(sortKeys.size());
+    sortKeys.forEach(key -> order.add(key.job()));
     return order;
   }
 
-  private boolean isTurnByAge(List<Job> waiting, long wallMicros) {
+  private boolean shouldOrderByAge(List<Job> waiting, long wallMicros) {
     for (Job job : waiting) {
-      if (wallMicros - job.acceptedWallMicros() > LONG_WAIT_MICROS) {
-        return ++ordersWithLongWait % ORDERS_PER_ORDER_BY_AGE == 0;
+      if (wallMicros - job.acceptedWallMicros() > LONG_WAIT_THRESHOLD_MICROS) {
+        return ++orderingsWithLongWait % AGE_ORDER_INTERVAL == 0;
       }
     }
     return false;
@@ -149,26 +149,26 @@
 
   /** True for a job that has waited so long for its first task that it is to be given one now. */
   public static boolean isStarved(Job job, long wallMicros) {
-    return wallMicros - job.acceptedWallMicros() > STARVED_AFTER_MICROS
+    return wallMicros - job.acceptedWallMicros() > STARVATION_THRESHOLD_MICROS
         && job.doneCount() == 0
         && !job.hasBound();
   }
 
-  private Rank rank(Job job, Band band, long wallMicros) {
+  private SortKey sortKey(Job job, Band band, long wallMicros) {
     JobSpec spec = job.spec();
     long target = completionTargetMicros(spec);
     if (target < 0) {
-      return new Rank(job, band, Timeliness.ON_TIME, 0);
+      return new SortKey(job, band, Timeliness.ON_TIME, 0);
     }
     double work = (double) job.pending() * spec.cpus() * spec.expectedMicros();
-    return new Rank(job, band, timeliness(job, target, wallMicros), work);
+    return new SortKey(job, band, timeliness(job, target, wallMicros), work);
   }
 
   private static Timeliness timeliness(Job job, long targetMicros, long wallMicros) {
-    long earliestEnd = wallMicros + job.spec().expectedMicros() + START_MICROS;
+    long earliestEnd = wallMicros + job.spec().expectedMicros() + TASK_START_MICROS;
     long slack = job.acceptedWallMicros() + targetMicros - earliestEnd;
     if (slack >= 0) {
-      return slack < PRESSING_SLACK_MICROS ? Timeliness.PRESSING : Timeliness.ON_TIME;
+      return slack < URGENT_SLACK_MICROS ? Timeliness.URGENT : Timeliness.ON_TIME;
     }
     long graceEnd = job.acceptedWallMicros() + Math.round(targetMicros * GRACE_FACTOR);
     return earliestEnd <= graceEnd ? Timeliness.WITHIN_GRACE : Timeliness.LATE;
@@ -178,7 +178,7 @@
   public long completionTargetMicros(JobSpec spec) {
     return spec.dueMicros() >= 0
         ? spec.dueMicros()
-        : finishWithin.getOrDefault(spec.jobClass(), -1L);
+        : finishWithinMicrosByClass.getOrDefault(spec.jobClass(), -1L);
   }
 
   /** Jobs that fit into their team's guarantee together with its earlier unfinished jobs. */
@@ -194,8 +194,8 @@
       }
       TeamUsage usage = usages.computeIfAbsent(team.name(), name -> new TeamUsage());
       usage.add(job.spec(), job.spec().tasks());
-      if (Rounding.covers(team.cpus(), usage.cpus())
-          && Rounding.covers(team.gpus(), usage.gpus())) {
+      if (ResourceAmounts.covers(team.cpus(), usage.cpus())
+          && ResourceAmounts.covers(team.gpus(), usage.gpus())) {
         guaranteed.add(job);
       }
     }
--- a/src/main/java/org/dewreach/placement/ServiceRate.java
+++ b/src/main/java/org/dewreach/placement/ServiceArrivalRate.java
@@ -9,43 +9,43 @@
  * over the time that a new machine takes. With n arrivals expected in that time, that is a little
  * more than the root of n.
  */
-public final class ServiceRate {
+public final class ServiceArrivalRate {
   /** Arrivals are forgotten over about this long. A default of this project. */
-  private static final double MEMORY_MICROS = 120e6;
+  private static final double DECAY_TIME_MICROS = 120e6;
 
   /** With fewer arrivals expected no room is kept. */
   private static final double MIN_EXPECTED_ARRIVALS = 0.2;
 
   private final double standardDeviations;
-  private double perMicro;
-  private double largestCpus;
-  private long lastMicros;
+  private double arrivalsPerMicro;
+  private double maxTaskCpus;
+  private long lastDecayMicros;
 
   /** Keeps room for so many standard deviations of the arrivals. */
-  public ServiceRate(double standardDeviations) {
+  public ServiceArrivalRate(double standardDeviations) {
     this.standardDeviations = standardDeviations;
   }
 
   /** A service was accepted. */
-  public void arrived(JobSpec spec, long nowMicros) {
+  public void recordArrival(JobSpec spec, long nowMicros) {
     decay(nowMicros);
-    perMicro += spec.tasks() / MEMORY_MICROS;
-    largestCpus = Math.max(largestCpus, spec.cpus());
+    arrivalsPerMicro += spec.tasks() / DECAY_TIME_MICROS;
+    maxTaskCpus = Math.max(maxTaskCpus, spec.cpus());
   }
 
   private void decay(long nowMicros) {
-    if (nowMicros > lastMicros) {
-      perMicro *= Math.exp((lastMicros - nowMicros) / MEMORY_MICROS);
-      lastMicros = nowMicros;
+    if (nowMicros > lastDecayMicros) {
+      arrivalsPerMicro *= Math.exp((lastDecayMicros - nowMicros) / DECAY_TIME_MICROS);
+      lastDecayMicros = nowMicros;
     }
   }
 
   /** CPUs to keep free for services when a new machine takes the time given. */
   public double headroomCpus(long bootMicros, long nowMicros) {
     decay(nowMicros);
-    double expected = perMicro * bootMicros;
+    double expected = arrivalsPerMicro * bootMicros;
     return expected < MIN_EXPECTED_ARRIVALS
         ? 0
-        : Math.ceil(standardDeviations * Math.sqrt(expected)) * largestCpus;
+        : Math.ceil(standardDeviations * Math.sqrt(expected)) * maxTaskCpus;
   }
 }
--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -16,7 +16,7 @@
  */
 public final class SortFirstFit {
   /** A start is looked for within at most this many times the time given. */
-  private static final int MAX_WITHIN_FACTOR = 4;
+  private static final int MAX_FETCH_LIMIT_FACTOR = 4;
 
   /** The order of the list. */
   public static final Comparator<Machine> ORDER =
@@ -28,14 +28,14 @@
   private final List<Machine> machines = new ArrayList<>();
   private final FreeCapacityIndex spotIndex = new FreeCapacityIndex();
   private final FreeCapacityIndex onDemandIndex = new FreeCapacityIndex();
-  private boolean stale = true;
+  private boolean indexesStale = true;
 
   /** Adds a machine, unless it is in the list already. */
   public void add(Machine machine) {
     int at = Collections.binarySearch(machines, machine, ORDER);
     if (at < 0) {
       machines.add(-at - 1, machine);
-      stale = true;
+      indexesStale = true;
     }
   }
 
@@ -44,7 +44,7 @@
     int at = Collections.binarySearch(machines, machine, ORDER);
     if (at >= 0) {
       machines.remove(at);
-      stale = true;
+      indexesStale = true;
     }
   }
 
@@ -56,34 +56,35 @@
    * known.
    */
   public void invalidateIndex() {
-    stale = true;
+    indexesStale = true;
   }
 
   /** A task was bound to the machine or unbound from it, or the machine was uncordoned. */
   public void updateCapacity(Machine machine) {
-    int at = stale ? -1 : Collections.binarySearch(machines, machine, ORDER);
+    int at = indexesStale ? -1 : Collections.binarySearch(machines, machine, ORDER);
     if (at < 0) {
       return;
     }
     if (machine.schedulable()) {
-      index(machine).set(at, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
+      indexFor(machine).set(at, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
     } else {
-      index(machine).remove(at);
+      indexFor(machine).remove(at);
     }
   }
 
-  private FreeCapacityIndex index(Machine machine) {
+  private FreeCapacityIndex indexFor(Machine machine) {
     return machine.spot() ? spotIndex : onDemandIndex;
   }
 
   private void rebuildIndexes() {
-    stale = false;
-    spotIndex.clear(machines.size());
-    onDemandIndex.clear(machines.size());
+    indexesStale = false;
+    spotIndex.reset(machines.size());
+    onDemandIndex.reset(machines.size());
     for (int i = 0; i < machines.size(); i++) {
       Machine machine = machines.get(i);
       if (machine.schedulable()) {
-        index(machine).put(i, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
+        indexFor(machine)
+            .setLeaf(i, machine.freeCpus(), machine.freeMemoryGb(), machine.freeGpus());
       }
     }
     spotIndex.build();
@@ -104,12 +105,12 @@
    */
   public Machine firstFit(JobSpec spec, Predicate<Machine> allowed) {
     if (spec.spot()) {
-      Machine machine = walk(spec, spotIndex, allowed);
+      Machine machine = search(spec, spotIndex, allowed);
       if (machine != null) {
         return machine;
       }
     }
-    return walk(spec, onDemandIndex, allowed);
+    return search(spec, onDemandIndex, allowed);
   }
 
   /**
@@ -120,7 +121,7 @@
    */
   public Machine firstFit(JobSpec spec, Predicate<Machine> allowed, long withinMicros) {
     for (long within = withinMicros;
-        within <= MAX_WITHIN_FACTOR * withinMicros && within > 0;
+        within <= MAX_FETCH_LIMIT_FACTOR * withinMicros && within > 0;
         within *= 2) {
       long limit = within;
       Machine machine =
@@ -133,14 +134,14 @@
   }
 
   /** The walk along the list; the index only leaves out machines that cannot cover the task. */
-  private Machine walk(JobSpec spec, FreeCapacityIndex index, Predicate<Machine> allowed) {
-    if (stale) {
+  private Machine search(JobSpec spec, FreeCapacityIndex index, Predicate<Machine> allowed) {
+    if (indexesStale) {
       rebuildIndexes();
     }
     Machine best = null;
     for (int at = next(index, 0, spec); at >= 0; at = next(index, at + 1, spec)) {
       Machine machine = machines.get(at);
-      if (best != null && !ranksEqual(best, machine)) {
+      if (best != null && !sameSize(best, machine)) {
         break;
       }
       if (machine.schedulable() && covers(machine, spec) && allowed.test(machine)) {
@@ -159,16 +160,16 @@
     return index.next(from, spec.cpus(), spec.memoryGb(), spec.gpus());
   }
 
-  private static boolean ranksEqual(Machine one, Machine other) {
+  private static boolean sameSize(Machine one, Machine other) {
     return one.type().cpus() == other.type().cpus()
         && one.type().memoryGb() == other.type().memoryGb();
   }
 
   /** True if the machine has room for one task of the job. */
   public static boolean covers(Machine machine, JobSpec spec) {
-    return Rounding.covers(machine.freeCpus(), spec.cpus())
-        && Rounding.covers(machine.freeMemoryGb(), spec.memoryGb())
-        && Rounding.covers(machine.freeGpus(), spec.gpus());
+    return ResourceAmounts.covers(machine.freeCpus(), spec.cpus())
+        && ResourceAmounts.covers(machine.freeMemoryGb(), spec.memoryGb())
+        && ResourceAmounts.covers(machine.freeGpus(), spec.gpus());
   }
 
   /** True if the job's owner allows the machine. */
--- a/src/main/java/org/dewreach/scheduling/JobPlacement.java
+++ b/src/main/java/org/dewreach/scheduling/JobPlacement.java
@@ -16,7 +16,7 @@
 /** One attempt to place tasks of one job. */
 final class JobPlacement {
   /** Tasks that are passed over, each for its earlier direct start, for one that fits. */
-  private static final int MAX_PASSED_OVER = 20;
+  private static final int MAX_SKIPPED_TASKS = 20;
 
   private final ClusterState clusterState;
   private final ServiceHeadroom headroom;
@@ -121,12 +121,12 @@
         blockedByDirectStart |= neverStarted.excludedAny;
         // Guards against one task that may not go there again keeping its job, and all like it,
         // away.
-        if (!neverStarted.excludedAny || ++passedOver > MAX_PASSED_OVER) {
+        if (!neverStarted.excludedAny || ++passedOver > MAX_SKIPPED_TASKS) {
           break;
         }
       } else {
         boolean exempt = exemptFromHeadroom && (gang || placed.isEmpty());
-        if (!headroom.take(machine, spec, exempt)) {
+        if (!headroom.tryAllocate(machine, spec, exempt)) {
           break;
         }
         long attempt = gang ? gangAttempt : clusterState.nextAttempt();
--- a/src/main/java/org/dewreach/scheduling/MachineFilter.java
+++ b/src/main/java/org/dewreach/scheduling/MachineFilter.java
@@ -9,7 +9,7 @@
 /** Which machines a job's tasks may go to at the moment, whatever room these have. */
 final class MachineFilter {
   /** A machine that refused a task for want of room is given none for this long. */
-  private static final long REFUSAL_PAUSE_MICROS = 3_000_000;
+  private static final long START_REFUSAL_BACKOFF_MICROS = 3_000_000;
 
   private MachineFilter() {}
 
@@ -20,7 +20,7 @@
     Set<String> avoided = job.backoff().avoidedMachines(nowMicros);
     return machine ->
         SortFirstFit.permitted(job.spec(), machine)
-            && nowMicros - machine.startRefusedAt() > REFUSAL_PAUSE_MICROS
+            && nowMicros - machine.startRefusedAt() > START_REFUSAL_BACKOFF_MICROS
             && !avoided.contains(machine.name());
   }
 }
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -29,7 +29,7 @@
  */
 public final class Preemption {
   /** Bounds what one pass may stop; the next pass goes on. */
-  private static final int MAX_VICTIMS = 24;
+  private static final int MAX_VICTIMS_PER_PASS = 24;
 
   /** It looks at all machines, so not in each pass. */
   private static final long INTERVAL_MICROS = 200_000;
@@ -48,7 +48,7 @@
       return;
     }
     nextAt = nowMicros + INTERVAL_MICROS;
-    Set<Task> victims = new Search(nowMicros).victimsFor(unplaced);
+    Set<Task> victims = new VictimSearch(nowMicros).victimsFor(unplaced);
     for (Task task : victims) {
       clusterState.stop(task, "preempted", nowMicros);
     }
@@ -69,7 +69,7 @@
   }
 
   /** The search for victims, with the room that each machine has once those found are stopped. */
-  private final class Search {
+  private final class VictimSearch {
     private final long nowMicros;
     private final Priority lowest = lowestBoundPriority();
     private final Map<Machine, FreeCapacity> freeCapacities = new HashMap<>();
@@ -78,7 +78,7 @@
     /** What found no room will find none for another task with the same requirements either. */
     private final Set<String> unplaceable = new HashSet<>();
 
-    Search(long nowMicros) {
+    VictimSearch(long nowMicros) {
       this.nowMicros = nowMicros;
     }
 
@@ -102,7 +102,7 @@
       if (unplaceable.contains(equivalenceKey)) {
         return;
       }
-      for (int i = 0; i < item.tasks() && victims.size() < MAX_VICTIMS; i++) {
+      for (int i = 0; i < item.tasks() && victims.size() < MAX_VICTIMS_PER_PASS; i++) {
         if (!makeRoomForTask(item.job())) {
           unplaceable.add(equivalenceKey);
           return;
@@ -117,9 +117,10 @@
       List<Machine> candidates = new ArrayList<>();
       for (Machine machine : clusterState.sortedMachines().machines()) {
         if (eligible.test(machine)) {
-          FreeCapacity free = freeCapacities.computeIfAbsent(machine, Preemption::beingFreed);
+          FreeCapacity free =
+              freeCapacities.computeIfAbsent(machine, Preemption::capacityAfterStops);
           if (free.covers(spec)) {
-            free.take(spec);
+            free.allocate(spec);
             return true;
           }
           if (machine.hasTaskBelow(spec.priority())) {
@@ -150,9 +151,9 @@
       List<Task> chosen = new ArrayList<>();
       for (Task task : preemptible(machine, spec.priority())) {
         chosen.add(task);
-        freed.add(task.spec());
+        freed.deallocate(task.spec());
         if (freed.covers(spec)) {
-          freed.take(spec);
+          freed.allocate(spec);
           freeCapacities.put(machine, freed);
           victims.addAll(chosen);
           return true;
@@ -177,11 +178,11 @@
   }
 
   /** What the machine has free once the tasks that are being stopped are gone. */
-  private static FreeCapacity beingFreed(Machine machine) {
+  private static FreeCapacity capacityAfterStops(Machine machine) {
     FreeCapacity free = FreeCapacity.free(machine);
     for (Task task : machine.tasks()) {
       if (task.phase() == TaskPhase.STOPPING) {
-        free.add(task.spec());
+        free.deallocate(task.spec());
       }
     }
     return free;
--- a/src/main/java/org/dewreach/scheduling/ServiceHeadroom.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceHeadroom.java
@@ -17,7 +17,7 @@
   private final ClusterState clusterState;
   private final double reservedCpus;
   private double freeCpus;
-  private boolean measured;
+  private boolean freeCpusRead;
 
   /** Keeps so many CPUs free. */
   ServiceHeadroom(ClusterState clusterState, double reservedCpus) {
@@ -45,10 +45,10 @@
 
   /** The jobs of the queue are told in its order, before each is placed. */
   void beforePlacing(JobSpec spec) {
-    if (!measured && spec.spot()) {
+    if (!freeCpusRead && spec.spot()) {
       // Services come first in the queue, so what they take is gone from this already.
       freeCpus = clusterState.freeCpus(false);
-      measured = true;
+      freeCpusRead = true;
     }
   }
 
@@ -58,7 +58,7 @@
    * @param exempt true if it may be taken all the same
    * @return false if it is not taken
    */
-  boolean take(Machine machine, JobSpec spec, boolean exempt) {
+  boolean tryAllocate(Machine machine, JobSpec spec, boolean exempt) {
     if (machine.spot() || !appliesTo(spec)) {
       return true;
     }
--- a/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
@@ -17,10 +17,10 @@
  */
 public final class ServiceMigrator {
   /** Moves that may be saved up. */
-  private static final double MAX_SAVED_MOVES = 2;
+  private static final double MAX_ACCUMULATED_MOVES = 2;
 
   /** A service that began lately is not moved. A default of this project. */
-  private static final long SETTLED_AFTER_MICROS = 45_000_000;
+  private static final long MIN_RUN_BEFORE_MOVE_MICROS = 45_000_000;
 
   private static final double MICROS_PER_SECOND = 1e6;
 
@@ -38,8 +38,9 @@
 
   /** Stops services to be placed elsewhere, as far as the budget goes. Called once a round. */
   public void migrate(long nowMicros) {
-    double earned = replicas() * tuning.movedShare() * roundIntervalMicros / MICROS_PER_SECOND;
-    moveBudget = Math.min(MAX_SAVED_MOVES, moveBudget + earned);
+    double earned =
+        countServiceReplicas() * tuning.movedShare() * roundIntervalMicros / MICROS_PER_SECOND;
+    moveBudget = Math.min(MAX_ACCUMULATED_MOVES, moveBudget + earned);
     clusterState.sortedMachines().invalidateIndex();
     for (Machine machine : clusterState.machines().values()) {
       if (moveBudget < 1) {
@@ -48,7 +49,7 @@
       if (!machine.cordoned() || machine.phase() != MachinePhase.UP) {
         continue;
       }
-      Task movable = movableService(machine, nowMicros);
+      Task movable = onlyMovableService(machine, nowMicros);
       if (movable != null) {
         moveBudget -= 1;
         clusterState.stop(movable, "moved, so that its machine can be returned", nowMicros);
@@ -57,7 +58,7 @@
     }
   }
 
-  private int replicas() {
+  private int countServiceReplicas() {
     int replicas = 0;
     for (Machine machine : clusterState.machines().values()) {
       for (Task task : machine.tasks()) {
@@ -68,25 +69,25 @@
   }
 
   /** A service of a machine that has nothing else, and that could start at once elsewhere. */
-  private Task movableService(Machine machine, long nowMicros) {
+  private Task onlyMovableService(Machine machine, long nowMicros) {
     Task found = null;
     for (Task task : machine.tasks()) {
-      if (!isSettledService(task, nowMicros)) {
+      if (!isMovableService(task, nowMicros)) {
         return null;
       }
       found = task;
     }
-    return found != null && canStartAtOnce(found.spec()) ? found : null;
+    return found != null && canStartElsewhereImmediately(found.spec()) ? found : null;
   }
 
-  private static boolean isSettledService(Task task, long nowMicros) {
+  private static boolean isMovableService(Task task, long nowMicros) {
     return task.spec().jobKind() == JobKind.SERVICE
         && task.spec().tasks() <= 1
         && task.phase() == TaskPhase.RUNNING
-        && nowMicros - task.startedAt() > SETTLED_AFTER_MICROS;
+        && nowMicros - task.startedAt() > MIN_RUN_BEFORE_MOVE_MICROS;
   }
 
-  private boolean canStartAtOnce(JobSpec spec) {
+  private boolean canStartElsewhereImmediately(JobSpec spec) {
     return clusterState
             .sortedMachines()
             .firstFit(
--- a/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -26,13 +26,13 @@
   private static final Logger LOG = LoggerFactory.getLogger(TaskConsolidator.class);
 
   /** From placement to running, without an image fetch. A default of this project. */
-  private static final long START_MICROS = 4_000_000;
+  private static final long TASK_START_MICROS = 4_000_000;
 
   /**
    * A task is moved if it has this many times the cost of a move left to run. A default of this
    * project.
    */
-  private static final int WORTH_MOVING = 10;
+  private static final int MIN_REMAINING_TO_MOVE_COST_RATIO = 10;
 
   private final ClusterState clusterState;
 
@@ -92,7 +92,8 @@
         && spec.jobKind() == JobKind.ARRAY
         && spec.checkpointIntervalMicros() > 0
         && spec.expectedMicros() - ran
-            > WORTH_MOVING * (spec.checkpointDurationMicros() + START_MICROS);
+            > MIN_REMAINING_TO_MOVE_COST_RATIO
+                * (spec.checkpointDurationMicros() + TASK_START_MICROS);
   }
 
   /** Where the task could start at once, or null. */
@@ -101,12 +102,12 @@
     Machine machine =
         clusterState
             .sortedMachines()
-            .firstFit(spec, other -> !taken.contains(other) && startsAtOnce(spec, other));
+            .firstFit(spec, other -> !taken.contains(other) && canStartImmediately(spec, other));
     return machine != null ? machine : uncordonOneFor(task);
   }
 
   /** On on-demand machines, work that leaves room for services may find none when it is placed. */
-  private static boolean startsAtOnce(JobSpec spec, Machine machine) {
+  private static boolean canStartImmediately(JobSpec spec, Machine machine) {
     return SortFirstFit.permitted(spec, machine)
         && machine.fetchMicros(spec) == 0
         && (machine.spot() || !ServiceHeadroom.appliesTo(spec));
@@ -129,7 +130,7 @@
       if (machine != task.machine()
           && machine.schedulableOnceUncordoned()
           && SortFirstFit.covers(machine, spec)
-          && startsAtOnce(spec, machine)) {
+          && canStartImmediately(spec, machine)) {
         LOG.info("machine uncordoned: machine={} for_task={}", machine.name(), task.name());
         machine.cordoned(false);
         clusterState.sortedMachines().updateCapacity(machine);
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -22,15 +22,15 @@
    * A task of a job that fails repeatedly is given this long to fail before the next is started. A
    * default of this project.
    */
-  private static final long TRIAL_MICROS = 30_000_000;
+  private static final long PROBE_MICROS = 30_000_000;
 
   /** Bounds the work of one pass; what is left is placed in the next. */
-  private static final int MAX_PLACED = 400;
+  private static final int MAX_TASKS_PER_PASS = 400;
 
   private final ClusterState clusterState;
   private final QueueOrder queueOrder;
   private final long wallOffsetMicros;
-  private final Map<String, Long> startWithin = new HashMap<>();
+  private final Map<String, Long> startWithinMicrosByClass = new HashMap<>();
 
   /**
    * A placer of one term.
@@ -50,10 +50,10 @@
     this.wallOffsetMicros = wallOffsetMicros;
     for (Settings.Objective objective : objectives) {
       if (objective.kind() == Settings.ObjectiveKind.START_WITHIN && objective.jobClass() != null) {
-        startWithin.merge(objective.jobClass(), objective.withinMicros(), Math::min);
+        startWithinMicrosByClass.merge(objective.jobClass(), objective.withinMicros(), Math::min);
       }
     }
-    startWithin.putAll(tuning.startWithinMicros());
+    startWithinMicrosByClass.putAll(tuning.startWithinMicros());
   }
 
   /**
@@ -65,7 +65,7 @@
    */
   public List<UnplacedTasks> placeTasks(
       long nowMicros, Predicate<Job> allTasksKnown, long bootMicros) {
-    Map<Job, Integer> unseen = reserveQuotaOfUnseenTasks(allTasksKnown);
+    Map<Job, Integer> unseen = reserveQuotaOfUnreconciledJobs(allTasksKnown);
     List<Job> queue =
         queueOrder.order(
             clusterState.jobs().values(),
@@ -81,7 +81,7 @@
     return pass.unplaced;
   }
 
-  private Map<Job, Integer> reserveQuotaOfUnseenTasks(Predicate<Job> allTasksKnown) {
+  private Map<Job, Integer> reserveQuotaOfUnreconciledJobs(Predicate<Job> allTasksKnown) {
     Map<Job, Integer> unseen = new HashMap<>();
     for (Job job : clusterState.jobs().values()) {
       int pending = allTasksKnown.test(job) ? 0 : job.pending();
@@ -100,10 +100,10 @@
    * pass, it held ever more room until the first of them failed. And against an array of long tasks
    * that met two faulty machines: its other tasks do not wait until one of them has completed.
    */
-  private static boolean isOnTrial(Job job, long nowMicros) {
+  private static boolean hasProbeTask(Job job, long nowMicros) {
     return job.backoff().failsRepeatedly()
         && job.bound().values().stream()
-            .anyMatch(task -> nowMicros - task.boundAt() < TRIAL_MICROS);
+            .anyMatch(task -> nowMicros - task.boundAt() < PROBE_MICROS);
   }
 
   /** What one pass has placed so far, and what it could not place. */
@@ -124,12 +124,12 @@
     }
 
     boolean isFull() {
-      return placed >= MAX_PLACED;
+      return placed >= MAX_TASKS_PER_PASS;
     }
 
     void place(Job job) {
       headroom.beforePlacing(job.spec());
-      if (job.backoff().notBefore() > nowMicros || isOnTrial(job, nowMicros)) {
+      if (job.backoff().notBefore() > nowMicros || hasProbeTask(job, nowMicros)) {
         return;
       }
       int withinQuota = clusterState.quotas().startableTasks(job.spec(), job.pending());
@@ -150,10 +150,10 @@
       if (unplaceable.contains(equivalenceKey)) {
         return 0;
       }
-      long startWithinMicros = startWithin.getOrDefault(job.spec().jobClass(), 0L);
+      long startWithinMicros = startWithinMicrosByClass.getOrDefault(job.spec().jobClass(), 0L);
       JobPlacement placement =
           new JobPlacement(clusterState, headroom, job, exempt, startWithinMicros, nowMicros);
-      int started = placement.place(limit(job, withinQuota));
+      int started = placement.place(taskLimit(job, withinQuota));
       if (started == 0 && !placement.blockedByDirectStart() && !job.backoff().failsRepeatedly()) {
         unplaceable.add(equivalenceKey);
       }
@@ -172,7 +172,7 @@
     }
 
     /** How many tasks of the job to place in this pass. */
-    private int limit(Job job, int withinQuota) {
+    private int taskLimit(Job job, int withinQuota) {
       boolean single = job.backoff().failsRepeatedly() || QueueOrder.isStarved(job, wallMicros);
       // Guards against replicas that need each other's zone and lost it late: never one alone.
       if (single && !JobPlacement.isAllOrNothing(job)) {
@@ -180,7 +180,7 @@
       }
       // A gang larger than a pass has to be placed in one all the same.
       boolean gang = job.spec().jobKind() == JobKind.GANG;
-      return gang ? withinQuota : Math.min(withinQuota, MAX_PLACED - placed);
+      return gang ? withinQuota : Math.min(withinQuota, MAX_TASKS_PER_PASS - placed);
     }
   }
 }
--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -15,7 +15,7 @@
 import org.dewreach.model.Task;
 import org.dewreach.model.TaskPhase;
 import org.dewreach.placement.Quotas;
-import org.dewreach.placement.ServiceRate;
+import org.dewreach.placement.ServiceArrivalRate;
 import org.dewreach.placement.SortFirstFit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -38,14 +38,14 @@
 
   private final SortFirstFit sortedMachines = new SortFirstFit();
   private final Quotas quotas;
-  private final ServiceRate serviceRate;
+  private final ServiceArrivalRate serviceRate;
   private final Set<Machine> machinesToCommand = new LinkedHashSet<>();
   private long lastAttemptNumber;
   private boolean placementRequested = true;
 
   /** The empty state of a term. */
   public ClusterState(long term, Map<String, Settings.Team> teams, Tuning tuning) {
-    this.serviceRate = new ServiceRate(tuning.headroomSpreads());
+    this.serviceRate = new ServiceArrivalRate(tuning.headroomSpreads());
     this.term = term;
     this.quotas = new Quotas(teams);
   }
@@ -76,7 +76,7 @@
   }
 
   /** The rate at which services arrive. */
-  public ServiceRate serviceRate() {
+  public ServiceArrivalRate serviceRate() {
     return serviceRate;
   }
 
--- a/src/test/java/org/dewreach/autoscaling/RefusalBackoffTest.java
+++ b/src/test/java/org/dewreach/autoscaling/RefusalBackoffTest.java
@@ -35,10 +35,10 @@
   }
 
   @Test
-  void aGrantEndsThePauseAndTheDoubling() {
+  void aFulfilledRequestResetsTheBackoff() {
     refusals.onRefused(pool(), 0);
     refusals.onRefused(pool(), 0);
-    refusals.onGranted(pool());
+    refusals.onFulfilled(pool());
     assertTrue(refusals.available(pool(), 0));
     refusals.onRefused(pool(), 0);
     assertTrue(refusals.available(pool(), 8 * S));
--- a/src/test/java/org/dewreach/autoscaling/ScaleOutExecutorTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScaleOutExecutorTest.java
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void aRequestWithoutAnAnswerIsRepeatedUnderItsNameAndNoOtherIsMade() {
+  void aRequestWithoutAResponseIsRetriedUnderTheSameName() {
     List<Effect.Call> first = round(S);
     assertEquals(1, first.size());
     assertEquals(List.of(), round(2 * S), "it is in flight, and its machine is counted on");
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void aRequestThatIsNeverAnsweredIsAbandonedAfterFourAttempts() {
+  void aRequestWithoutAnOutcomeIsAbandonedAfterFourAttempts() {
     Effect.Call call = round(S).get(0);
     String name = name(call);
     for (int attempt = 2; attempt <= 4; attempt++) {
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void rentedMachinesAreBootingAndNotAskedForAgain() {
+  void rentedMachinesAreBootingAndNotRequestedAgain() {
     ObjectNode body = Codec.map();
     body.putArray("hosts").add("vm-1");
     cloud.reply(round(S).get(0), 200, body);
@@ -96,14 +96,14 @@
   }
 
   @Test
-  void aRefusedPoolIsLeftOutForAWhile() {
+  void aRefusedPoolIsExcludedDuringItsBackoff() {
     cloud.reply(round(S).get(0), 503, Codec.map().put("error", "no capacity"));
     assertEquals(List.of(), round(7 * S));
     assertEquals(1, round(8 * S).size());
   }
 
   @Test
-  void answersAfterTheTermAreIgnored() {
+  void responsesAfterTheTermAreIgnored() {
     List<Effect.Call> calls = round(S);
     scaleOut.close();
     ObjectNode body = Codec.map();
--- a/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
@@ -18,10 +18,10 @@
   private static final long AMPLE_SLACK = Long.MAX_VALUE / 4;
 
   /** Holds two tasks; the cheaper of the two types, in both zones. */
-  private static final MachineType BOX = type("box", 8, 1, "a", "b");
+  private static final MachineType CHEAP_TYPE = type("box", 8, 1, "a", "b");
 
   /** As large, dearer, in zone b alone. */
-  private static final MachineType CRATE = type("crate", 8, 3, "b");
+  private static final MachineType EXPENSIVE_TYPE = type("crate", 8, 3, "b");
 
   private final ScalingPlanner planner = new ScalingPlanner();
 
@@ -42,7 +42,7 @@
         .build();
   }
 
-  private static JobSpec together(String id, int tasks) {
+  private static JobSpec sameZoneJob(String id, int tasks) {
     return job(id, tasks, null, true, false);
   }
 
@@ -74,11 +74,11 @@
    * machines, which the job cannot use.
    */
   @Test
-  void tasksThatShareAZoneGetMachinesWhereTheOthersAre() {
+  void sameZoneTasksGetMachinesInTheZoneOfTheBoundTasks() {
     MachineType onlyInA = type("box", 8, 1, "a");
     CapacityRequirement bound =
-        new CapacityRequirement(together("req-1", 6), 4, AMPLE_SLACK, Map.of("b", 2, "a", 0));
-    assertEquals(Map.of("b", 2), plan(List.of(bound), List.of(), onlyInA, CRATE));
+        new CapacityRequirement(sameZoneJob("req-1", 6), 4, AMPLE_SLACK, Map.of("b", 2, "a", 0));
+    assertEquals(Map.of("b", 2), plan(List.of(bound), List.of(), onlyInA, EXPENSIVE_TYPE));
   }
 
   /**
@@ -86,56 +86,63 @@
    * zones have room for all six tasks, those of one zone have not.
    */
   @Test
-  void machinesToComeInSeveralZonesAreNotCountedTogether() {
+  void expectedMachinesInSeveralZonesAreNotCombined() {
     List<Machine> machines =
-        List.of(booting("m1", BOX, "a"), booting("m2", BOX, "b"), booting("m3", BOX, "b"));
-    assertEquals(Map.of("b", 1), plan(List.of(requirement(together("req-1", 6))), machines, BOX));
+        List.of(
+            booting("m1", CHEAP_TYPE, "a"),
+            booting("m2", CHEAP_TYPE, "b"),
+            booting("m3", CHEAP_TYPE, "b"));
+    assertEquals(
+        Map.of("b", 1), plan(List.of(requirement(sameZoneJob("req-1", 6))), machines, CHEAP_TYPE));
   }
 
   /** Guard: the job's id in {@code CapacityRequirement.groupKey}. */
   @Test
-  void jobsThatShareAZoneEachAreNotPlannedAsOne() {
+  void sameZoneJobsArePlannedSeparately() {
     CapacityRequirement inA =
-        new CapacityRequirement(together("req-1", 4), 2, AMPLE_SLACK, Map.of("a", 2));
+        new CapacityRequirement(sameZoneJob("req-1", 4), 2, AMPLE_SLACK, Map.of("a", 2));
     CapacityRequirement inB =
-        new CapacityRequirement(together("req-2", 4), 2, AMPLE_SLACK, Map.of("b", 2));
-    assertEquals(Map.of("a", 1, "b", 1), plan(List.of(inA, inB), List.of(), BOX));
+        new CapacityRequirement(sameZoneJob("req-2", 4), 2, AMPLE_SLACK, Map.of("b", 2));
+    assertEquals(Map.of("a", 1, "b", 1), plan(List.of(inA, inB), List.of(), CHEAP_TYPE));
   }
 
   /**
    * Guard: the tasks left over decide in {@code SharedZoneSelector.select}, not the price alone.
    */
   @Test
-  void aZoneThatCannotHoldTheJobIsNotRentedIn() {
-    planner.onRefused(onDemand(BOX, "a"), 0);
-    planner.onRefused(onDemand(BOX, "b"), 0);
-    List<Machine> machines = List.of(booting("m1", BOX, "a"));
+  void noMachinesAreRentedInAZoneThatCannotHoldTheJob() {
+    planner.onRefused(onDemand(CHEAP_TYPE, "a"), 0);
+    planner.onRefused(onDemand(CHEAP_TYPE, "b"), 0);
+    List<Machine> machines = List.of(booting("m1", CHEAP_TYPE, "a"));
     assertEquals(
-        Map.of("b", 2), plan(List.of(requirement(together("req-1", 4))), machines, BOX, CRATE));
+        Map.of("b", 2),
+        plan(List.of(requirement(sameZoneJob("req-1", 4))), machines, CHEAP_TYPE, EXPENSIVE_TYPE));
   }
 
   /**
-   * Guard: {@code SharedZoneSelector.fittingNow}. Machines that came for it wait with it for the
-   * rest.
+   * Guard: {@code SharedZoneSelector.countTasksFittingNow}. Machines that came for it wait with it
+   * for the rest.
    */
   @Test
-  void aJobStaysWithTheZoneInWhichSomeOfItsMachinesAreUp() {
-    Machine up = booting("m1", BOX, "b");
+  void aSameZoneJobPrefersTheZoneWhereSomeOfItsMachinesAreUp() {
+    Machine up = booting("m1", CHEAP_TYPE, "b");
     up.become(MachinePhase.UNCONFIRMED, 500_000);
     up.become(MachinePhase.UP, 500_000);
     up.recorded(true);
     assertTrue(up.schedulable());
     assertEquals(
-        Map.of("b", 2), plan(List.of(requirement(together("req-1", 4))), List.of(up), BOX));
+        Map.of("b", 2),
+        plan(List.of(requirement(sameZoneJob("req-1", 4))), List.of(up), CHEAP_TYPE));
   }
 
   /** Guard: {@code ZoneAllowance.atMostHalf}; the cheaper machines are all in zone a. */
   @Test
-  void aScatteredJobIsPlannedWithAtMostHalfOfItsTasksInOneZone() {
+  void aSpreadJobIsPlannedWithAtMostHalfOfItsTasksPerZone() {
     MachineType onlyInA = type("box", 8, 1, "a");
     JobSpec nine = job("req-1", 9, null, false, true);
     assertEquals(
-        Map.of("a", 3, "b", 2), plan(List.of(requirement(nine)), List.of(), onlyInA, CRATE));
+        Map.of("a", 3, "b", 2),
+        plan(List.of(requirement(nine)), List.of(), onlyInA, EXPENSIVE_TYPE));
     List<Machine> machines =
         List.of(
             booting("m1", onlyInA, "a"),
@@ -143,31 +150,33 @@
             booting("m3", onlyInA, "a"),
             booting("m4", onlyInA, "a"),
             booting("m5", onlyInA, "a"));
-    assertEquals(Map.of("b", 2), plan(List.of(requirement(nine)), machines, onlyInA, CRATE));
+    assertEquals(
+        Map.of("b", 2), plan(List.of(requirement(nine)), machines, onlyInA, EXPENSIVE_TYPE));
     CapacityRequirement bound = new CapacityRequirement(nine, 5, AMPLE_SLACK, Map.of("a", 4));
-    assertEquals(Map.of("a", 1, "b", 2), plan(List.of(bound), List.of(), onlyInA, CRATE));
+    assertEquals(Map.of("a", 1, "b", 2), plan(List.of(bound), List.of(), onlyInA, EXPENSIVE_TYPE));
   }
 
   /** A job of one task has no other to share a zone with, and goes where it is cheapest. */
   @Test
-  void otherJobsAreRentedForWhereverTheyMayRun() {
+  void jobsWithoutZoneRulesUseTheCheapestAllowedZone() {
     assertEquals(
         Map.of("b", 1),
-        plan(List.of(requirement(job("req-1", 2, "b", false, false))), List.of(), BOX));
+        plan(List.of(requirement(job("req-1", 2, "b", false, false))), List.of(), CHEAP_TYPE));
     assertEquals(
         Map.of("b", 1),
-        plan(List.of(requirement(job("req-1", 2, "b", true, false))), List.of(), BOX));
-    List<Machine> machines = List.of(booting("m1", BOX, "a"), booting("m2", BOX, "b"));
+        plan(List.of(requirement(job("req-1", 2, "b", true, false))), List.of(), CHEAP_TYPE));
+    List<Machine> machines =
+        List.of(booting("m1", CHEAP_TYPE, "a"), booting("m2", CHEAP_TYPE, "b"));
     JobSpec anywhere = job("req-1", 4, null, false, false);
-    assertEquals(Map.of(), plan(List.of(requirement(anywhere)), machines, BOX));
+    assertEquals(Map.of(), plan(List.of(requirement(anywhere)), machines, CHEAP_TYPE));
     List<CapacityRequirement> ones =
-        List.of(requirement(together("req-1", 1)), requirement(together("req-2", 1)));
-    assertEquals(Map.of(), plan(ones, List.of(booting("m1", BOX, "a")), BOX));
+        List.of(requirement(sameZoneJob("req-1", 1)), requirement(sameZoneJob("req-2", 1)));
+    assertEquals(Map.of(), plan(ones, List.of(booting("m1", CHEAP_TYPE, "a")), CHEAP_TYPE));
   }
 
   /** Guards against requests above the cloud's limit, and against planning without end. */
   @Test
-  void theLargestJobAsksForNoMoreThanARequestHolds() {
+  void theLargestJobIsLimitedToOneRequestPerPool() {
     JobSpec spec = JobSpecBuilder.array("req-1").tasks(100_000).build();
     MachineType type =
         new MachineType("box", 8, 0, 32, 50, 1, 1, 0.3, 20_000_000, List.of("a", "b"));
--- a/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
+++ b/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
@@ -30,7 +30,7 @@
           ClusterFixture.type("s", 8, 32, 1));
 
   /** The paper's walk with our tie-breaks, written out without any index. */
-  private static Machine plainWalk(
+  private static Machine linearScan(
       SortFirstFit list, JobSpec spec, Predicate<Machine> allowed, boolean spot) {
     Machine best = null;
     for (Machine machine : list.machines()) {
@@ -58,12 +58,13 @@
     return best;
   }
 
-  private static Machine plain(SortFirstFit list, JobSpec spec, Predicate<Machine> allowed) {
-    Machine onSpot = spec.spot() ? plainWalk(list, spec, allowed, true) : null;
-    return onSpot != null ? onSpot : plainWalk(list, spec, allowed, false);
+  private static Machine expectedMachine(
+      SortFirstFit list, JobSpec spec, Predicate<Machine> allowed) {
+    Machine onSpot = spec.spot() ? linearScan(list, spec, allowed, true) : null;
+    return onSpot != null ? onSpot : linearScan(list, spec, allowed, false);
   }
 
-  private static JobSpec draw(Random random, int number) {
+  private static JobSpec randomSpec(Random random, int number) {
     double cpus = 0.5 + random.nextInt(6);
     double gpus = random.nextInt(8) == 0 ? 1 : 0;
     double memoryGb = 0.3 * (1 + random.nextInt(60));
@@ -77,7 +78,7 @@
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void sameMachineAsThePlainWalk(long seed) {
+  void indexedSearchMatchesLinearScan(long seed) {
     Random random = new Random(seed);
     SortFirstFit list = new SortFirstFit();
     List<Machine> machines = new ArrayList<>();
@@ -124,11 +125,11 @@
           }
         }
         default -> {
-          JobSpec spec = draw(random, step);
+          JobSpec spec = randomSpec(random, step);
           int parity = random.nextInt(6);
           Predicate<Machine> allowed = machine -> parity > 0 || machine.name().hashCode() % 3 != 0;
           Machine found = list.firstFit(spec, allowed);
-          assertEquals(plain(list, spec, allowed), found, "step " + step);
+          assertEquals(expectedMachine(list, spec, allowed), found, "step " + step);
           if (found != null) {
             Task task =
                 new Task(
--- a/src/test/java/org/dewreach/placement/QueueOrderTest.java
+++ b/src/test/java/org/dewreach/placement/QueueOrderTest.java
@@ -55,7 +55,7 @@
 
   /** Guards against a burst making every job late by a little. */
   @Test
-  void jobsThatCanBeInTimeGoBeforeThoseThatCannot() {
+  void jobsThatCanMeetTheirTargetGoFirst() {
     Job lost = job("req-1", "none", Priority.NORMAL, 1, 20, 0);
     Job large = job("req-2", "none", Priority.NORMAL, 50, 200, 1);
     Job small = job("req-3", "none", Priority.NORMAL, 5, 200, 2);
@@ -74,7 +74,7 @@
 
   /** Guards against a large or late job that always has newer, smaller ones before it. */
   @Test
-  void everyOtherOrderGoesByAgeOnceAJobHasWaitedLong() {
+  void everySecondOrderingGoesByAgeOnceAJobHasWaitedLong() {
     Job old = job("req-1", "none", Priority.NORMAL, 500, 900, -30);
     old.markDone(0);
     Job begun = job("req-2", "none", Priority.NORMAL, 500, 900, -50);
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void noOrderGoesByAgeWhileNoJobHasWaitedLong() {
+  void noOrderingGoesByAgeWhileNoJobHasWaitedLong() {
     Job large = job("req-1", "none", Priority.NORMAL, 500, 900, 50);
     Job small = job("req-2", "red", Priority.NORMAL, 1, 200, 119);
     for (int pass = 0; pass < 40; pass++) {
--- a/src/test/java/org/dewreach/placement/QuotasTest.java
+++ b/src/test/java/org/dewreach/placement/QuotasTest.java
@@ -24,12 +24,12 @@
   }
 
   @Test
-  void noMoreThanAskedFor() {
+  void startableTasksAreCappedAtTheRequestedCount() {
     assertEquals(4, quotas.startableTasks(SMALL, 4));
   }
 
   @Test
-  void whatIsRemovedIsFreeAgain() {
+  void removedTasksFreeTheirQuota() {
     quotas.add(LARGE, 3);
     assertEquals(0, quotas.startableTasks(LARGE, 100));
     quotas.add(LARGE, -1);
--- a/src/test/java/org/dewreach/placement/SortFirstFitTest.java
+++ b/src/test/java/org/dewreach/placement/SortFirstFitTest.java
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void drainingMachinesTakeNothing() {
+  void drainingMachinesAreSkipped() {
     SortFirstFit list = new SortFirstFit();
     Machine big = machine("a", 32, 64, 0);
     Machine small = machine("b", 8, 64, 0);
--- a/src/test/java/org/dewreach/scheduling/PreemptionTest.java
+++ b/src/test/java/org/dewreach/scheduling/PreemptionTest.java
@@ -58,34 +58,34 @@
 
   /** Guards against stopping tasks again and again for one need, while the first are stopping. */
   @Test
-  void roomThatIsBeingFreedIsCounted() {
+  void capacityBeingFreedIsCounted() {
     preemptFor(JobSpecBuilder.array("req-2"), 1, 10 * S);
     preemptFor(JobSpecBuilder.array("req-3"), 1, 11 * S);
     assertEquals(List.of(3), stopped());
   }
 
   @Test
-  void nothingIsStoppedWhereTheTaskMayNotGo() {
+  void nothingIsStoppedOnMachinesTheTaskMayNotUse() {
     preemptFor(JobSpecBuilder.array("req-2").spot(false), 1, 10 * S);
     assertEquals(List.of(), stopped());
   }
 
   @Test
-  void nothingIsStoppedWhereAllOfItWouldNotBeEnough() {
+  void nothingIsStoppedIfAllPreemptibleTasksAreNotEnough() {
     preemptFor(JobSpecBuilder.array("req-2").cpus(5), 1, 10 * S);
     assertEquals(List.of(), stopped());
   }
 
   /** What must go together might find only half of its room and stop tasks for nothing. */
   @Test
-  void jobsWhoseTasksDependOnEachOtherPreemptNothing() {
+  void jobsWithZoneRulesPreemptNothing() {
     preemptFor(JobSpecBuilder.array("req-2").sameZone(true), 2, 10 * S);
     preemptFor(JobSpecBuilder.array("req-3").spreadZones(true), 2, 11 * S);
     assertEquals(List.of(), stopped());
   }
 
   @Test
-  void callsThatComeTooSoonAreIgnored() {
+  void callsWithinTheIntervalAreIgnored() {
     preemptFor(JobSpecBuilder.array("req-2"), 1, 10 * S);
     preemptFor(JobSpecBuilder.array("req-3").cpus(4), 1, 10 * S + 100_000);
     assertEquals(List.of(3), stopped());
--- a/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
@@ -16,7 +16,7 @@
 
 /** Which tasks leave cordoned machines: {@link TaskConsolidator}. */
 class TaskConsolidatorTest {
-  private static final long CHECKPOINTS = 30 * S;
+  private static final long CHECKPOINT_INTERVAL = 30 * S;
   private static final long LONG_RUN = 300 * S;
   private static final MachineType BOX = ClusterFixture.type("box", 4, 64, 0);
 
@@ -29,8 +29,8 @@
     return cluster.add(machine);
   }
 
-  private Task saving(String id, Machine machine) {
-    return task(id, machine, CHECKPOINTS, LONG_RUN);
+  private Task checkpointingTask(String id, Machine machine) {
+    return task(id, machine, CHECKPOINT_INTERVAL, LONG_RUN);
   }
 
   private Task task(String id, Machine machine, long checkpoints, long expected) {
@@ -52,17 +52,17 @@
   @Test
   void aTaskWithCheckpointsMovesOffACordonedMachine() {
     machine("m0", true, false);
-    Task task = saving("req-1", machine("m1", true, true));
+    Task task = checkpointingTask("req-1", machine("m1", true, true));
     consolidator.consolidate(S);
     assertEquals(TaskPhase.STOPPING, task.phase());
   }
 
   /** Guards against work that is lost by a move, or costs more to move than it has left. */
   @Test
-  void aTaskWithoutCheckpointsOrSoonDoneStays() {
+  void aTaskWithoutCheckpointsOrNearItsEndStays() {
     machine("m0", true, false);
     Task loses = task("req-1", machine("m1", true, true), 0, LONG_RUN);
-    Task endsSoon = task("req-2", machine("m2", true, true), CHECKPOINTS, 60 * S);
+    Task endsSoon = task("req-2", machine("m2", true, true), CHECKPOINT_INTERVAL, 60 * S);
     consolidator.consolidate(S);
     assertEquals(TaskPhase.RUNNING, loses.phase());
     assertEquals(TaskPhase.RUNNING, endsSoon.phase());
@@ -70,9 +70,9 @@
 
   /** Guards against a task that is stopped and then kept out by the room for services. */
   @Test
-  void roomOnOnDemandMachinesIsNoTarget() {
+  void spotTasksAreNotMovedToOnDemandMachines() {
     machine("m0", false, false);
-    Task task = saving("req-1", machine("m1", true, true));
+    Task task = checkpointingTask("req-1", machine("m1", true, true));
     consolidator.consolidate(S);
     assertEquals(TaskPhase.RUNNING, task.phase());
   }
@@ -84,9 +84,9 @@
   @Test
   void theFullestCordonedMachineIsUncordonedForTheOthersTasks() {
     Machine fuller = machine("m2", true, true);
-    saving("req-1", fuller);
-    saving("req-2", fuller);
-    Task alone = saving("req-3", machine("m1", true, true));
+    checkpointingTask("req-1", fuller);
+    checkpointingTask("req-2", fuller);
+    Task alone = checkpointingTask("req-3", machine("m1", true, true));
     consolidator.consolidate(S);
     assertEquals(TaskPhase.STOPPING, alone.phase());
     assertTrue(fuller.schedulable(), "it is where the task goes");
@@ -98,8 +98,8 @@
   void ofTwoEquallyFullCordonedMachinesOneIsUncordoned() {
     Machine one = machine("m1", true, true);
     Machine other = machine("m2", true, true);
-    Task first = saving("req-1", one);
-    Task second = saving("req-2", other);
+    Task first = checkpointingTask("req-1", one);
+    Task second = checkpointingTask("req-2", other);
     consolidator.consolidate(S);
     assertTrue(one.cordoned() != other.cordoned());
     assertTrue(first.phase() != second.phase(), "only the task of the other one is moved");
@@ -109,11 +109,11 @@
   @Test
   void theEmptiestMachineIsEmptiedFirst() {
     Machine target = machine("m0", true, false);
-    saving("req-0", target);
+    checkpointingTask("req-0", target);
     Machine fuller = machine("m1", true, true);
-    Task one = saving("req-1", fuller);
-    Task two = saving("req-2", fuller);
-    Task alone = saving("req-3", machine("m2", true, true));
+    Task one = checkpointingTask("req-1", fuller);
+    Task two = checkpointingTask("req-2", fuller);
+    Task alone = checkpointingTask("req-3", machine("m2", true, true));
     consolidator.consolidate(S);
     assertEquals(TaskPhase.STOPPING, alone.phase());
     assertEquals(TaskPhase.RUNNING, one.phase());
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -47,7 +47,7 @@
    * exceeding the quota.
    */
   @Test
-  void tasksThatMayRunUnseenAreNotStartedAndCountAgainstTheQuota() {
+  void unreconciledJobsAreNotStartedAndCountAgainstTheQuota() {
     box("m1", true);
     Job unseen = loaded("req-1", 7);
     Job seen = loaded("req-2", 6);
@@ -75,7 +75,7 @@
    * Guards against a task that may not return to a machine and keeps all like it away from there.
    */
   @Test
-  void aTaskThatMayNotReturnToAMachineKeepsNoOtherAway() {
+  void aTaskExcludedFromAMachineDoesNotBlockOtherTasks() {
     Machine machine = box("m1", true);
     Job first = submitted("req-1", 3);
     submitted("req-2", 1);
@@ -87,11 +87,11 @@
 
   /** Guards against a job that waits for ever beside room that is kept for services. */
   @Test
-  void aJobThatWaitedLongGetsRoomKeptForServices() {
+  void aLongWaitingJobGetsItsFirstTaskFromTheServiceHeadroom() {
     box("m1", false);
     JobSpec service = JobSpecBuilder.service("req-9").cpus(8).build();
     for (int i = 0; i < 100; i++) {
-      clusterState.serviceRate().arrived(service, S);
+      clusterState.serviceRate().recordArrival(service, S);
     }
     Job job = submitted("req-1", 4);
     placer.placeTasks(30 * S, each -> true, 60 * S);
@@ -102,7 +102,7 @@
 
   /** Guards against replicas that need each other's zone, lost when they are old, for ever. */
   @Test
-  void replicasOfOneZoneAreReplacedTogether() {
+  void sameZoneReplicasAreReplacedTogether() {
     box("m1", false);
     Job service =
         cluster.submitted(JobSpecBuilder.service("req-9").tasks(3).sameZone(true).build());
@@ -112,7 +112,7 @@
 
   /** Guards against a job that waits beside the only machine, where a task of it failed once. */
   @Test
-  void aJobReturnsToAMachineWhereItFailedAfterAWhile() {
+  void aJobMayReturnToAMachineAfterItsFailureBackoff() {
     box("m1", true);
     Job job = submitted("req-1", 1);
     job.backoff().recordFailure("m1", S);
@@ -124,7 +124,7 @@
 
   /** Guards against a job that fails everywhere holding room, or having machines rented for it. */
   @Test
-  void aJobThatFailsEverywhereIsTriedWithOneTask() {
+  void aRepeatedlyFailingJobRunsOneTaskAtATime() {
     box("m1", true);
     Job job = submitted("req-1", 50);
     job.backoff().recordFailure("m8", S);
@@ -146,7 +146,7 @@
 
   /** Guards against long tasks that wait for each other, since two faulty machines were met. */
   @Test
-  void aTaskThatRunsOnLetsAFailingJobStartTheNext() {
+  void aProbeTaskThatKeepsRunningLetsAFailingJobStartTheNext() {
     box("m1", true);
     Job job = submitted("req-1", 50);
     job.backoff().recordFailure("m8", S);
--- a/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
+++ b/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Red without {@code TaskPlacer.isOnTrial}: 83 to 129 retries and 4 to 11 rentals. Each job was
-   * given one more task in each pass until the first of them failed.
+   * Red without {@code TaskPlacer.hasProbeTask}: 83 to 129 retries and 4 to 11 rentals. Each job
+   * was given one more task in each pass until the first of them failed.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -187,7 +187,10 @@
     assertTrue(simulation.cloud.hosts() <= 4, "machines kept: " + simulation.cloud.hosts());
   }
 
-  /** Red without {@code CapacityPlan.boots}: what was asked for was asked for again and again. */
+  /**
+   * Red without {@code CapacityPlan.isExpectedSoon}: what was asked for was asked for again and
+   * again.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   @DisplayName(
