--- a/src/main/java/org/dewreach/controller/HeartbeatRouter.java
+++ b/src/main/java/org/dewreach/controller/HeartbeatRouter.java
@@ -44,7 +44,7 @@
       return;
     }
     workerContacts.recordHeartbeat(heartbeat.machine(), clock.now());
-    if (leadership.isUndecided() && !pendingHeartbeats.full()) {
+    if (leadership.isUndecided() && !pendingHeartbeats.isFull()) {
       pendingHeartbeats.add(request.requestId(), heartbeat, clock.now());
     } else {
       route(request.requestId(), heartbeat);
@@ -54,7 +54,7 @@
   /** Responds to heartbeats that need not or must not wait any longer. */
   void tick() {
     if (!pendingHeartbeats.isEmpty()) {
-      pendingHeartbeats.answerDue(leadership.isUndecided(), clock.now(), this::route);
+      pendingHeartbeats.respondToDue(leadership.isUndecided(), clock.now(), this::route);
     }
   }
 
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -137,7 +137,7 @@
     components.placement.tick(phase == Phase.ACTIVE, nowMicros);
     boolean everyTaskKnown = phase == Phase.ACTIVE || components.clusterState.machines().isEmpty();
     components.fleet.tick(nowMicros, components.placement.unplaced(), everyTaskKnown);
-    if (components.handoverPolicy.shouldGiveUpLead(nowMicros)) {
+    if (components.handoverPolicy.shouldStepDown(nowMicros)) {
       // Guards against a leader that keeps its key and receives no heartbeat until all leases
       // expire.
       LOG.info("no heartbeats reach this node, giving up the lead: term={}", number);
--- a/src/main/java/org/dewreach/controller/TermComponents.java
+++ b/src/main/java/org/dewreach/controller/TermComponents.java
@@ -10,7 +10,7 @@
 import org.dewreach.membership.FleetManager;
 import org.dewreach.membership.HandoverPolicy;
 import org.dewreach.membership.RecoveryTracker;
-import org.dewreach.membership.StalledRecovery;
+import org.dewreach.membership.StalledRecoveryResolver;
 import org.dewreach.request.JobRequestHandler;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.ClusterStateLoader;
@@ -54,7 +54,7 @@
   final HandoverPolicy handoverPolicy;
   final RecoveryTracker recovery;
   final RecoveryClock recoveryClock;
-  final StalledRecovery stalledRecovery;
+  final StalledRecoveryResolver stalledRecovery;
   final CancellationGate cancellationGate;
   final JobRecordWriter recordWriter;
   final ClusterStateLoader loader;
@@ -88,7 +88,7 @@
     this.handoverPolicy = newHandoverPolicy();
     this.recovery = new RecoveryTracker(clusterState, fleet);
     this.recoveryClock = new RecoveryClock(services.store(), queue, services.wallOffsetMicros());
-    this.stalledRecovery = new StalledRecovery(recovery, fleet, recoveryClock, settings);
+    this.stalledRecovery = new StalledRecoveryResolver(recovery, fleet, recoveryClock, settings);
     this.cancellationGate = new CancellationGate(clusterState, settings, delegations, recovery);
     this.recordWriter = new JobRecordWriter(queue, cancellationGate, callbacks.records());
     this.loader = newLoader();
--- a/src/main/java/org/dewreach/heartbeat/CommandBatch.java
+++ b/src/main/java/org/dewreach/heartbeat/CommandBatch.java
@@ -47,9 +47,9 @@
    * against leases that one new leader after the other renews while each waits for a heartbeat with
    * its token.
    */
-  List<WorkerCommand> forResponse(Evidence evidence) {
+  List<WorkerCommand> forResponse(ReportFreshness freshness) {
     List<WorkerCommand> commands = new ArrayList<>(stops);
-    if (evidence == Evidence.CURRENT) {
+    if (freshness == ReportFreshness.CURRENT) {
       commands.addAll(removals);
       commands.addAll(starts);
     }
--- a/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
@@ -38,7 +38,7 @@
   private static final int MAX_OTHER_STARTS = 40;
 
   /** No further command to a machine for this long after one that it did not answer. */
-  private static final long UNANSWERED_PAUSE_MICROS = WorkerClient.TIMEOUT_MICROS;
+  private static final long UNANSWERED_BACKOFF_MICROS = WorkerClient.TIMEOUT_MICROS;
 
   /** Takes the state of a worker that answered a command. */
   @FunctionalInterface
@@ -166,7 +166,7 @@
           malformed.cause());
     } else if (reply instanceof WorkerReply.Failed failed) {
       LOG.info("direct command unanswered: machine={} status={}", machine.name(), failed.status());
-      machine.directCommands().notBefore(nowMicros + UNANSWERED_PAUSE_MICROS);
+      machine.directCommands().notBefore(nowMicros + UNANSWERED_BACKOFF_MICROS);
       machine.heartbeats().markUnreachable();
       clusterState.requestPlacement();
     }
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -64,8 +64,8 @@
     if (machine == null) {
       machine = addUnexpectedMachine(heartbeat, nowMicros);
     }
-    if (machine == null || isFromLostIncarnation(machine, heartbeat)) {
-      refuse(requestId);
+    if (machine == null || isFromExpiredIncarnation(machine, heartbeat)) {
+      reject(requestId);
       return;
     }
     if (!machine.heartbeats().isNewer(heartbeat.incarnation(), heartbeat.sequence())) {
@@ -79,7 +79,7 @@
   }
 
   /** It was held up on its way since before the lease of that incarnation expired. */
-  private static boolean isFromLostIncarnation(Machine machine, Heartbeat heartbeat) {
+  private static boolean isFromExpiredIncarnation(Machine machine, Heartbeat heartbeat) {
     return machine.phase() == MachinePhase.LOST
         && heartbeat.incarnation() <= machine.heartbeats().incarnation();
   }
@@ -96,14 +96,14 @@
     if (fleet.isSilent(machine, nowMicros)) {
       // Only copies are left of it, or its worker restarted with an old sequence number: an answer
       // would keep that alive without end.
-      refuse(requestId);
+      reject(requestId);
       return;
     }
     // The worker may still wait for the answer.
     respond(requestId, machine, HeartbeatResponse.withoutCommands(term), nowMicros);
   }
 
-  private void refuse(long requestId) {
+  private void reject(long requestId) {
     outbox.respond(requestId, HttpStatus.UNAVAILABLE, null);
   }
 
@@ -120,7 +120,7 @@
    */
   public void onDirectReply(Machine machine, Heartbeat heartbeat, long nowMicros) {
     if (machine.phase() == MachinePhase.GONE
-        || isFromLostIncarnation(machine, heartbeat)
+        || isFromExpiredIncarnation(machine, heartbeat)
         || !machine.heartbeats().isNewer(heartbeat.incarnation(), heartbeat.sequence())) {
       return;
     }
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
@@ -41,15 +41,15 @@
     boolean first = machine.heartbeats().incarnation() < 0;
     boolean newIncarnation = beginsNewIncarnation(machine, heartbeat);
     long previousHeartbeatMicros = machine.heartbeats().lastHeartbeat();
-    Observation observation = observe(machine, heartbeat, Channel.HEARTBEAT, nowMicros);
+    WorkerReport report = recordReport(machine, heartbeat, ReportSource.HEARTBEAT, nowMicros);
     if (!first) {
-      responseLoss.onHeartbeat(observation, newIncarnation, previousHeartbeatMicros);
+      responseLoss.onHeartbeat(report, newIncarnation, previousHeartbeatMicros);
     }
-    CommandBatch commands = reconcile(observation);
+    CommandBatch commands = reconcile(report);
     if (!machine.recorded()) {
       return HeartbeatResponse.withoutCommands(term);
     }
-    List<WorkerCommand> sent = commands.forResponse(observation.evidence());
+    List<WorkerCommand> sent = commands.forResponse(report.freshness());
     sent.forEach(command -> onSent(machine, command, nowMicros));
     return new HeartbeatResponse(term, sent);
   }
@@ -57,7 +57,7 @@
   /** Takes in the answer to a direct command, if it is newer than what the machine told before. */
   void onDirectReply(Machine machine, Heartbeat heartbeat, long nowMicros) {
     // What it calls for is left to the response to the next heartbeat.
-    reconcile(observe(machine, heartbeat, Channel.DIRECT_REPLY, nowMicros));
+    reconcile(recordReport(machine, heartbeat, ReportSource.DIRECT_REPLY, nowMicros));
   }
 
   private static boolean beginsNewIncarnation(Machine machine, Heartbeat heartbeat) {
@@ -66,37 +66,37 @@
   }
 
   /** Updates what is known of the machine itself, and judges what the heartbeat proves. */
-  private Observation observe(
-      Machine machine, Heartbeat heartbeat, Channel channel, long nowMicros) {
+  private WorkerReport recordReport(
+      Machine machine, Heartbeat heartbeat, ReportSource source, long nowMicros) {
     if (beginsNewIncarnation(machine, heartbeat)) {
       clusterState.unbindAll(
           machine, "its worker began incarnation " + heartbeat.incarnation(), nowMicros);
     }
     machine.recordSequence(heartbeat.incarnation(), heartbeat.sequence());
-    if (channel == Channel.HEARTBEAT) {
+    if (source == ReportSource.HEARTBEAT) {
       machine.heartbeats().recordHeartbeat(nowMicros);
     }
     machine.address(heartbeat.address());
-    Observation observation = Observation.of(machine, heartbeat, channel, term, nowMicros);
-    if (observation.isCurrent()) {
+    WorkerReport report = WorkerReport.of(machine, heartbeat, source, term, nowMicros);
+    if (report.isCurrent()) {
       machine.markReconciled();
     }
-    return observation;
+    return report;
   }
 
-  private CommandBatch reconcile(Observation observation) {
-    updatePhase(observation);
-    updateReclaimTime(observation);
-    return tasks.reconcile(observation);
+  private CommandBatch reconcile(WorkerReport report) {
+    updatePhase(report);
+    updateReclaimTime(report);
+    return tasks.reconcile(report);
   }
 
-  private void updatePhase(Observation observation) {
-    Machine machine = observation.machine();
+  private void updatePhase(WorkerReport report) {
+    Machine machine = report.machine();
     switch (machine.phase()) {
       case BOOTING, UNKNOWN, UNCONFIRMED, LOST -> {
-        MachinePhase next = observation.isCurrent() ? MachinePhase.UP : MachinePhase.UNCONFIRMED;
+        MachinePhase next = report.isCurrent() ? MachinePhase.UP : MachinePhase.UNCONFIRMED;
         if (machine.phase() != next) {
-          clusterState.changePhase(machine, next, "heartbeat", observation.nowMicros());
+          clusterState.changePhase(machine, next, "heartbeat", report.nowMicros());
         }
       }
       case UP, DRAINING, TERMINATING, GONE -> {
@@ -105,15 +105,15 @@
     }
   }
 
-  private static void updateReclaimTime(Observation observation) {
-    Machine machine = observation.machine();
-    long reclaimMicros = observation.heartbeat().reclaimMicros();
+  private static void updateReclaimTime(WorkerReport report) {
+    Machine machine = report.machine();
+    long reclaimMicros = report.heartbeat().reclaimMicros();
     if (reclaimMicros >= 0 && machine.reclaimAt() < 0) {
       LOG.info(
           "machine reclaim announced: machine={} in_ms={}",
           machine.name(),
           reclaimMicros / MICROS_PER_MS);
-      machine.reclaimAt(observation.nowMicros() + reclaimMicros);
+      machine.reclaimAt(report.nowMicros() + reclaimMicros);
     }
   }
 
--- a/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
+++ b/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
@@ -18,9 +18,9 @@
 
   /** Answers a heartbeat. */
   @FunctionalInterface
-  public interface Answerer {
+  public interface Responder {
     /** Answers the request with which the heartbeat came. */
-    void answer(long requestId, Heartbeat heartbeat);
+    void respond(long requestId, Heartbeat heartbeat);
   }
 
   private final int capacity;
@@ -37,7 +37,7 @@
   }
 
   /** True if no more heartbeats may be added. */
-  public boolean full() {
+  public boolean isFull() {
     return pending.size() >= capacity;
   }
 
@@ -56,11 +56,11 @@
    *
    * @param undecided true if it is still not known who leads
    */
-  public void answerDue(boolean undecided, long nowMicros, Answerer answerer) {
+  public void respondToDue(boolean undecided, long nowMicros, Responder responder) {
     while (!pending.isEmpty()
         && (!undecided || nowMicros - pending.peek().sinceMicros() >= MAX_WAIT_MICROS)) {
       Pending next = pending.poll();
-      answerer.answer(next.requestId(), next.heartbeat());
+      responder.respond(next.requestId(), next.heartbeat());
     }
   }
 }
--- a/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
+++ b/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
@@ -35,7 +35,7 @@
   void onTaskFailed(Machine machine, Job job, long nowMicros) {
     job.backoff().recordFailure(machine.name(), nowMicros);
     if (job.backoff().failsRepeatedly()) {
-      absolveMachines(job, nowMicros);
+      clearFailuresOfJob(job, nowMicros);
       return;
     }
     machine.failures().recordFailure(job.id());
@@ -60,7 +60,7 @@
    * <p>Guards against healthy machines that are quarantined, and rented again, because two jobs
    * with a mistake met there.
    */
-  private void absolveMachines(Job job, long nowMicros) {
+  private void clearFailuresOfJob(Job job, long nowMicros) {
     for (String name : job.backoff().avoidedMachines(nowMicros)) {
       Machine machine = clusterState.machines().get(name);
       boolean blamed = machine != null && machine.failures().jobs().remove(job.id());
--- a/src/main/java/org/dewreach/heartbeat/Evidence.java
+++ b/src/main/java/org/dewreach/heartbeat/ReportFreshness.java
@@ -1,7 +1,7 @@
 package org.dewreach.heartbeat;
 
 /** What a heartbeat proves about the present state of its machine. */
-enum Evidence {
+enum ReportFreshness {
   /**
    * It shows the present state: the worker has seen the fencing token of this term, or was never
    * commanded before, so that no command of an earlier term can still change what it shows.
--- a/src/main/java/org/dewreach/heartbeat/Channel.java
+++ b/src/main/java/org/dewreach/heartbeat/ReportSource.java
@@ -1,7 +1,7 @@
 package org.dewreach.heartbeat;
 
 /** How a worker's state reached the leader. */
-enum Channel {
+enum ReportSource {
   /** The worker reported by itself, and waits for the response. */
   HEARTBEAT,
   /**
--- a/src/main/java/org/dewreach/heartbeat/ResponseLossDetector.java
+++ b/src/main/java/org/dewreach/heartbeat/ResponseLossDetector.java
@@ -30,33 +30,33 @@
    * @param newIncarnation true if the worker's lease expired since then
    * @param previousHeartbeatMicros when the heartbeat before it came
    */
-  void onHeartbeat(Observation observation, boolean newIncarnation, long previousHeartbeatMicros) {
-    Machine machine = observation.machine();
-    boolean tokenArrived = observation.heartbeat().token() == term;
+  void onHeartbeat(WorkerReport report, boolean newIncarnation, long previousHeartbeatMicros) {
+    Machine machine = report.machine();
+    boolean tokenArrived = report.heartbeat().token() == term;
     boolean arrived =
-        tokenArrived && !newIncarnation && !startMissing(observation, previousHeartbeatMicros);
+        tokenArrived && !newIncarnation && !startNotReported(report, previousHeartbeatMicros);
     boolean wasMissing = machine.heartbeats().missesReplies();
     machine.heartbeats().recordReplyDelivery(arrived);
     if (machine.heartbeats().missesReplies() != wasMissing) {
       LOG.info(
           "machine response delivery changed: machine={} from={} to={}",
           machine.name(),
-          word(wasMissing),
-          word(machine.heartbeats().missesReplies()));
+          deliveryState(wasMissing),
+          deliveryState(machine.heartbeats().missesReplies()));
       clusterState.requestPlacement();
     }
   }
 
-  private static String word(boolean missing) {
+  private static String deliveryState(boolean missing) {
     return missing ? "LOST" : "ARRIVING";
   }
 
   /** A start sent since the previous heartbeat may have passed this one on its way. */
-  private static boolean startMissing(Observation observation, long previousHeartbeatMicros) {
-    for (Task task : observation.machine().tasks()) {
+  private static boolean startNotReported(WorkerReport report, long previousHeartbeatMicros) {
+    for (Task task : report.machine().tasks()) {
       if (task.phase() == TaskPhase.STARTING
           && task.phaseSince() <= previousHeartbeatMicros
-          && !observation.reports(task.name())) {
+          && !report.reports(task.name())) {
         return true;
       }
     }
--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -20,19 +20,19 @@
   private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
 
   /** What a stop may take beyond the time that saving takes. */
-  private static final long GRACE_SLACK_MICROS = 5_000_000;
+  private static final long STOP_GRACE_MARGIN_MICROS = 5_000_000;
 
   /** A replica that has run for this long works there. A default of this project. */
-  private static final long RUNS_WELL_MICROS = 30_000_000;
+  private static final long REPLICA_HEALTHY_AFTER_MICROS = 30_000_000;
 
   /**
    * Pause after a worker refused a task because another attempt of it runs there: that one is
    * stopped with the next heartbeats. A default of this project.
    */
-  private static final long IN_USE_PAUSE_MICROS = 10_000_000;
+  private static final long ATTEMPT_CONFLICT_BACKOFF_MICROS = 10_000_000;
 
   /** Pause of a job whose image does not exist. */
-  private static final long MISSING_IMAGE_PAUSE_MICROS = 2_000_000;
+  private static final long MISSING_IMAGE_BACKOFF_MICROS = 2_000_000;
 
   private final ClusterState clusterState;
   private final QuarantinePolicy quarantine;
@@ -43,18 +43,18 @@
   }
 
   /** Updates the cluster state, and collects the commands that the heartbeat calls for. */
-  CommandBatch reconcile(Observation observation) {
+  CommandBatch reconcile(WorkerReport report) {
     CommandBatch commands = new CommandBatch();
-    for (TaskStatus reported : observation.heartbeat().tasks()) {
+    for (TaskStatus reported : report.heartbeat().tasks()) {
       if (reported.state() == TaskState.EXITED) {
-        reconcileExited(observation, reported, commands);
+        reconcileExited(report, reported, commands);
       } else {
-        reconcileLive(observation, reported, commands);
+        reconcileLive(report, reported, commands);
       }
     }
-    if (observation.isCurrent()) {
-      for (Task task : List.copyOf(observation.machine().tasks())) {
-        reconcileBound(observation, task, commands);
+    if (report.isCurrent()) {
+      for (Task task : List.copyOf(report.machine().tasks())) {
+        reconcileBound(report, task, commands);
       }
     }
     return commands;
@@ -68,14 +68,13 @@
 
   // What the worker reports.
 
-  private void reconcileExited(
-      Observation observation, TaskStatus reported, CommandBatch commands) {
-    Machine machine = observation.machine();
+  private void reconcileExited(WorkerReport report, TaskStatus reported, CommandBatch commands) {
+    Machine machine = report.machine();
     TaskName name = reported.name();
     Job job = clusterState.jobs().get(name.jobId());
     Task task = boundAttempt(machine, reported);
     if (task != null) {
-      onExit(machine, task, reported.cause(), observation.nowMicros());
+      onExit(machine, task, reported.cause(), report.nowMicros());
     } else if (reported.cause() == Cause.DONE && job != null) {
       // Known from an earlier term, or from an attempt that was taken for gone.
       clusterState.markDone(job, name.index());
@@ -109,24 +108,25 @@
         quarantine.onTaskFailed(machine, job, nowMicros);
       }
       case FULL -> machine.startRefusedAt(nowMicros);
-      case IN_USE -> job.backoff().avoidMachine(machine.name(), nowMicros + IN_USE_PAUSE_MICROS);
-      case NO_SUCH -> job.backoff().delayUntil(nowMicros + MISSING_IMAGE_PAUSE_MICROS);
+      case IN_USE ->
+          job.backoff().avoidMachine(machine.name(), nowMicros + ATTEMPT_CONFLICT_BACKOFF_MICROS);
+      case NO_SUCH -> job.backoff().delayUntil(nowMicros + MISSING_IMAGE_BACKOFF_MICROS);
       case STOPPED, NONE -> {
         // it goes back to the queue
       }
     }
   }
 
-  private void reconcileLive(Observation observation, TaskStatus reported, CommandBatch commands) {
-    Machine machine = observation.machine();
+  private void reconcileLive(WorkerReport report, TaskStatus reported, CommandBatch commands) {
+    Machine machine = report.machine();
     TaskName name = reported.name();
     Task task = boundAttempt(machine, reported);
     if (task != null) {
-      updatePhase(task, reported.state(), observation.nowMicros());
+      updatePhase(task, reported.state(), report.nowMicros());
       return;
     }
     Job job = clusterState.jobs().get(name.jobId());
-    if (!observation.isCurrent()) {
+    if (!report.isCurrent()) {
       // A task bound by a late copy would be stopped where it really runs. But an attempt of a
       // cancelled job is not wanted, however old the heartbeat is.
       if (job != null && job.phase() == JobPhase.CANCELLED) {
@@ -135,7 +135,7 @@
       return;
     }
     if (job != null && !job.bound().containsKey(name.index()) && job.phase() != JobPhase.ENDED) {
-      adopt(machine, job, reported, observation.nowMicros());
+      adopt(machine, job, reported, report.nowMicros());
     } else {
       LOG.info(
           "unknown attempt stopped: machine={} task={} attempt={}",
@@ -170,7 +170,7 @@
     }
     task.become(phase(state), nowMicros);
     boolean replicaRuns = state == TaskState.RUNNING && task.spec().jobKind() == JobKind.SERVICE;
-    if (replicaRuns && nowMicros - task.startedAt() > RUNS_WELL_MICROS) {
+    if (replicaRuns && nowMicros - task.startedAt() > REPLICA_HEALTHY_AFTER_MICROS) {
       // A service never completes: that it runs for a while says as much.
       task.job().backoff().recordSuccess();
     }
@@ -179,14 +179,14 @@
   // What the cluster state binds.
 
   /** What a task that is bound here needs, after a heartbeat that shows the present state. */
-  private void reconcileBound(Observation observation, Task task, CommandBatch commands) {
-    long nowMicros = observation.nowMicros();
+  private void reconcileBound(WorkerReport report, Task task, CommandBatch commands) {
+    long nowMicros = report.nowMicros();
     Job job = task.job();
     boolean wanted = job.phase() == JobPhase.ACTIVE && !job.done().get(task.index());
     if (!wanted && task.phase() != TaskPhase.STOPPING) {
       clusterState.stop(task, "not wanted any more", nowMicros);
     }
-    boolean reported = observation.reports(task.name());
+    boolean reported = report.reports(task.name());
     switch (task.phase()) {
       case ASSIGNED -> commands.start(task);
       case STARTING -> {
@@ -200,22 +200,22 @@
           clusterState.unbind(task, "not reported any more", nowMicros);
         }
       }
-      case STOPPING -> reconcileStopping(observation, task, commands);
+      case STOPPING -> reconcileStopping(report, task, commands);
       case GONE -> {
         // nothing to do
       }
     }
   }
 
-  private void reconcileStopping(Observation observation, Task task, CommandBatch commands) {
-    if (observation.reports(task.name())) {
-      commands.stop(task.name(), task.attempt(), graceMicros(task, observation.nowMicros()));
+  private void reconcileStopping(WorkerReport report, Task task, CommandBatch commands) {
+    if (report.reports(task.name())) {
+      commands.stop(task.name(), task.attempt(), graceMicros(task, report.nowMicros()));
     } else if (task.directStartUnresolved()) {
       commands.startAndStop(task);
-    } else if (observation.channel() == Channel.HEARTBEAT) {
+    } else if (report.source() == ReportSource.HEARTBEAT) {
       // The answer to a direct command proves nothing here: the response with the start may still
       // be on its way. Only the next heartbeat was sent after that was carried out or dropped.
-      clusterState.unbind(task, "stopped before it started", observation.nowMicros());
+      clusterState.unbind(task, "stopped before it started", report.nowMicros());
     }
   }
 
@@ -223,8 +223,8 @@
     if (task.job().phase() != JobPhase.ACTIVE || task.spec().checkpointIntervalMicros() == 0) {
       return 0;
     }
-    long grace = task.spec().checkpointDurationMicros() + GRACE_SLACK_MICROS;
-    boolean overdue = nowMicros - task.phaseSince() > grace + GRACE_SLACK_MICROS;
+    long grace = task.spec().checkpointDurationMicros() + STOP_GRACE_MARGIN_MICROS;
+    boolean overdue = nowMicros - task.phaseSince() > grace + STOP_GRACE_MARGIN_MICROS;
     return overdue ? 0 : grace;
   }
 }
--- a/src/main/java/org/dewreach/heartbeat/Observation.java
+++ b/src/main/java/org/dewreach/heartbeat/WorkerReport.java
@@ -11,29 +11,29 @@
  *
  * @param machine the machine that sent it
  * @param heartbeat what it reports
- * @param channel how it came
- * @param evidence what it proves about the machine's present state
+ * @param source how it reached the leader
+ * @param freshness what it proves about the machine's present state
  * @param reportedTasks the names of the tasks that it reports
  * @param nowMicros when it came
  */
-record Observation(
+record WorkerReport(
     Machine machine,
     Heartbeat heartbeat,
-    Channel channel,
-    Evidence evidence,
+    ReportSource source,
+    ReportFreshness freshness,
     Set<TaskName> reportedTasks,
     long nowMicros) {
 
   /** Judges a heartbeat as the leader of the term. */
-  static Observation of(
-      Machine machine, Heartbeat heartbeat, Channel channel, long term, long nowMicros) {
+  static WorkerReport of(
+      Machine machine, Heartbeat heartbeat, ReportSource source, long term, long nowMicros) {
     Set<TaskName> reportedTasks = new HashSet<>();
     heartbeat.tasks().forEach(task -> reportedTasks.add(task.name()));
-    return new Observation(
+    return new WorkerReport(
         machine,
         heartbeat,
-        channel,
-        evidence(machine, heartbeat.token(), term),
+        source,
+        freshness(machine, heartbeat.token(), term),
         reportedTasks,
         nowMicros);
   }
@@ -42,15 +42,17 @@
    * Commands of earlier terms may still arrive until the worker has seen our fencing token, unless
    * none were ever sent to it.
    */
-  private static Evidence evidence(Machine machine, long token, long term) {
+  private static ReportFreshness freshness(Machine machine, long token, long term) {
     boolean neverCommanded =
         token == 0 && !machine.commandedByEarlierTerm() && !machine.requiresToken();
-    return token == term || neverCommanded ? Evidence.CURRENT : Evidence.POSSIBLY_STALE;
+    return token == term || neverCommanded
+        ? ReportFreshness.CURRENT
+        : ReportFreshness.POSSIBLY_STALE;
   }
 
   /** True if it shows the machine's present state. */
   boolean isCurrent() {
-    return evidence == Evidence.CURRENT;
+    return freshness == ReportFreshness.CURRENT;
   }
 
   /** True if it reports the task, in whatever state. */
--- a/src/main/java/org/dewreach/membership/CloudReconciler.java
+++ b/src/main/java/org/dewreach/membership/CloudReconciler.java
@@ -34,7 +34,7 @@
    * A large fleet takes several calls of a small rate to list; heartbeats tell most of it. A
    * default of this project.
    */
-  private static final long MIN_INTERVAL_MICROS = 5_000_000;
+  private static final long MIN_LISTING_INTERVAL_MICROS = 5_000_000;
 
   /** The list may describe a time this many times its lag ago, read the most cautious way. */
   private static final int MAX_LAG_FACTOR = 3;
@@ -75,7 +75,7 @@
     this.scaleIn = scaleIn;
     this.failureDetector = failureDetector;
     long lagMicros = settings.cloudLimits().listLagMicros();
-    this.intervalMicros = Math.max(MIN_INTERVAL_MICROS, lagMicros);
+    this.intervalMicros = Math.max(MIN_LISTING_INTERVAL_MICROS, lagMicros);
     this.maxListAgeMicros = MAX_LAG_FACTOR * lagMicros + LIST_AGE_MARGIN_MICROS;
   }
 
@@ -144,14 +144,14 @@
   private void recordListed(ListedRange range, long requestedAt) {
     unlisted.removeAll(range.names());
     for (Machine machine : clusterState.machines().values()) {
-      if (range.lacks(machine.name()) && listedOnceIfItExists(machine, requestedAt)) {
+      if (range.omits(machine.name()) && shouldBeListed(machine, requestedAt)) {
         unlisted.add(machine.name());
       }
     }
   }
 
   /** True if the oldest list that the cloud may answer with had the machine, unless it was gone. */
-  private boolean listedOnceIfItExists(Machine machine, long requestedAt) {
+  private boolean shouldBeListed(Machine machine, long requestedAt) {
     return machine.knownSince() < requestedAt - maxListAgeMicros;
   }
 
--- a/src/main/java/org/dewreach/membership/FailureDetector.java
+++ b/src/main/java/org/dewreach/membership/FailureDetector.java
@@ -17,7 +17,7 @@
  */
 final class FailureDetector {
   /** A lost machine may come back for this long. A default of this project. */
-  static final long LOST_MACHINE_KEPT_MICROS = 75_000_000;
+  static final long LOST_MACHINE_TIMEOUT_MICROS = 75_000_000;
 
   private static final int QUARTERS = 4;
 
@@ -37,9 +37,9 @@
   private static final long LEASE_MARGIN_MICROS = 300_000;
 
   /** A machine may take this many times its type's boot time to come up. */
-  private static final int BOOT_PATIENCE_FACTOR = 3;
+  private static final int BOOT_TIMEOUT_FACTOR = 3;
 
-  private static final long BOOT_PATIENCE_MICROS = 30_000_000;
+  private static final long BOOT_TIMEOUT_MARGIN_MICROS = 30_000_000;
 
   private final LeaseDelegations delegations;
   private final Settings.Workers settings;
@@ -58,7 +58,7 @@
   }
 
   /** For how long this leader alone has answered workers. */
-  long authorityMicros(long nowMicros) {
+  long sinceAuthorityMicros(long nowMicros) {
     return nowMicros - authoritySince;
   }
 
@@ -79,7 +79,7 @@
   /** True if a heartbeat has not come, with one failed attempt at another controller before it. */
   boolean missedHeartbeat(Machine machine, long nowMicros) {
     long expectedWithin =
-        WorkerTiming.longestIntervalMicros(settings) + WorkerTiming.RETRY_PAUSE_MICROS;
+        WorkerTiming.maxHeartbeatIntervalMicros(settings) + WorkerTiming.RETRY_PAUSE_MICROS;
     return sinceHeartbeatMicros(machine, nowMicros) > expectedWithin;
   }
 
@@ -139,18 +139,20 @@
 
   private MachineCondition condition(Machine machine, long nowMicros) {
     return switch (machine.phase()) {
-      case UNKNOWN, UNCONFIRMED, UP, DRAINING -> workingCondition(machine, nowMicros);
+      case UNKNOWN, UNCONFIRMED, UP, DRAINING -> conditionByHeartbeats(machine, nowMicros);
       case BOOTING ->
-          bootIsOverdue(machine, nowMicros) ? MachineCondition.NEVER_UP : MachineCondition.BOOTING;
+          bootTimedOut(machine, nowMicros)
+              ? MachineCondition.BOOT_TIMED_OUT
+              : MachineCondition.BOOTING;
       case LOST ->
-          sinceHeartbeatMicros(machine, nowMicros) > LOST_MACHINE_KEPT_MICROS
-              ? MachineCondition.LOST_FOR_GOOD
+          sinceHeartbeatMicros(machine, nowMicros) > LOST_MACHINE_TIMEOUT_MICROS
+              ? MachineCondition.LOST_TIMED_OUT
               : MachineCondition.LOST;
-      case TERMINATING, GONE -> MachineCondition.LEAVING;
+      case TERMINATING, GONE -> MachineCondition.BEING_RELEASED;
     };
   }
 
-  private MachineCondition workingCondition(Machine machine, long nowMicros) {
+  private MachineCondition conditionByHeartbeats(Machine machine, long nowMicros) {
     boolean silent = isSilent(machine, nowMicros);
     if (machine.heartbeats().restartCheck() == RestartCheck.CONFIRMED
         || machine.heartbeats().restartCheck() == RestartCheck.CHECKING && silent) {
@@ -164,8 +166,8 @@
         : MachineCondition.RESPONSIVE;
   }
 
-  private static boolean bootIsOverdue(Machine machine, long nowMicros) {
-    long patience = BOOT_PATIENCE_FACTOR * machine.type().bootMicros() + BOOT_PATIENCE_MICROS;
-    return nowMicros - machine.knownSince() > patience;
+  private static boolean bootTimedOut(Machine machine, long nowMicros) {
+    long timeout = BOOT_TIMEOUT_FACTOR * machine.type().bootMicros() + BOOT_TIMEOUT_MARGIN_MICROS;
+    return nowMicros - machine.knownSince() > timeout;
   }
 }
--- a/src/main/java/org/dewreach/membership/FleetHealth.java
+++ b/src/main/java/org/dewreach/membership/FleetHealth.java
@@ -15,7 +15,7 @@
     Map<MachineCondition, List<Machine>> byCondition, List<Machine> overdue, int reachable) {
 
   /** What is known before the first pass. */
-  static final FleetHealth NOTHING_KNOWN = new FleetHealth(Map.of(), List.of(), 0);
+  static final FleetHealth EMPTY = new FleetHealth(Map.of(), List.of(), 0);
 
   /** So many machines do not fall silent at once, unless it is us. A default of this project. */
   private static final int MIN_UNREACHABLE_FOR_PARTITION = 3;
@@ -24,10 +24,10 @@
   private static final int UNREACHABLE_PER_REACHABLE_FOR_PARTITION = 3;
 
   /** So many unreachable machines are few, however many are reachable. */
-  private static final int MAX_FEW_UNREACHABLE = 2;
+  private static final int FEW_UNREACHABLE_MIN_LIMIT = 2;
 
   /** Of a large fleet, one unreachable machine for this many that are reachable is few. */
-  private static final int REACHABLE_PER_FEW_UNREACHABLE = 3;
+  private static final int REACHABLE_PER_TOLERATED_UNREACHABLE = 3;
 
   /** The machines in a condition. */
   List<Machine> in(MachineCondition condition) {
@@ -44,8 +44,8 @@
   }
 
   /** How many machines' leases are over without a heartbeat since. */
-  int lost() {
-    return count(MachineCondition.LOST) + count(MachineCondition.LOST_FOR_GOOD);
+  int lostCount() {
+    return count(MachineCondition.LOST) + count(MachineCondition.LOST_TIMED_OUT);
   }
 
   /**
@@ -57,20 +57,21 @@
    * machines look like few and are released, a moment before the zone is back.
    */
   boolean fewUnreachable() {
-    int limit = Math.max(MAX_FEW_UNREACHABLE, reachable / REACHABLE_PER_FEW_UNREACHABLE);
-    return unreachable() + lost() <= limit;
+    int limit =
+        Math.max(FEW_UNREACHABLE_MIN_LIMIT, reachable / REACHABLE_PER_TOLERATED_UNREACHABLE);
+    return unreachable() + lostCount() <= limit;
   }
 
   /**
    * True if nearly all are unreachable. Machines that have just come up may be heard all the same.
    */
   boolean nearlyAllUnreachable() {
-    return areNearlyAll(unreachable());
+    return exceedsPartitionThreshold(unreachable());
   }
 
   /** As {@link #nearlyAllUnreachable}, with those whose leases are over by now. */
   boolean nearlyAllUnreachableOrLost() {
-    return areNearlyAll(unreachable() + lost());
+    return exceedsPartitionThreshold(unreachable() + lostCount());
   }
 
   /** True if most of the unreachable machines are heard and only do not take answers. */
@@ -78,7 +79,7 @@
     return count(MachineCondition.MISSES_REPLIES) > overdue.size();
   }
 
-  private boolean areNearlyAll(int machines) {
+  private boolean exceedsPartitionThreshold(int machines) {
     return machines >= MIN_UNREACHABLE_FOR_PARTITION
         && machines >= UNREACHABLE_PER_REACHABLE_FOR_PARTITION * reachable;
   }
--- a/src/main/java/org/dewreach/membership/FleetManager.java
+++ b/src/main/java/org/dewreach/membership/FleetManager.java
@@ -34,7 +34,7 @@
   private final TaskConsolidator consolidator;
   private final ScaleOutExecutor scaleOut;
   private final CloudReconciler cloudReconciler;
-  private FleetHealth health = FleetHealth.NOTHING_KNOWN;
+  private FleetHealth health = FleetHealth.EMPTY;
   private long nextRoundAt;
 
   /**
--- a/src/main/java/org/dewreach/membership/HandoverPolicy.java
+++ b/src/main/java/org/dewreach/membership/HandoverPolicy.java
@@ -50,20 +50,20 @@
   }
 
   /** True if this node had better let another one lead. */
-  public boolean shouldGiveUpLead(long nowMicros) {
+  public boolean shouldStepDown(long nowMicros) {
     FleetHealth health = fleet.health();
     boolean suspect = health.nearlyAllUnreachableOrLost();
     if (!suspect && phase == Phase.REACHING_WORKERS) {
       return false;
     }
     if (suspect) {
-      peers.ask(() -> unheard(health), contactMicros(), nowMicros);
+      peers.ask(() -> unreachableMachines(health), contactWindowMicros(), nowMicros);
     }
     PeerContacts.Report report = peers.report(nowMicros);
     if (phase == Phase.REACHING_WORKERS) {
       suspectedSince = nowMicros;
     }
-    become(nextPhase(health, report, nowMicros), health, report);
+    changePhase(nextPhase(health, report, nowMicros), health, report);
     return phase == Phase.GIVING_UP_LEAD;
   }
 
@@ -83,7 +83,8 @@
     if (report == PeerContacts.Report.HEARD_ELSEWHERE) {
       return Phase.GIVING_UP_LEAD;
     }
-    return heardNowhere(health, report, nowMicros) || handovers.recentlyHandedOver(nowMicros)
+    return confirmedUnreachableFromAll(health, report, nowMicros)
+            || handovers.recentlyHandedOver(nowMicros)
         ? Phase.LEADING_ON
         : Phase.GIVING_UP_LEAD;
   }
@@ -93,13 +94,14 @@
    *
    * <p>Workers that are heard here and take no answers are heard elsewhere too: that tells nothing.
    */
-  private boolean heardNowhere(FleetHealth health, PeerContacts.Report report, long nowMicros) {
+  private boolean confirmedUnreachableFromAll(
+      FleetHealth health, PeerContacts.Report report, long nowMicros) {
     return report == PeerContacts.Report.HEARD_NOWHERE
         && !health.mostlyMissesReplies()
-        && nowMicros - suspectedSince >= WorkerTiming.NODE_RETRY_MICROS;
+        && nowMicros - suspectedSince >= WorkerTiming.CONTROLLER_RETRY_MICROS;
   }
 
-  private void become(Phase next, FleetHealth health, PeerContacts.Report report) {
+  private void changePhase(Phase next, FleetHealth health, PeerContacts.Report report) {
     if (next != phase) {
       LOG.info(
           "worker reachability changed: from={} to={} reachable={} overdue={} misses_replies={}"
@@ -109,20 +111,20 @@
           health.reachable(),
           health.overdue().size(),
           health.in(MachineCondition.MISSES_REPLIES).size(),
-          health.lost(),
+          health.lostCount(),
           report);
       phase = next;
     }
   }
 
-  private static List<String> unheard(FleetHealth health) {
+  private static List<String> unreachableMachines(FleetHealth health) {
     List<Machine> unheard = new ArrayList<>(health.overdue());
     unheard.addAll(health.in(MachineCondition.LOST));
     return unheard.stream().map(Machine::name).toList();
   }
 
   /** A worker that is led by a node out of its reach is heard by another this often, or oftener. */
-  private long contactMicros() {
-    return 2 * settings.workers().reportMicros() + WorkerTiming.NODE_RETRY_MICROS;
+  private long contactWindowMicros() {
+    return 2 * settings.workers().reportMicros() + WorkerTiming.CONTROLLER_RETRY_MICROS;
   }
 }
--- a/src/main/java/org/dewreach/membership/ListedRange.java
+++ b/src/main/java/org/dewreach/membership/ListedRange.java
@@ -31,7 +31,7 @@
   }
 
   /** True if the machine would be on the page had it been listed then. */
-  boolean lacks(String machine) {
+  boolean omits(String machine) {
     boolean begun = after == null || machine.compareTo(after) > 0;
     boolean ended = last != null && machine.compareTo(last) > 0;
     return begun && !ended && !names.contains(machine);
--- a/src/main/java/org/dewreach/membership/MachineCondition.java
+++ b/src/main/java/org/dewreach/membership/MachineCondition.java
@@ -13,11 +13,11 @@
   /** Rented, and still given time to come up. */
   BOOTING,
   /** Rented, and it has not come up in time. */
-  NEVER_UP,
+  BOOT_TIMED_OUT,
   /** Its lease is over, and it may still come back. */
   LOST,
   /** Its lease is over, and it has not come back in time. */
-  LOST_FOR_GOOD,
+  LOST_TIMED_OUT,
   /** It is being released already. */
-  LEAVING
+  BEING_RELEASED
 }
--- a/src/main/java/org/dewreach/membership/MachineDrainer.java
+++ b/src/main/java/org/dewreach/membership/MachineDrainer.java
@@ -16,7 +16,7 @@
    * Estimates are often wrong by half, so a task is stopped early only if it is this far off. A
    * default of this project.
    */
-  private static final double TOO_LATE_FACTOR = 1.6;
+  private static final double ESTIMATE_ERROR_FACTOR = 1.6;
 
   /**
    * A quarantined machine keeps its tasks for this long, in which the quarantine may end. A default
@@ -47,7 +47,7 @@
       if (machine.phase() == MachinePhase.TERMINATING) {
         continue;
       }
-      if (surelyFaulty(machine, nowMicros)) {
+      if (quarantineConfirmed(machine, nowMicros)) {
         drain(machine, "quarantined", nowMicros);
       } else if (machine.reclaimAt() >= 0) {
         drain(machine, "reclaimed", nowMicros);
@@ -99,7 +99,7 @@
    * <p>Guards against healthy machines released for jobs that take a while to fail: the second
    * failure, which shows that it is the job, comes no sooner than the first one did.
    */
-  private boolean surelyFaulty(Machine machine, long nowMicros) {
+  private boolean quarantineConfirmed(Machine machine, long nowMicros) {
     if (!machine.quarantined()) {
       return false;
     }
@@ -115,6 +115,6 @@
   private static boolean cannotComplete(Task task, long leftMicros, long nowMicros) {
     boolean running = task.phase() == TaskPhase.RUNNING;
     long ran = running ? nowMicros - task.startedAt() : 0;
-    return task.spec().expectedMicros() - ran > TOO_LATE_FACTOR * Math.max(0, leftMicros);
+    return task.spec().expectedMicros() - ran > ESTIMATE_ERROR_FACTOR * Math.max(0, leftMicros);
   }
 }
--- a/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
+++ b/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
@@ -14,7 +14,7 @@
    * Of a large fleet, one machine in this many may be released early in a recovery. A default of
    * this project.
    */
-  private static final int STRAGGLERS_DIVISOR = 40;
+  private static final int RESPONSIVE_MACHINES_PER_STRAGGLER = 40;
 
   private final ClusterState clusterState;
   private final FailureDetector detector;
@@ -37,18 +37,18 @@
   FleetHealth checkMachines(long nowMicros) {
     FleetHealth health = detector.assess(clusterState.machines().values(), nowMicros);
     markForRelease(health.in(MachineCondition.RESTARTED), "worker restarted", nowMicros);
-    markForRelease(health.in(MachineCondition.NEVER_UP), "never came up", nowMicros);
-    markForRelease(health.in(MachineCondition.LOST_FOR_GOOD), "lost and not back", nowMicros);
+    markForRelease(health.in(MachineCondition.BOOT_TIMED_OUT), "never came up", nowMicros);
+    markForRelease(health.in(MachineCondition.LOST_TIMED_OUT), "lost and not back", nowMicros);
     // What is placed there now would be bound until it is known what became of it.
     health.overdue().forEach(machine -> machine.heartbeats().markUnreachable());
-    partitionDetector.onRound(health, detector.authorityMicros(nowMicros));
+    partitionDetector.onRound(health, detector.sinceAuthorityMicros(nowMicros));
     releaseStragglers(health, nowMicros);
-    for (Machine machine : health.in(MachineCondition.LEAVING)) {
+    for (Machine machine : health.in(MachineCondition.BEING_RELEASED)) {
       freeTasksOnceLeaseExpired(machine, nowMicros);
     }
     for (Machine machine : health.in(MachineCondition.SILENT)) {
       if (machine.phase() != MachinePhase.TERMINATING) {
-        onSilent(machine, health.fewUnreachable(), nowMicros);
+        handleSilentMachine(machine, health.fewUnreachable(), nowMicros);
       }
     }
     if (health.fewUnreachable()) {
@@ -67,7 +67,7 @@
    * A machine that is silent is released if its silence is its own fault; otherwise its lease is
    * waited for, after which its tasks can be placed elsewhere.
    */
-  private void onSilent(Machine machine, boolean fewUnreachable, long nowMicros) {
+  private void handleSilentMachine(Machine machine, boolean fewUnreachable, long nowMicros) {
     boolean leaseExpired = detector.leaseExpired(machine, nowMicros);
     if (leaseExpired) {
       clusterState.unbindAll(machine, "lease expired", nowMicros);
@@ -101,7 +101,7 @@
    * they are released sooner: releasing them proves what their silence does not.
    */
   private void releaseStragglers(FleetHealth health, long nowMicros) {
-    if (detector.authorityMicros(nowMicros) < detector.overdueAfterMicros()) {
+    if (detector.sinceAuthorityMicros(nowMicros) < detector.overdueAfterMicros()) {
       return;
     }
     List<Machine> unheard = new ArrayList<>();
@@ -111,7 +111,7 @@
       }
     }
     int responsive = health.in(MachineCondition.RESPONSIVE).size();
-    if (unheard.size() <= responsive / STRAGGLERS_DIVISOR) {
+    if (unheard.size() <= responsive / RESPONSIVE_MACHINES_PER_STRAGGLER) {
       markForRelease(unheard, "not heard in this term", nowMicros);
     }
   }
--- a/src/main/java/org/dewreach/membership/PartitionDetector.java
+++ b/src/main/java/org/dewreach/membership/PartitionDetector.java
@@ -5,12 +5,12 @@
 /** Tells whether it is this node that is cut off from the workers, rather than they being down. */
 final class PartitionDetector {
   /** This many rounds in a row have to show a partition. */
-  private static final int MIN_ROUNDS = 2;
+  private static final int MIN_CONSECUTIVE_ROUNDS = 2;
 
   private static final long DISCOVERY_MARGIN_MICROS = 1_000_000;
 
   private final Settings settings;
-  private int roundsInARow;
+  private int consecutiveRounds;
 
   /** A detector of one term. */
   PartitionDetector(Settings settings) {
@@ -25,7 +25,7 @@
   void onRound(FleetHealth health, long authorityMicros) {
     boolean partitioned =
         health.nearlyAllUnreachable() && authorityMicros > leaderDiscoveryMicros();
-    roundsInARow = partitioned ? roundsInARow + 1 : 0;
+    consecutiveRounds = partitioned ? consecutiveRounds + 1 : 0;
   }
 
   /**
@@ -35,7 +35,7 @@
    * <p>Twice in a row: a process that was held up sees its backlog of heartbeats in between.
    */
   boolean partitionedFromWorkers() {
-    return roundsInARow >= MIN_ROUNDS;
+    return consecutiveRounds >= MIN_CONSECUTIVE_ROUNDS;
   }
 
   /**
@@ -46,8 +46,8 @@
    * found it: nobody led for ten seconds then, and nearly all leases ran out.
    */
   private long leaderDiscoveryMicros() {
-    return WorkerTiming.longestIntervalMicros(settings.workers())
-        + settings.members().size() * WorkerTiming.NODE_RETRY_MICROS
+    return WorkerTiming.maxHeartbeatIntervalMicros(settings.workers())
+        + settings.members().size() * WorkerTiming.CONTROLLER_RETRY_MICROS
         + DISCOVERY_MARGIN_MICROS;
   }
 }
--- a/src/main/java/org/dewreach/membership/StalledRecovery.java
+++ b/src/main/java/org/dewreach/membership/StalledRecoveryResolver.java
@@ -14,24 +14,24 @@
  * beginning, so leaders that end again and again would wait for it without end. One that stays
  * never gets here: it gives such machines up by their leases.
  */
-public final class StalledRecovery {
+public final class StalledRecoveryResolver {
   private static final long CHECK_INTERVAL_MICROS = 500_000;
 
   private final RecoveryTracker recovery;
   private final FleetManager fleet;
   private final RecoveryClock clock;
-  private final long patienceMicros;
+  private final long maxOpenMicros;
   private long nextCheckAt;
 
   /** For one term. */
-  public StalledRecovery(
+  public StalledRecoveryResolver(
       RecoveryTracker recovery, FleetManager fleet, RecoveryClock clock, Settings settings) {
     this.recovery = recovery;
     this.fleet = fleet;
     this.clock = clock;
     // As long as one leader would have kept them.
-    this.patienceMicros =
-        settings.workers().leaseMicros() + FailureDetector.LOST_MACHINE_KEPT_MICROS;
+    this.maxOpenMicros =
+        settings.workers().leaseMicros() + FailureDetector.LOST_MACHINE_TIMEOUT_MICROS;
   }
 
   /**
@@ -45,11 +45,11 @@
       return;
     }
     nextCheckAt = nowMicros + CHECK_INTERVAL_MICROS;
-    List<Machine> holders = silentHolders(nowMicros);
+    List<Machine> holders = silentBlockingMachines(nowMicros);
     if (!holders.isEmpty()) {
       clock.noteOpen(recoveringSince, nowMicros);
     }
-    if (clock.openMicros(nowMicros) >= patienceMicros) {
+    if (clock.openMicros(nowMicros) >= maxOpenMicros) {
       holders.stream()
           .filter(machine -> fleet.isSilent(machine, nowMicros))
           .forEach(
@@ -57,15 +57,15 @@
     }
   }
 
-  private List<Machine> silentHolders(long nowMicros) {
+  private List<Machine> silentBlockingMachines(long nowMicros) {
     return recovery.unreconciled().stream()
-        .filter(StalledRecovery::neitherReleasedNorGone)
+        .filter(StalledRecoveryResolver::isAwaitingReconciliation)
         .filter(machine -> fleet.missedHeartbeat(machine, nowMicros))
         .toList();
   }
 
   /** The tracker's list may be a moment old: the cloud's answer may have come since. */
-  private static boolean neitherReleasedNorGone(Machine machine) {
+  private static boolean isAwaitingReconciliation(Machine machine) {
     return machine.phase() == MachinePhase.UNKNOWN || machine.phase() == MachinePhase.UNCONFIRMED;
   }
 }
--- a/src/main/java/org/dewreach/membership/WorkerTiming.java
+++ b/src/main/java/org/dewreach/membership/WorkerTiming.java
@@ -8,17 +8,17 @@
   static final long RETRY_PAUSE_MICROS = 1_000_000;
 
   /** What a worker spends on a controller that does not answer, with the pause before the next. */
-  static final long NODE_RETRY_MICROS = 4_000_000 + RETRY_PAUSE_MICROS;
+  static final long CONTROLLER_RETRY_MICROS = 4_000_000 + RETRY_PAUSE_MICROS;
 
   /** Heartbeats come within this many quarters of their interval. */
-  private static final int LONGEST_INTERVAL_QUARTERS = 5;
+  private static final int MAX_INTERVAL_QUARTERS = 5;
 
   private static final int QUARTERS = 4;
 
   private WorkerTiming() {}
 
   /** The longest time from one heartbeat of a worker to its next. */
-  static long longestIntervalMicros(Settings.Workers settings) {
-    return settings.reportMicros() * LONGEST_INTERVAL_QUARTERS / QUARTERS;
+  static long maxHeartbeatIntervalMicros(Settings.Workers settings) {
+    return settings.reportMicros() * MAX_INTERVAL_QUARTERS / QUARTERS;
   }
 }
--- a/src/test/java/org/dewreach/heartbeat/DirectCommandSenderTest.java
+++ b/src/test/java/org/dewreach/heartbeat/DirectCommandSenderTest.java
@@ -34,13 +34,13 @@
 
   private final Outbox outbox = new Outbox();
   private final ClusterFixture cluster = new ClusterFixture(1_000, 1_000);
-  private final List<Machine> answered = new ArrayList<>();
+  private final List<Machine> responders = new ArrayList<>();
   private final DirectCommandSender sender =
       new DirectCommandSender(
           TERM,
           outbox,
           cluster.state(),
-          (machine, heartbeat, nowMicros) -> answered.add(machine),
+          (machine, heartbeat, nowMicros) -> responders.add(machine),
           1);
 
   private Machine machine(String name) {
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void aStartIsSentToTheWorkerOfTheMachineInItsIncarnation() {
+  void aStartIsSentToTheCurrentIncarnationOfTheWorker() {
     Task task = assigned(job("req-1", 1), 0, machine("m1"));
     List<Effect.Call> calls = send(S);
     assertEquals(1, calls.size());
@@ -88,14 +88,14 @@
 
   /** Both carry the worker's state: it refuses commands for another incarnation with a conflict. */
   @Test
-  void theStateInAnAnswerIsHandedOn() {
+  void theStateInAResponseIsPassedToTheListener() {
     Machine machine = machine("m1");
     Task task = assigned(job("req-1", 2), 0, machine);
     reply(send(S).get(0), HttpStatus.OK, state("m1", 3, 6));
     assertFalse(task.directStartUnresolved());
     assigned(task.job(), 1, machine);
     reply(send(S).get(0), HttpStatus.CONFLICT, state("m1", 4, 1));
-    assertEquals(List.of(machine, machine), answered);
+    assertEquals(List.of(machine, machine), responders);
   }
 
   /** Guards against a worker that answers at the address of a machine that is gone. */
@@ -103,12 +103,12 @@
   void theStateOfAnotherMachineIsIgnored() {
     Task task = assigned(job("req-1", 1), 0, machine("m1"));
     reply(send(S).get(0), HttpStatus.OK, state("m2", 3, 6));
-    assertEquals(List.of(), answered);
+    assertEquals(List.of(), responders);
     assertFalse(task.directStartUnresolved(), "some worker has taken it or refused it");
   }
 
   @Test
-  void aMachineThatDoesNotAnswerIsGivenNothingForAWhile() {
+  void aMachineThatDoesNotRespondReceivesNoCommandsDuringTheBackoff() {
     Machine machine = machine("m1");
     Task task = assigned(job("req-1", 2), 0, machine);
     reply(send(S).get(0), 0, null);
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void onlySoManyCommandsAreInFlight() {
+  void commandsInFlightAreLimited() {
     Job job = job("req-1", 2);
     assigned(job, 0, machine("m1"));
     assigned(job, 1, machine("m2"));
@@ -132,7 +132,7 @@
 
   /** Guards against heartbeats that grow by each attempt that its worker must not forget. */
   @Test
-  void onlySoManyTasksOfAnIncarnationAreStartedDirectly() {
+  void directStartsPerIncarnationAreLimited() {
     Machine machine = machine("m1");
     Job array = job("req-1", 60);
     for (int i = 0; i < 60; i++) {
@@ -166,12 +166,12 @@
   }
 
   @Test
-  void anAnswerAfterTheTermIsIgnored() {
+  void aResponseAfterTheTermIsIgnored() {
     Task task = assigned(job("req-1", 1), 0, machine("m1"));
     Effect.Call call = send(S).get(0);
     sender.close();
     reply(call, HttpStatus.OK, state("m1", 3, 6));
-    assertEquals(List.of(), answered);
+    assertEquals(List.of(), responders);
     assertTrue(task.directStartUnresolved());
   }
 
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -47,7 +47,7 @@
         machine.name(), "x:1", "box", "a", false, incarnation, sequence, token, -1, List.of(tasks));
   }
 
-  private TaskStatus shown(int index, TaskState state, Cause cause) {
+  private TaskStatus reported(int index, TaskState state, Cause cause) {
     return new TaskStatus(new TaskName(job.id(), index), 7, state, cause);
   }
 
@@ -56,12 +56,12 @@
   void aHeartbeatWithATokenOfAnEarlierTermBindsNothing() {
     Machine machine = machine("m1", MachinePhase.UNKNOWN);
     reconciler.onHeartbeat(
-        machine, heartbeat(machine, 1, 5, 60, shown(0, TaskState.RUNNING, Cause.NONE)), S);
+        machine, heartbeat(machine, 1, 5, 60, reported(0, TaskState.RUNNING, Cause.NONE)), S);
     assertEquals(0, job.bound().size());
     assertEquals(MachinePhase.UNCONFIRMED, machine.phase());
     assertFalse(machine.reconciled());
     reconciler.onHeartbeat(
-        machine, heartbeat(machine, 1, 9, TERM, shown(0, TaskState.RUNNING, Cause.NONE)), 2 * S);
+        machine, heartbeat(machine, 1, 9, TERM, reported(0, TaskState.RUNNING, Cause.NONE)), 2 * S);
     assertEquals(1, job.bound().size(), "now it is certain to be there");
     assertEquals(MachinePhase.UP, machine.phase());
   }
@@ -71,13 +71,13 @@
   void aHeartbeatWithATokenOfAnEarlierTermProvesCompletedTasks() {
     Machine machine = machine("m1", MachinePhase.UNKNOWN);
     reconciler.onHeartbeat(
-        machine, heartbeat(machine, 1, 5, 60, shown(2, TaskState.EXITED, Cause.DONE)), S);
+        machine, heartbeat(machine, 1, 5, 60, reported(2, TaskState.EXITED, Cause.DONE)), S);
     assertTrue(job.done().get(2));
   }
 
   /** Guards against a late copy: the first heartbeat of a machine that was returned long ago. */
   @Test
-  void anUnexpectedMachineIsUsedOnceItShowsOurToken() {
+  void anUnexpectedMachineIsSchedulableOnceItReportsTheCurrentToken() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
     machine.requireToken();
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
@@ -88,7 +88,7 @@
 
   /** Guards against placing tasks again and again where no command arrives. */
   @Test
-  void aMachineThatReceivesNoResponsesIsGivenNothingNew() {
+  void aMachineThatReceivesNoResponsesReceivesNoNewTasks() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM), 2 * S);
@@ -110,7 +110,7 @@
    * direct command passes the response with the start on its way, and lacks the task.
    */
   @Test
-  void theAnswerToADirectCommandDoesNotProveThatAStartWasLost() {
+  void theResponseToADirectCommandDoesNotProveThatAStartWasLost() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
     cluster.bind(job, 0, machine, TaskPhase.ASSIGNED, 2 * S);
@@ -124,7 +124,7 @@
 
   /** A start sent since the previous heartbeat may have passed this one on its way. */
   @Test
-  void aStartSentSinceThePreviousHeartbeatIsNotMissedYet() {
+  void aStartSentSinceThePreviousHeartbeatIsNotMissingYet() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
     for (int i = 0; i < 4; i++) {
@@ -186,7 +186,7 @@
     job.become(JobPhase.CANCELLED);
     HeartbeatResponse response =
         reconciler.onHeartbeat(
-            machine, heartbeat(machine, 1, 5, 60, shown(0, TaskState.RUNNING, Cause.NONE)), S);
+            machine, heartbeat(machine, 1, 5, 60, reported(0, TaskState.RUNNING, Cause.NONE)), S);
     assertEquals(
         List.of(new WorkerCommand.Stop(new TaskName(job.id(), 0), 7, 0)), response.commands());
     assertEquals(0, job.bound().size(), "the heartbeat may be old: it binds nothing");
@@ -201,7 +201,7 @@
       clusterState.markDone(job, i);
     }
     job.become(JobPhase.FINALIZING);
-    TaskStatus done = shown(3, TaskState.EXITED, Cause.DONE);
+    TaskStatus done = reported(3, TaskState.EXITED, Cause.DONE);
     HeartbeatResponse response =
         reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM, done), 2 * S);
     assertEquals(List.of(), response.commands(), "not removed yet");
@@ -213,7 +213,7 @@
 
   /** Guards against a machine that is kept by answers to commands while it reaches nobody. */
   @Test
-  void theAnswerToADirectCommandDoesNotCountAsAHeartbeat() {
+  void theResponseToADirectCommandDoesNotCountAsAHeartbeat() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 1, 0), S);
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM), 2 * S);
@@ -265,7 +265,7 @@
    * ended.
    */
   @Test
-  void aMachineWhoseQuarantineEndsWhileItDrainsIsUsedAgain() {
+  void aMachineWhoseQuarantineEndsWhileItDrainsIsSchedulableAgain() {
     Machine drained = machine("m1", MachinePhase.BOOTING);
     Machine elsewhere = machine("m2", MachinePhase.BOOTING);
     Job second = cluster.loaded(JobSpecBuilder.array("req-000002").tasks(4).build());
@@ -280,7 +280,7 @@
 
   /** A machine that is to be reclaimed is given nothing, whatever becomes of the jobs. */
   @Test
-  void aMachineToBeReclaimedDrainsOnAfterItsQuarantine() {
+  void aMachineToBeReclaimedKeepsDrainingAfterItsQuarantine() {
     Machine drained = machine("m1", MachinePhase.BOOTING);
     Machine elsewhere = machine("m2", MachinePhase.BOOTING);
     Job second = cluster.loaded(JobSpecBuilder.array("req-000002").tasks(4).build());
@@ -299,7 +299,7 @@
     Machine healthy = machine("m2", MachinePhase.BOOTING);
     fail(job, faulty, S);
     reconciler.onHeartbeat(
-        healthy, heartbeat(healthy, 1, 1, TERM, shown(3, TaskState.EXITED, Cause.DONE)), 2 * S);
+        healthy, heartbeat(healthy, 1, 1, TERM, reported(3, TaskState.EXITED, Cause.DONE)), 2 * S);
     assertFalse(job.backoff().failsRepeatedly());
     fail(job, faulty, 3 * S);
     fail(job, faulty, 4 * S);
--- a/src/test/java/org/dewreach/membership/CloudReconcilerTest.java
+++ b/src/test/java/org/dewreach/membership/CloudReconcilerTest.java
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void pagesAreReadUntilNoneFollows() {
+  void pagesAreReadUntilTheLast() {
     cloud.reply(S, list(S), 200, page(true, "vm-1", "vm-2"));
     List<Effect.Call> calls = cloud.calls();
     assertEquals("/rentals?after=vm-2&most=500", calls.get(0).path());
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void aMachineOfAnUnknownTypeIsLeftAlone() {
+  void aMachineOfAnUnknownTypeIsIgnored() {
     ObjectNode body = page(false);
     add(body, "vm-1", "crate", "running");
     cloud.reply(S, list(S), 200, body);
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void aListThatCannotBeDecodedChangesNothing() {
+  void aMalformedListChangesNothing() {
     cloud.reply(S, list(S), 200, Codec.map());
     assertTrue(cluster.state().machines().isEmpty());
     list(6 * S);
@@ -147,7 +147,7 @@
   }
 
   @Test
-  void aRecordedMachineThatIsListedNoMoreIsReleasedAtOnce() {
+  void aRecordedMachineThatIsNoLongerListedIsReleasedAtOnce() {
     Machine gone = recorded("vm-1", 0);
     Machine listed = recorded("vm-2", 0);
     cloud.reply(20 * S, list(20 * S), 200, page(false, "vm-2", "vm-3"));
@@ -167,7 +167,7 @@
   }
 
   @Test
-  void aPageTellsNothingAboutOtherPages() {
+  void aPageCoversOnlyItsOwnRange() {
     Machine before = recorded("vm-1", 0);
     Machine within = recorded("vm-3", 0);
     Machine after = recorded("vm-5", 0);
@@ -181,7 +181,7 @@
   }
 
   @Test
-  void aPageThatBreaksOffOrFailsTellsNothing() {
+  void anEmptyFailedOrMalformedPageReleasesNothing() {
     Machine machine = recorded("vm-1", 0);
     cloud.reply(20 * S, list(20 * S), 200, page(true));
     assertKept(machine);
@@ -196,7 +196,7 @@
   }
 
   @Test
-  void aMachineThatSendsHeartbeatsIsNotReleasedWhateverTheListSays() {
+  void anUnlistedMachineThatSendsHeartbeatsIsKept() {
     Machine heard = cluster.add(ClusterFixture.newUpMachine("vm-1", TYPE, false));
     Machine silent = cluster.add(ClusterFixture.newUpMachine("vm-2", TYPE, false));
     heard.heartbeats().recordHeartbeat(19 * S);
@@ -218,7 +218,7 @@
   }
 
   @Test
-  void itsTasksStayBoundUntilTheCloudHasConfirmedTheRelease() {
+  void tasksOfAnUnlistedMachineStayBoundUntilTheCloudConfirmsTheRelease() {
     Machine gone = cluster.add(ClusterFixture.newUpMachine("vm-1", TYPE, false));
     Job job = cluster.submitted(JobSpecBuilder.array("req-1").build());
     cluster.bind(job, 0, gone, TaskPhase.RUNNING, 0);
--- a/src/test/java/org/dewreach/membership/FailureDetectorTest.java
+++ b/src/test/java/org/dewreach/membership/FailureDetectorTest.java
@@ -31,7 +31,7 @@
           SETTINGS.workers(),
           0);
 
-  private static Machine up(String name, long lastHeartbeat) {
+  private static Machine upMachine(String name, long lastHeartbeat) {
     Machine machine = ClusterFixture.newUpMachine(name, TYPE, false);
     machine.heartbeats().recordHeartbeat(lastHeartbeat);
     return machine;
@@ -40,7 +40,7 @@
   private static List<Machine> machines(String prefix, int count, long lastHeartbeat) {
     List<Machine> machines = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      machines.add(up(prefix + i, lastHeartbeat));
+      machines.add(upMachine(prefix + i, lastHeartbeat));
     }
     return machines;
   }
@@ -56,7 +56,7 @@
 
   @Test
   void aMachineIsOverdueBeforeItIsSilent() {
-    Machine machine = up("m1", 20 * S);
+    Machine machine = upMachine("m1", 20 * S);
     assertEquals(List.of(), assess(List.of(machine), 22_500_000).overdue());
     assertEquals(List.of(machine), assess(List.of(machine), 22_500_001).overdue());
     assertEquals(MachineCondition.RESPONSIVE, condition(machine, 24_500_000));
@@ -64,8 +64,8 @@
   }
 
   @Test
-  void silenceCountsFromTheMomentOfAuthority() {
-    Machine machine = up("m1", 0);
+  void silenceIsMeasuredFromAuthorityGained() {
+    Machine machine = upMachine("m1", 0);
     assertTrue(detector.isSilent(machine, 10 * S));
     detector.onAuthorityGained(9 * S);
     assertFalse(detector.isSilent(machine, 10 * S));
@@ -73,7 +73,7 @@
 
   @Test
   void aLeaseExpiresAfterItsLengthWithDriftAndMargin() {
-    Machine machine = up("m1", 20 * S);
+    Machine machine = upMachine("m1", 20 * S);
     machine.heartbeats().recordLeaseRenewal(20 * S);
     assertFalse(detector.leaseExpired(machine, 30_320_000));
     assertTrue(detector.leaseExpired(machine, 30_320_001));
@@ -82,8 +82,8 @@
   }
 
   @Test
-  void aWorkerThatMayHaveRestartedIsTakenForRestartedOnceItIsSilent() {
-    Machine machine = up("m1", 20 * S);
+  void aPossiblyRestartedWorkerCountsAsRestartedOnceSilent() {
+    Machine machine = upMachine("m1", 20 * S);
     machine.heartbeats().restartCheck(RestartCheck.CHECKING);
     assertEquals(MachineCondition.RESPONSIVE, condition(machine, 21 * S));
     assertEquals(MachineCondition.RESTARTED, condition(machine, 30 * S));
@@ -93,7 +93,7 @@
 
   @Test
   void aMachineThatMissesRepliesIsNeitherOverdueNorReachable() {
-    Machine machine = up("m1", 20 * S);
+    Machine machine = upMachine("m1", 20 * S);
     machine.heartbeats().recordReplyDelivery(false);
     machine.heartbeats().recordReplyDelivery(false);
     FleetHealth health = assess(List.of(machine), 21 * S);
@@ -103,24 +103,24 @@
   }
 
   @Test
-  void aMachineHasThreeBootTimesAndHalfAMinuteToComeUp() {
+  void aBootTimesOutAfterThreeBootTimesAnd30Seconds() {
     Machine machine = ClusterFixture.newMachine("m1", TYPE, false, MachinePhase.BOOTING);
     assertEquals(MachineCondition.BOOTING, condition(machine, 45 * S));
-    assertEquals(MachineCondition.NEVER_UP, condition(machine, 45 * S + 1));
+    assertEquals(MachineCondition.BOOT_TIMED_OUT, condition(machine, 45 * S + 1));
   }
 
   @Test
-  void aLostMachineIsWaitedForFor75Seconds() {
-    Machine machine = up("m1", 20 * S);
+  void aLostMachineTimesOutAfter75Seconds() {
+    Machine machine = upMachine("m1", 20 * S);
     machine.become(MachinePhase.LOST, 31 * S);
     assertEquals(MachineCondition.LOST, condition(machine, 95 * S));
-    assertEquals(MachineCondition.LOST_FOR_GOOD, condition(machine, 95 * S + 1));
+    assertEquals(MachineCondition.LOST_TIMED_OUT, condition(machine, 95 * S + 1));
     machine.become(MachinePhase.TERMINATING, 96 * S);
-    assertEquals(MachineCondition.LEAVING, condition(machine, 96 * S));
+    assertEquals(MachineCondition.BEING_RELEASED, condition(machine, 96 * S));
   }
 
   @Test
-  void upToAThirdOfTheReachableMachinesIsFew() {
+  void unreachableMachinesAreFewUpToAThirdOfTheReachableOnes() {
     List<Machine> machines = machines("up", 12, 20 * S);
     machines.addAll(machines("away", 4, 0));
     assertTrue(assess(machines, 21 * S).fewUnreachable());
@@ -132,14 +132,14 @@
   void lostMachinesCountAmongTheUnreachable() {
     List<Machine> machines = machines("up", 12, 20 * S);
     machines.addAll(machines("away", 4, 0));
-    Machine lost = up("lost", 0);
+    Machine lost = upMachine("lost", 0);
     lost.become(MachinePhase.LOST, 11 * S);
     machines.add(lost);
     assertFalse(assess(machines, 21 * S).fewUnreachable());
   }
 
   @Test
-  void aPartitionHasToShowInTwoRoundsOnceWorkersHadTimeToFindTheLeader() {
+  void aPartitionIsDetectedInTwoRoundsAfterTheLeaderDiscoveryTime() {
     PartitionDetector partition = new PartitionDetector(SETTINGS);
     FleetHealth away = assess(machines("away", 3, 0), 20 * S);
     assertTrue(away.nearlyAllUnreachable());
@@ -156,7 +156,7 @@
   }
 
   @Test
-  void twoMachinesAwayAreNoPartition() {
+  void twoUnreachableMachinesAreNoPartition() {
     assertFalse(assess(machines("away", 2, 0), 20 * S).nearlyAllUnreachable());
     List<Machine> machines = machines("away", 5, 0);
     machines.addAll(machines("up", 2, 20 * S));
--- a/src/test/java/org/dewreach/membership/FleetManagerTest.java
+++ b/src/test/java/org/dewreach/membership/FleetManagerTest.java
@@ -54,7 +54,7 @@
   }
 
   /** Each machine sends a heartbeat, and the fleet manager has its round, each second. */
-  private void play(long fromMicros, long untilMicros) {
+  private void runRounds(long fromMicros, long untilMicros) {
     for (long at = fromMicros; at <= untilMicros; at += S) {
       long now = at;
       clusterState
@@ -65,7 +65,7 @@
     }
   }
 
-  private void failed(Machine machine, Job job, long atMicros) {
+  private void recordFailure(Machine machine, Job job, long atMicros) {
     job.backoff().recordFailure(machine.name(), atMicros);
     machine.failures().recordFailure(job.id());
   }
@@ -75,25 +75,25 @@
    * cannot have failed elsewhere within 8 s, and the healthy machine was released.
    */
   @Test
-  void aMachineIsKeptWhileItsJobsAreTriedElsewhere() {
+  void aQuarantinedMachineIsKeptWhileItsJobsAreRetriedElsewhere() {
     Machine machine = machine("m1");
-    failed(machine, job("req-1"), S);
-    failed(machine, job("req-2"), S);
+    recordFailure(machine, job("req-1"), S);
+    recordFailure(machine, job("req-2"), S);
     machine.failures().quarantine(S);
-    play(2 * S, 58 * S);
+    runRounds(2 * S, 58 * S);
     assertEquals(MachinePhase.UP, machine.phase());
-    play(59 * S, 65 * S);
+    runRounds(59 * S, 65 * S);
     assertEquals(MachinePhase.TERMINATING, machine.phase(), "not for ever");
   }
 
   @Test
-  void aMachineIsReleasedSoonOnceItsJobsCompleteElsewhere() {
+  void aQuarantinedMachineIsReleasedOnceItsJobsCompleteElsewhere() {
     Machine machine = machine("m1");
     List<Job> jobs = List.of(job("req-1"), job("req-2"));
-    jobs.forEach(job -> failed(machine, job, S));
+    jobs.forEach(job -> recordFailure(machine, job, S));
     machine.failures().quarantine(S);
     jobs.forEach(job -> clusterState.markDone(job, 0));
-    play(2 * S, 12 * S);
+    runRounds(2 * S, 12 * S);
     assertEquals(MachinePhase.TERMINATING, machine.phase());
   }
 }
--- a/src/test/java/org/dewreach/membership/HandoverPolicyTest.java
+++ b/src/test/java/org/dewreach/membership/HandoverPolicyTest.java
@@ -55,7 +55,7 @@
       new HandoverPolicy(fleet, new PeerContacts(outbox, SETTINGS), handovers, SETTINGS);
 
   /** How many of the machines the other controller says it hears; it is silent if negative. */
-  private int heardByOther = -1;
+  private int reachableFromOther = -1;
 
   private long now;
 
@@ -68,100 +68,102 @@
   }
 
   /** Plays until the time given, or until the lead is given up; true if it was. */
-  private boolean givesUpUntil(long untilMicros) {
+  private boolean stepsDownUntil(long untilMicros) {
     for (; now <= untilMicros; now += STEP) {
       fleet.tick(now, List.of(), false);
-      if (policy.shouldGiveUpLead(now)) {
+      if (policy.shouldStepDown(now)) {
         return true;
       }
-      answerQuestions();
+      respondToContactRequests();
     }
     return false;
   }
 
-  private void answerQuestions() {
+  private void respondToContactRequests() {
     for (Effect effect : outbox.drain()) {
       if (effect instanceof Effect.Call call
           && call.path().equals(PeerMessageCodec.CONTACTS_PATH)
-          && heardByOther >= 0) {
+          && reachableFromOther >= 0) {
         outbox.reply(
             now,
             new Event.Reply(
-                call.callId(), 200, PeerMessageCodec.encode(new ContactResponse(heardByOther))));
+                call.callId(),
+                200,
+                PeerMessageCodec.encode(new ContactResponse(reachableFromOther))));
       }
     }
   }
 
   @Test
-  void aLeaderThatLosesItsWorkersGivesUpBeforeTheyCanHaveTurnedToOthers() {
+  void aLeaderThatLosesItsWorkersStepsDownBeforeTheyCanReachAnotherController() {
     machines(MachinePhase.UP);
-    heardByOther = 0;
+    reachableFromOther = 0;
     for (; now <= 20 * S; now += STEP) {
       cluster.state().machines().values().forEach(m -> m.heartbeats().recordHeartbeat(now));
       fleet.tick(now, List.of(), false);
-      assertFalse(policy.shouldGiveUpLead(now));
+      assertFalse(policy.shouldStepDown(now));
     }
-    assertTrue(givesUpUntil(25 * S));
+    assertTrue(stepsDownUntil(25 * S));
   }
 
   @Test
-  void aNewLeaderLeadsOnIfNobodyHearsTheWorkers() {
+  void aNewLeaderKeepsLeadingIfNoControllerReachesTheWorkers() {
     machines(MachinePhase.UNKNOWN);
-    heardByOther = 0;
-    assertFalse(givesUpUntil(40 * S));
+    reachableFromOther = 0;
+    assertFalse(stepsDownUntil(40 * S));
   }
 
   @Test
-  void aNewLeaderGivesUpIfAnotherHearsThem() {
+  void aNewLeaderStepsDownIfAnotherControllerReachesTheWorkers() {
     machines(MachinePhase.UNKNOWN);
-    heardByOther = MACHINES / 2;
-    assertTrue(givesUpUntil(12 * S));
+    reachableFromOther = MACHINES / 2;
+    assertTrue(stepsDownUntil(12 * S));
   }
 
   @Test
-  void oneThatIsHeardByChanceIsNotEnough() {
+  void oneWorkerReachableFromAnotherControllerIsNotEnough() {
     machines(MachinePhase.UNKNOWN);
-    heardByOther = 1;
-    assertFalse(givesUpUntil(40 * S));
+    reachableFromOther = 1;
+    assertFalse(stepsDownUntil(40 * S));
   }
 
   @Test
-  void whileTheOthersTellNothingItGivesUpOnce() {
+  void withoutResponsesFromOtherControllersItStepsDownOnce() {
     machines(MachinePhase.UNKNOWN);
-    assertTrue(givesUpUntil(12 * S));
+    assertTrue(stepsDownUntil(12 * S));
     handovers.recordHandover(now);
-    assertFalse(givesUpUntil(40 * S), "the others had their turn");
+    assertFalse(stepsDownUntil(40 * S), "the others had their turn");
   }
 
   @Test
-  void aLeaderThatLedOnGivesUpOnceAnotherHearsThem() {
+  void aLeaderThatKeptLeadingStepsDownOnceAnotherControllerReachesTheWorkers() {
     machines(MachinePhase.UNKNOWN);
-    heardByOther = 0;
-    assertFalse(givesUpUntil(30 * S));
-    heardByOther = MACHINES;
-    assertTrue(givesUpUntil(33 * S));
+    reachableFromOther = 0;
+    assertFalse(stepsDownUntil(30 * S));
+    reachableFromOther = MACHINES;
+    assertTrue(stepsDownUntil(33 * S));
   }
 
   @Test
-  void itGivesUpAlsoOnceTheLeasesAreOver() {
+  void aLeaderAlsoStepsDownAfterLeaseExpiry() {
     machines(MachinePhase.LOST);
-    heardByOther = 0;
-    assertFalse(givesUpUntil(20 * S));
-    heardByOther = MACHINES;
-    assertTrue(givesUpUntil(23 * S));
+    reachableFromOther = 0;
+    assertFalse(stepsDownUntil(20 * S));
+    reachableFromOther = MACHINES;
+    assertTrue(stepsDownUntil(23 * S));
   }
 
   @Test
-  void workersThatAreHeardAndTakeNoAnswersTellNothingAboutOthers() {
+  void workersThatMissResponsesDoNotPreventAHandover() {
     machines(MachinePhase.UP);
-    heardByOther = 0;
+    reachableFromOther = 0;
     for (Machine machine : cluster.state().machines().values()) {
       machine.heartbeats().recordReplyDelivery(false);
       machine.heartbeats().recordReplyDelivery(false);
     }
     for (; now <= 10 * S; now += STEP) {
       cluster.state().machines().values().forEach(m -> m.heartbeats().recordHeartbeat(now));
-      if (givesUpUntil(now)) {
+      if (stepsDownUntil(now)) {
         return;
       }
     }
--- a/src/test/java/org/dewreach/membership/MachineHealthMonitorTest.java
+++ b/src/test/java/org/dewreach/membership/MachineHealthMonitorTest.java
@@ -41,7 +41,7 @@
           new PartitionDetector(SETTINGS),
           new ScaleInExecutor(cluster.state(), null, null));
 
-  private List<Machine> up(String prefix, int count) {
+  private List<Machine> upMachines(String prefix, int count) {
     List<Machine> machines = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       machines.add(cluster.add(ClusterFixture.newUpMachine(prefix + i, TYPE, false)));
@@ -60,9 +60,9 @@
   }
 
   @Test
-  void aSilentMachineIsReleasedWhileTheOthersAreHeard() {
-    List<Machine> silent = up("silent", 1);
-    List<Machine> heard = up("heard", 5);
+  void aSilentMachineIsReleasedWhileTheOthersAreReachable() {
+    List<Machine> silent = upMachines("silent", 1);
+    List<Machine> heard = upMachines("heard", 5);
     Job job = cluster.submitted(JobSpecBuilder.array("req-1").build());
     cluster.bind(job, 0, silent.get(0), TaskPhase.RUNNING, 0);
     heartbeats(heard, 5 * S);
@@ -73,16 +73,16 @@
   }
 
   @Test
-  void anOverdueMachineIsGivenNothingNew() {
-    List<Machine> overdue = up("overdue", 1);
+  void anOverdueMachineReceivesNoNewTasks() {
+    List<Machine> overdue = upMachines("overdue", 1);
     monitor.checkMachines(3 * S);
     assertPhase(MachinePhase.UP, overdue);
     assertFalse(overdue.get(0).schedulable());
   }
 
   @Test
-  void whenManyAreSilentTheirLeasesAreWaitedFor() {
-    List<Machine> silent = up("silent", 4);
+  void whenManyMachinesAreSilentTheirLeasesMustExpireFirst() {
+    List<Machine> silent = upMachines("silent", 4);
     Job job = cluster.submitted(JobSpecBuilder.array("req-1").build());
     cluster.bind(job, 0, silent.get(0), TaskPhase.RUNNING, 0);
     monitor.checkMachines(10 * S);
@@ -96,8 +96,8 @@
   }
 
   @Test
-  void theLastMachinesThatANewLeaderHasNotHeardAreReleasedSooner() {
-    List<Machine> heard = up("heard", 40);
+  void theLastMachinesWithoutAHeartbeatInANewTermAreReleasedEarly() {
+    List<Machine> heard = upMachines("heard", 40);
     List<Machine> unheard =
         List.of(
             cluster.add(ClusterFixture.newMachine("unheard", TYPE, false, MachinePhase.UNKNOWN)));
@@ -111,9 +111,9 @@
   }
 
   @Test
-  void tasksOfAMachineThatIsBeingReleasedAreFreedOnceItsLeaseIsOver() {
-    List<Machine> silent = up("silent", 1);
-    List<Machine> heard = up("heard", 5);
+  void tasksOfAMachineThatIsBeingReleasedAreUnboundAfterLeaseExpiry() {
+    List<Machine> silent = upMachines("silent", 1);
+    List<Machine> heard = upMachines("heard", 5);
     Job job = cluster.submitted(JobSpecBuilder.array("req-1").build());
     cluster.bind(job, 0, silent.get(0), TaskPhase.RUNNING, 0);
     heartbeats(heard, 10 * S);
--- a/src/test/java/org/dewreach/membership/StalledRecoveryTest.java
+++ b/src/test/java/org/dewreach/membership/StalledRecoveryResolverTest.java
@@ -23,8 +23,11 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** Which machines are released when a recovery stays open over terms: {@link StalledRecovery}. */
-class StalledRecoveryTest {
+/**
+ * Which machines are released when a recovery stays open over terms: {@link
+ * StalledRecoveryResolver}.
+ */
+class StalledRecoveryResolverTest {
   private static final long S = 1_000_000;
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
 
@@ -55,15 +58,15 @@
           0,
           0);
   private final RecoveryTracker recovery = new RecoveryTracker(cluster.state(), fleet);
-  private final StalledRecovery stalledRecovery =
-      new StalledRecovery(recovery, fleet, clock, SETTINGS);
+  private final StalledRecoveryResolver stalledRecovery =
+      new StalledRecoveryResolver(recovery, fleet, clock, SETTINGS);
 
-  private Machine unheard(String name) {
+  private Machine unknownMachine(String name) {
     return cluster.add(ClusterFixture.newMachine(name, TYPE, false, MachinePhase.UNKNOWN));
   }
 
   /** An earlier term noted 5 s ago that recovery has been open for this long. */
-  private void openFor(long micros) {
+  private void recordOpenFor(long micros) {
     clock.noteOpen(0, 0);
     JsonNode value = Codec.map().put("since", -micros).put("open", -5 * S);
     JsonNode entry =
@@ -72,12 +75,12 @@
   }
 
   @Test
-  void onlyMachinesThatAreSilentAndHoldUpTheRecoveryAreReleased() {
-    Machine silent = unheard("silent");
-    Machine heard = unheard("heard");
+  void onlySilentMachinesThatBlockTheRecoveryAreReleased() {
+    Machine silent = unknownMachine("silent");
+    Machine heard = unknownMachine("heard");
     recovery.start();
     recovery.update(0);
-    openFor(85 * S);
+    recordOpenFor(85 * S);
     heard.heartbeats().recordHeartbeat(3 * S);
     stalledRecovery.tick(0, 4_500_000);
     assertEquals(MachinePhase.UNKNOWN, silent.phase(), "not silent for long enough");
@@ -87,11 +90,11 @@
   }
 
   @Test
-  void nothingIsReleasedBeforeOneLeaderWouldHaveDoneIt() {
-    Machine silent = unheard("silent");
+  void nothingIsReleasedEarlierThanASingleLeaderWouldReleaseIt() {
+    Machine silent = unknownMachine("silent");
     recovery.start();
     recovery.update(0);
-    openFor(79 * S);
+    recordOpenFor(79 * S);
     stalledRecovery.tick(0, 5 * S);
     assertEquals(MachinePhase.UNKNOWN, silent.phase());
     stalledRecovery.tick(0, 6 * S);
@@ -100,11 +103,11 @@
 
   /** Red when all that the tracker had at its last update was marked: the controller failed. */
   @Test
-  void aMachineThatHasGoneSinceTheTrackersLastUpdateIsLeftAlone() {
-    Machine gone = unheard("gone");
+  void aMachineRemovedSinceTheTrackersLastUpdateIsIgnored() {
+    Machine gone = unknownMachine("gone");
     recovery.start();
     recovery.update(0);
-    openFor(85 * S);
+    recordOpenFor(85 * S);
     cluster.state().removeMachine(gone, "released", 5 * S);
     stalledRecovery.tick(0, 5 * S);
     assertEquals(MachinePhase.GONE, gone.phase());
--- a/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
+++ b/src/test/java/org/dewreach/sim/OperationalFaultsTest.java
@@ -204,7 +204,7 @@
     }
   }
 
-  /** Red without giving up what never came up in {@code FailureDetector.bootIsOverdue}. */
+  /** Red without giving up what never came up in {@code FailureDetector.bootTimedOut}. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   @DisplayName("Machines that never come up are returned, and replaced at a bounded rate")
--- a/src/test/java/org/dewreach/sim/StaleMessageTest.java
+++ b/src/test/java/org/dewreach/sim/StaleMessageTest.java
@@ -46,7 +46,7 @@
     },
 
     /**
-     * Guards: {@code Observation.evidence}, {@code HeartbeatState.isNewer}, {@code
+     * Guards: {@code WorkerReport.freshness}, {@code HeartbeatState.isNewer}, {@code
      * RecoveryTracker.allTasksKnown}.
      */
     REPORTS_KEPT_FOR_THE_NEXT_LEADER {
