--- a/src/main/java/org/dewreach/controller/AuthorityCheckedResponder.java
+++ b/src/main/java/org/dewreach/controller/AuthorityCheckedResponder.java
@@ -14,11 +14,11 @@
  * @param asked the term that handles the request
  * @param target where the response goes
  */
-record AuthorityCheckedResponder(Leadership leadership, LeadershipTerm asked, Responder target)
-    implements Responder {
+record AuthorityCheckedResponder(
+    Leadership leadership, LeadershipTerm handlingTerm, Responder target) implements Responder {
   @Override
   public void respond(UserResponse response) {
-    if (response.isServerError() || leadership.hasAuthorityIn(asked)) {
+    if (response.isServerError() || leadership.hasAuthorityIn(handlingTerm)) {
       target.respond(response);
     } else {
       target.respondRetry(RetryReason.NO_AUTHORITY);
--- a/src/main/java/org/dewreach/controller/Controller.java
+++ b/src/main/java/org/dewreach/controller/Controller.java
@@ -25,7 +25,7 @@
 
   private final EventClock clock = new EventClock();
   private final Outbox outbox;
-  private final NodeServices services;
+  private final ControllerServices services;
   private final Leadership leadership;
   private final FinalStateWatcher finalStateWatcher;
   private final LeaderDiscovery leaderDiscovery;
@@ -38,22 +38,22 @@
   /**
    * A controller.
    *
-   * @param boot a text that no other process has, also not an earlier one of this node
+   * @param bootId a text that no other process has, also not an earlier one of this node
    * @param wallOffsetMicros time of day minus event time
    */
   public Controller(
       Settings settings,
       Tuning tuning,
-      String boot,
+      String bootId,
       RandomGenerator random,
       long wallOffsetMicros) {
     this.outbox = new Outbox(this::effectsValidUntil);
-    this.services = NodeServices.create(settings, tuning, outbox, wallOffsetMicros);
-    this.leadership = new Leadership(services, clock, boot, random);
+    this.services = ControllerServices.create(settings, tuning, outbox, wallOffsetMicros);
+    this.leadership = new Leadership(services, clock, bootId, random);
     this.finalStateWatcher = new FinalStateWatcher(services.store(), services.finalStates());
     this.leaderDiscovery =
         new LeaderDiscovery(outbox, settings, leadership.election(), leadership.delegateRenewer());
-    this.userRequests = new UserRequestRouter(services, leadership, clock, boot);
+    this.userRequests = new UserRequestRouter(services, leadership, clock, bootId);
     this.heartbeats = new HeartbeatRouter(services, leadership, clock);
     this.peerRequests =
         new PeerRequestRouter(services, leadership, clock, userRequests, this::stats);
@@ -98,7 +98,7 @@
   private void onReadinessProbe(Event.Request request) {
     // Once this node has known a way to serve, troubles of the others show in single responses: a
     // readiness that flaps would take it out for longer than the trouble lasts.
-    ready |= leadership.election().lastContact() >= 0;
+    ready |= leadership.election().lastStoreResponseAt() >= 0;
     int status = ready ? HttpStatus.OK : HttpStatus.UNAVAILABLE;
     outbox.respond(request.requestId(), status, null);
   }
@@ -112,7 +112,7 @@
       leadership.term().tick(nowMicros);
     }
     heartbeats.tick();
-    leaderDiscovery.tick(leadership.term() != null, userRequests.doubtsLeader(), nowMicros);
+    leaderDiscovery.tick(leadership.term() != null, userRequests.isLeaderSuspected(), nowMicros);
     leadership.renewDelegations();
     if (nowMicros >= nextSummaryAt) {
       nextSummaryAt = nowMicros + SUMMARY_INTERVAL_MICROS;
@@ -128,13 +128,13 @@
         finalStateWatcher.revision());
   }
 
-  private NodeStats stats() {
+  private ControllerStats stats() {
     Election election = leadership.election();
     LeadershipTerm term = leadership.term();
-    return new NodeStats(
+    return new ControllerStats(
         services.settings().name(),
         election.leader(),
-        election.phase(),
+        election.state(),
         leadership.termNumber(),
         outbox.openCalls(),
         userRequests.limits().stats(),
--- a/src/main/java/org/dewreach/controller/NodeServices.java
+++ b/src/main/java/org/dewreach/controller/ControllerServices.java
@@ -4,8 +4,8 @@
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
 import org.dewreach.history.FinalStates;
-import org.dewreach.leadership.LeadHandovers;
-import org.dewreach.leadership.WorkerContacts;
+import org.dewreach.leadership.HandoverHistory;
+import org.dewreach.leadership.LastHeartbeatTimes;
 import org.dewreach.port.Outbox;
 import org.dewreach.state.MachineTypeCatalog;
 import org.dewreach.store.KeyValueStore;
@@ -20,11 +20,11 @@
  * @param cloud the cloud's machines
  * @param catalog the machine types
  * @param finalStates the final states known to be durable
- * @param workerContacts when each worker last sent this node a heartbeat
- * @param handovers when this node last gave up the lead for want of workers
+ * @param lastHeartbeats when each worker last sent this node a heartbeat
+ * @param handoverHistory when this node last gave up the lead for want of workers
  * @param wallOffsetMicros time of day minus event time
  */
-record NodeServices(
+record ControllerServices(
     Settings settings,
     Tuning tuning,
     Outbox outbox,
@@ -32,16 +32,16 @@
     CloudClient cloud,
     MachineTypeCatalog catalog,
     FinalStates finalStates,
-    WorkerContacts workerContacts,
-    LeadHandovers handovers,
+    LastHeartbeatTimes lastHeartbeats,
+    HandoverHistory handoverHistory,
     long wallOffsetMicros) {
 
   /** Services that send through the given outbox, and have read nothing yet. */
-  static NodeServices create(
+  static ControllerServices create(
       Settings settings, Tuning tuning, Outbox outbox, long wallOffsetMicros) {
     KeyValueStore store = new KeyValueStore(outbox);
     CloudClient cloud = new CloudClient(outbox, settings.cloudLimits().rps());
-    return new NodeServices(
+    return new ControllerServices(
         settings,
         tuning,
         outbox,
@@ -49,8 +49,8 @@
         cloud,
         new MachineTypeCatalog(store, cloud),
         new FinalStates(),
-        new WorkerContacts(),
-        new LeadHandovers(),
+        new LastHeartbeatTimes(),
+        new HandoverHistory(),
         wallOffsetMicros);
   }
 }
--- a/src/main/java/org/dewreach/controller/NodeStats.java
+++ b/src/main/java/org/dewreach/controller/ControllerStats.java
@@ -6,7 +6,7 @@
 /**
  * Numbers of a node for operators.
  *
- * @param node the node's name
+ * @param name the node's name
  * @param leader the leader's name as the node knows it, or null
  * @param election the node's state in the election
  * @param term the term that the node leads, or 0
@@ -16,8 +16,8 @@
  * @param finalStatesRevision the revision of the key-value store up to which it knows them
  * @param termStats numbers of the term that the node leads, or null
  */
-record NodeStats(
-    String node,
+record ControllerStats(
+    String name,
     String leader,
     ElectionState election,
     long term,
--- a/src/main/java/org/dewreach/controller/HeartbeatRouter.java
+++ b/src/main/java/org/dewreach/controller/HeartbeatRouter.java
@@ -2,7 +2,7 @@
 
 import org.dewreach.heartbeat.PendingHeartbeats;
 import org.dewreach.leadership.DelegateRenewer;
-import org.dewreach.leadership.WorkerContacts;
+import org.dewreach.leadership.LastHeartbeatTimes;
 import org.dewreach.port.Event;
 import org.dewreach.port.Outbox;
 import org.dewreach.wire.Heartbeat;
@@ -22,14 +22,14 @@
   private final Outbox outbox;
   private final Leadership leadership;
   private final EventClock clock;
-  private final WorkerContacts workerContacts;
+  private final LastHeartbeatTimes lastHeartbeats;
   private final PendingHeartbeats pendingHeartbeats;
 
-  HeartbeatRouter(NodeServices services, Leadership leadership, EventClock clock) {
+  HeartbeatRouter(ControllerServices services, Leadership leadership, EventClock clock) {
     this.outbox = services.outbox();
     this.leadership = leadership;
     this.clock = clock;
-    this.workerContacts = services.workerContacts();
+    this.lastHeartbeats = services.lastHeartbeats();
     this.pendingHeartbeats = new PendingHeartbeats(services.settings().limits().maxConnections());
   }
 
@@ -43,7 +43,7 @@
       outbox.respond(request.requestId(), HttpStatus.BAD_REQUEST, null);
       return;
     }
-    workerContacts.recordHeartbeat(heartbeat.machine(), clock.now());
+    lastHeartbeats.recordHeartbeat(heartbeat.machine(), clock.now());
     if (leadership.isUndecided() && !pendingHeartbeats.full()) {
       pendingHeartbeats.add(request.requestId(), heartbeat, clock.now());
     } else {
--- a/src/main/java/org/dewreach/controller/Leadership.java
+++ b/src/main/java/org/dewreach/controller/Leadership.java
@@ -12,7 +12,7 @@
 final class Leadership implements Election.Listener, LeadershipControl {
   private static final long SELF_DELEGATION_INTERVAL_MICROS = 500_000;
 
-  private final NodeServices services;
+  private final ControllerServices services;
   private final EventClock clock;
   private final Election election;
   private final DelegateRenewer delegateRenewer;
@@ -23,9 +23,9 @@
   /**
    * A node that does not know who leads.
    *
-   * @param boot a text that no other process has, also not an earlier one of this node
+   * @param bootId a text that no other process has, also not an earlier one of this node
    */
-  Leadership(NodeServices services, EventClock clock, String boot, RandomGenerator random) {
+  Leadership(ControllerServices services, EventClock clock, String bootId, RandomGenerator random) {
     this.services = services;
     this.clock = clock;
     Settings settings = services.settings();
@@ -37,7 +37,7 @@
             services.outbox(),
             settings.members().stream().map(Settings.Member::name).toList(),
             settings.name(),
-            boot,
+            bootId,
             random,
             this);
     this.delegateRenewer = new DelegateRenewer(services.outbox(), services.store(), settings);
@@ -140,9 +140,9 @@
   }
 
   @Override
-  public void resignUnreachable() {
-    services.handovers().recordHandover(clock.now());
-    election.resign(clock.now(), "no heartbeats reach this node");
+  public void handOverLeadership() {
+    services.handoverHistory().recordHandover(clock.now());
+    election.handOver(clock.now(), "no heartbeats reach this node");
   }
 
   @Override
--- a/src/main/java/org/dewreach/controller/LeadershipControl.java
+++ b/src/main/java/org/dewreach/controller/LeadershipControl.java
@@ -9,7 +9,7 @@
   void onKeyLost();
 
   /** Gives up the lead, as no heartbeats reach this node. */
-  void resignUnreachable();
+  void handOverLeadership();
 
   /** When this node last renewed a lease as a delegate, or a negative time. */
   long lastRenewalAt();
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -53,7 +53,8 @@
    *
    * @param number the term's number, which is also its fencing token
    */
-  LeadershipTerm(long number, NodeServices services, LeadershipControl control, long nowMicros) {
+  LeadershipTerm(
+      long number, ControllerServices services, LeadershipControl control, long nowMicros) {
     this.number = number;
     this.outbox = services.outbox();
     this.catalog = services.catalog();
@@ -68,7 +69,7 @@
             nowMicros);
   }
 
-  private void become(Phase next) {
+  private void changePhase(Phase next) {
     LOG.info("term phase changed: term={} from={} to={}", number, phase, next);
     phase = next;
   }
@@ -102,7 +103,7 @@
     if (!components.loader.done()) {
       return false;
     }
-    become(Phase.RECOVERING);
+    changePhase(Phase.RECOVERING);
     LOG.info(
         "cluster state loaded: term={} jobs={} machines={}",
         number,
@@ -141,7 +142,7 @@
       // Guards against a leader that keeps its key and receives no heartbeat until all leases
       // expire.
       LOG.info("no heartbeats reach this node, giving up the lead: term={}", number);
-      control.resignUnreachable();
+      control.handOverLeadership();
       return;
     }
     if (nowMicros >= nextProgressAt) {
@@ -166,7 +167,7 @@
 
   private void updateRecovery(long nowMicros) {
     if (components.recovery.update(nowMicros)) {
-      become(Phase.ACTIVE);
+      changePhase(Phase.ACTIVE);
       components.recordWriter.allowFinalizingCancelled();
       components.clusterState.requestPlacement();
     }
@@ -273,7 +274,7 @@
     if (phase == Phase.CLOSED) {
       return;
     }
-    become(Phase.CLOSED);
+    changePhase(Phase.CLOSED);
     components.loader.close();
     components.recoveryClock.close();
     components.jobImporter.close();
--- a/src/main/java/org/dewreach/controller/PeerRequestRouter.java
+++ b/src/main/java/org/dewreach/controller/PeerRequestRouter.java
@@ -1,7 +1,7 @@
 package org.dewreach.controller;
 
 import java.util.function.Supplier;
-import org.dewreach.leadership.WorkerContacts;
+import org.dewreach.leadership.LastHeartbeatTimes;
 import org.dewreach.peer.ContactRequest;
 import org.dewreach.peer.ContactResponse;
 import org.dewreach.peer.DelegationRequest;
@@ -24,20 +24,20 @@
   private final Leadership leadership;
   private final EventClock clock;
   private final UserRequestRouter userRequests;
-  private final WorkerContacts workerContacts;
-  private final Supplier<NodeStats> stats;
+  private final LastHeartbeatTimes lastHeartbeats;
+  private final Supplier<ControllerStats> stats;
 
   PeerRequestRouter(
-      NodeServices services,
+      ControllerServices services,
       Leadership leadership,
       EventClock clock,
       UserRequestRouter userRequests,
-      Supplier<NodeStats> stats) {
+      Supplier<ControllerStats> stats) {
     this.outbox = services.outbox();
     this.leadership = leadership;
     this.clock = clock;
     this.userRequests = userRequests;
-    this.workerContacts = services.workerContacts();
+    this.lastHeartbeats = services.lastHeartbeats();
     this.stats = stats;
   }
 
@@ -45,7 +45,7 @@
   void onRequest(Event.Request request) {
     long requestId = request.requestId();
     switch (request.path()) {
-      case PeerMessageCodec.LEADER_PATH -> onLeaderQuestion(requestId);
+      case PeerMessageCodec.LEADER_PATH -> onLeaderQuery(requestId);
       case STATS_PATH -> outbox.respond(requestId, HttpStatus.OK, StatsCodec.encode(stats.get()));
       default -> {
         if (request.body() == null) {
@@ -74,7 +74,7 @@
     }
   }
 
-  private void onLeaderQuestion(long requestId) {
+  private void onLeaderQuery(long requestId) {
     KnownLeader known =
         new KnownLeader(leadership.election().leader(), leadership.election().latestTerm());
     outbox.respond(requestId, HttpStatus.OK, PeerMessageCodec.encode(known));
@@ -95,7 +95,7 @@
 
   private void onContactRequest(long requestId, ContactRequest request) {
     int heard =
-        workerContacts.countHeardSince(request.machines(), clock.now() - request.withinMicros());
+        lastHeartbeats.countSeenSince(request.machines(), clock.now() - request.withinMicros());
     outbox.respond(requestId, HttpStatus.OK, PeerMessageCodec.encode(new ContactResponse(heard)));
   }
 
--- a/src/main/java/org/dewreach/controller/StatsCodec.java
+++ b/src/main/java/org/dewreach/controller/StatsCodec.java
@@ -11,8 +11,8 @@
 final class StatsCodec {
   private StatsCodec() {}
 
-  static ObjectNode encode(NodeStats stats) {
-    ObjectNode map = Codec.map().put("node", stats.node()).put("leader", stats.leader());
+  static ObjectNode encode(ControllerStats stats) {
+    ObjectNode map = Codec.map().put("node", stats.name()).put("leader", stats.leader());
     map.put("election", stats.election().name()).put("term", stats.term());
     map.put("open_calls", stats.openCalls());
     putUserRequests(map, stats.userRequests());
--- a/src/main/java/org/dewreach/controller/TermComponents.java
+++ b/src/main/java/org/dewreach/controller/TermComponents.java
@@ -6,7 +6,7 @@
 import org.dewreach.heartbeat.DirectCommandSender;
 import org.dewreach.heartbeat.HeartbeatHandler;
 import org.dewreach.leadership.LeaseDelegations;
-import org.dewreach.leadership.PeerContacts;
+import org.dewreach.leadership.PeerReachabilityPoller;
 import org.dewreach.membership.FleetManager;
 import org.dewreach.membership.HandoverPolicy;
 import org.dewreach.membership.RecoveryTracker;
@@ -38,13 +38,13 @@
    * @param closed tells whether the term is over
    */
   record Callbacks(
-      DurabilityListener records,
+      DurabilityListener durabilityListener,
       Consumer<String> onImportFailed,
-      DirectCommandSender.ReplyListener directReplies,
+      DirectCommandSender.ReplyListener directReplyListener,
       BooleanSupplier closed) {}
 
   private final long term;
-  private final NodeServices services;
+  private final ControllerServices services;
   private final Settings settings;
   final ClusterState clusterState;
   final CommitQueue queue;
@@ -68,7 +68,7 @@
 
   TermComponents(
       long term,
-      NodeServices services,
+      ControllerServices services,
       LeadershipControl control,
       Callbacks callbacks,
       long nowMicros) {
@@ -82,7 +82,7 @@
             queue,
             settings.stateLimits().valueBytes(),
             services.wallOffsetMicros(),
-            callbacks.records());
+            callbacks.durabilityListener());
     this.delegations = new LeaseDelegations(term, settings, control::lastRenewalAt);
     this.fleet = newFleetManager(nowMicros);
     this.handoverPolicy = newHandoverPolicy();
@@ -90,7 +90,8 @@
     this.recoveryClock = new RecoveryClock(services.store(), queue, services.wallOffsetMicros());
     this.stalledRecovery = new StalledRecovery(recovery, fleet, recoveryClock, settings);
     this.cancellationGate = new CancellationGate(clusterState, settings, delegations, recovery);
-    this.recordWriter = new JobRecordWriter(queue, cancellationGate, callbacks.records());
+    this.recordWriter =
+        new JobRecordWriter(queue, cancellationGate, callbacks.durabilityListener());
     this.loader = newLoader();
     this.jobImporter =
         new LeaderlessJobImporter(
@@ -101,7 +102,7 @@
             term,
             services.outbox(),
             clusterState,
-            callbacks.directReplies(),
+            callbacks.directReplyListener(),
             settings.limits().connectionsToWorkers());
     this.heartbeatHandler = newHeartbeatHandler(callbacks.closed());
     this.placement = newPlacementLoop();
@@ -134,8 +135,8 @@
   }
 
   private HandoverPolicy newHandoverPolicy() {
-    PeerContacts peers = new PeerContacts(services.outbox(), settings);
-    return new HandoverPolicy(fleet, peers, services.handovers(), settings);
+    PeerReachabilityPoller peers = new PeerReachabilityPoller(services.outbox(), settings);
+    return new HandoverPolicy(fleet, peers, services.handoverHistory(), settings);
   }
 
   private ClusterStateLoader newLoader() {
--- a/src/main/java/org/dewreach/controller/UserRequestRouter.java
+++ b/src/main/java/org/dewreach/controller/UserRequestRouter.java
@@ -34,7 +34,8 @@
   private final LeaderForwarder forwarder;
   private final LeaderlessRequestHandler leaderlessHandler;
 
-  UserRequestRouter(NodeServices services, Leadership leadership, EventClock clock, String boot) {
+  UserRequestRouter(
+      ControllerServices services, Leadership leadership, EventClock clock, String bootId) {
     this.outbox = services.outbox();
     this.finalStates = services.finalStates();
     this.leadership = leadership;
@@ -46,7 +47,7 @@
             finalStates,
             services.catalog(),
             services.settings(),
-            boot,
+            bootId,
             clock,
             services.wallOffsetMicros());
     this.forwarder = new LeaderForwarder(outbox, leaderlessHandler);
@@ -57,7 +58,7 @@
   }
 
   /** True if the known leader did not take a request lately. */
-  boolean doubtsLeader() {
+  boolean isLeaderSuspected() {
     return forwarder.doubtsLeader(clock.now());
   }
 
--- a/src/main/java/org/dewreach/leadership/ClockDrift.java
+++ b/src/main/java/org/dewreach/leadership/ClockDrift.java
@@ -8,7 +8,7 @@
   private ClockDrift() {}
 
   /** The most by which two clocks may differ after the given time. */
-  static long within(long micros) {
+  static long maxOver(long micros) {
     return micros / DIVISOR;
   }
 }
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -37,10 +37,10 @@
    * Out of contact for this long, longer than a lease lasts without its leader. A default of this
    * project.
    */
-  static final long OUT_OF_CONTACT_MICROS = 3_000_000;
+  static final long ISOLATION_TIMEOUT_MICROS = 3_000_000;
 
   private static final long REQUEST_INTERVAL_MICROS = 1_000_000;
-  private static final long TIMEOUT_MICROS = 1_000_000;
+  private static final long REQUEST_TIMEOUT_MICROS = 1_000_000;
 
   /** Whether this node renews worker leases in place of the leader. */
   private enum Phase {
@@ -67,7 +67,7 @@
   private long term;
   private long delegatedUntil;
   private long lastContactAt;
-  private long lastStoreResponseAt = -OUT_OF_CONTACT_MICROS;
+  private long lastStoreResponseAt = -ISOLATION_TIMEOUT_MICROS;
   private long lastRenewalAt = DelegationRequest.NONE;
   private long lastResponseMark = DelegationRequest.NONE;
   private String lastResponder = "";
@@ -82,7 +82,7 @@
     this.zone = settings.zone();
   }
 
-  private void become(Phase next, String why) {
+  private void changePhase(Phase next, String why) {
     if (phase != next) {
       LOG.info(
           "delegate phase changed: term={} from={} to={} reason=\"{}\"", term, phase, next, why);
@@ -109,7 +109,8 @@
           });
     }
     if (phase == Phase.ACTIVE && !mayRenew(nowMicros)) {
-      become(Phase.IDLE, nowMicros < delegatedUntil ? "in contact again" : "the delegation ended");
+      changePhase(
+          Phase.IDLE, nowMicros < delegatedUntil ? "in contact again" : "the delegation ended");
     }
   }
 
@@ -126,7 +127,7 @@
         "POST",
         PeerMessageCodec.DELEGATION_PATH,
         PeerMessageCodec.encode(request),
-        TIMEOUT_MICROS,
+        REQUEST_TIMEOUT_MICROS,
         (now, status, answer) -> {
           if (status == HttpStatus.OK && answer != null) {
             onResponse(leader, PeerMessageCodec.decodeDelegationResponse(answer), nowMicros, now);
@@ -141,7 +142,7 @@
     term = response.term();
     // Counted from the sending, which was before the leader counted, and less drift.
     long delegatedMicros = response.delegatedMicros();
-    delegatedUntil = sentAt + delegatedMicros - ClockDrift.within(delegatedMicros);
+    delegatedUntil = sentAt + delegatedMicros - ClockDrift.maxOver(delegatedMicros);
     lastResponseMark = response.mark();
     lastResponder = leader;
     recordContact(false, nowMicros);
@@ -154,7 +155,7 @@
    */
   public void onLeading(long ownTerm, long delegatedMicros, long nowMicros) {
     term = ownTerm;
-    delegatedUntil = nowMicros + delegatedMicros - ClockDrift.within(delegatedMicros);
+    delegatedUntil = nowMicros + delegatedMicros - ClockDrift.maxOver(delegatedMicros);
     recordContact(true, nowMicros);
   }
 
@@ -183,8 +184,8 @@
 
   private boolean mayRenew(long nowMicros) {
     return nowMicros < delegatedUntil
-        && nowMicros - lastContactAt >= OUT_OF_CONTACT_MICROS
-        && nowMicros - lastStoreResponseAt >= OUT_OF_CONTACT_MICROS;
+        && nowMicros - lastContactAt >= ISOLATION_TIMEOUT_MICROS
+        && nowMicros - lastStoreResponseAt >= ISOLATION_TIMEOUT_MICROS;
   }
 
   /** Renews the lease of the heartbeat's sender in place of the leader; false if it may not. */
@@ -199,7 +200,7 @@
     if (!triedOthers || !mayRenew(nowMicros)) {
       return false;
     }
-    become(Phase.ACTIVE, "out of contact");
+    changePhase(Phase.ACTIVE, "out of contact");
     lastRenewalAt = nowMicros;
     return true;
   }
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -29,7 +29,7 @@
   private static final long MAX_CLAIM_DELAY_MICROS = 150_000;
 
   /** A node that gave up the lead lets others claim it first. A default of this project. */
-  private static final long RESIGN_COOLDOWN_MICROS = 10_000_000;
+  private static final long HANDOVER_CLAIM_PAUSE_MICROS = 10_000_000;
 
   /** Notified when this node wins or loses the lead. */
   public interface Listener {
@@ -41,14 +41,14 @@
   }
 
   private final String self;
-  private final String boot;
+  private final String bootId;
   private final RandomGenerator random;
   private final Listener listener;
   private final LeaderKeyReader leaderKey;
   private final LeaderClaim claim;
   private final LeaderAuthority authority;
 
-  private ElectionState phase = ElectionState.FOLLOWING;
+  private ElectionState state = ElectionState.FOLLOWING;
   private String leader;
   private boolean leaderAbsent;
   private long leaderRevision;
@@ -60,7 +60,7 @@
    * Without a leader known of yet.
    *
    * @param others names of the other controllers
-   * @param boot identifies this process among those of the same name
+   * @param bootId identifies this process among those of the same name
    * @param random spreads the claims of several nodes in time
    */
   public Election(
@@ -68,40 +68,40 @@
       Outbox outbox,
       List<String> others,
       String self,
-      String boot,
+      String bootId,
       RandomGenerator random,
       Listener listener) {
     this.self = self;
-    this.boot = boot;
+    this.bootId = bootId;
     this.random = random;
     this.listener = listener;
     this.leaderKey =
         new LeaderKeyReader(
-            store, this::onLeaderKeyRead, () -> phase == ElectionState.FOLLOWING, this::tick);
-    this.claim = new LeaderClaim(store, self, boot);
+            store, this::onLeaderKeyRead, () -> state == ElectionState.FOLLOWING, this::tick);
+    this.claim = new LeaderClaim(store, self, bootId);
     this.authority =
         new LeaderAuthority(
-            store, outbox, others, self, leaderKey::recordContact, this::onLeaseEnded);
+            store, outbox, others, self, leaderKey::recordStoreResponse, this::onLeaseEnded);
   }
 
   /** What this controller is in the election now. */
-  public ElectionState phase() {
-    return phase;
+  public ElectionState state() {
+    return state;
   }
 
   /** Name of the leader as last seen, or null. */
   public String leader() {
-    return phase == ElectionState.LEADING ? self : leader;
+    return state == ElectionState.LEADING ? self : leader;
   }
 
   /** True if the key was last seen absent: nobody leads then. */
   public boolean leaderAbsent() {
-    return leaderAbsent && phase != ElectionState.LEADING;
+    return leaderAbsent && state != ElectionState.LEADING;
   }
 
   /** True while no other term can act: by the lease, or by every node's grant. */
   public boolean hasAuthority(long nowMicros) {
-    return phase == ElectionState.LEADING && authority.holds(nowMicros);
+    return state == ElectionState.LEADING && authority.holds(nowMicros);
   }
 
   /** When authority ends, as far as it is known now. */
@@ -114,19 +114,19 @@
    */
   public boolean grantTo(long forTerm, long nowMicros) {
     return followerGrants != null
-        && phase != ElectionState.LEADING
+        && state != ElectionState.LEADING
         && followerGrants.grant(forTerm, nowMicros);
   }
 
   /** When the key-value store last answered this node, or -1. */
-  public long lastContact() {
-    return leaderKey.lastContact();
+  public long lastStoreResponseAt() {
+    return leaderKey.lastStoreResponseAt();
   }
 
-  private void become(ElectionState next, String why) {
-    if (phase != next) {
-      LOG.info("election state changed: from={} to={} reason=\"{}\"", phase, next, why);
-      phase = next;
+  private void changeState(ElectionState next, String why) {
+    if (state != next) {
+      LOG.info("election state changed: from={} to={} reason=\"{}\"", state, next, why);
+      state = next;
     }
   }
 
@@ -136,7 +136,7 @@
       // Event time counts from the start of the process, before which it granted nothing.
       followerGrants = new FollowerGrants(0);
     }
-    switch (phase) {
+    switch (state) {
       case LEADING -> authority.tick(followerGrants, nowMicros);
       case WAITING -> {
         if (nowMicros >= claimAt) {
@@ -156,23 +156,23 @@
 
   /** The leader key was found lost by a write: step down at once. */
   public void onKeyLost(long nowMicros, String why) {
-    if (phase == ElectionState.LEADING) {
+    if (state == ElectionState.LEADING) {
       stepDown(nowMicros, why);
     }
   }
 
   /** Gives up the lead so that another node takes it, which may reach what this one does not. */
-  public void resign(long nowMicros, String why) {
-    if (phase == ElectionState.LEADING) {
-      claimNotBefore = nowMicros + RESIGN_COOLDOWN_MICROS;
+  public void handOver(long nowMicros, String why) {
+    if (state == ElectionState.LEADING) {
+      claimNotBefore = nowMicros + HANDOVER_CLAIM_PAUSE_MICROS;
       stepDown(nowMicros, why);
     }
   }
 
   /** True while it is not known who leads, and it may turn out to be this node. */
   public boolean undecided() {
-    return switch (phase) {
-      case FOLLOWING -> lastContact() < 0;
+    return switch (state) {
+      case FOLLOWING -> lastStoreResponseAt() < 0;
       case WAITING, OPENING, CLAIMING, VERIFYING -> true;
       case LEADING -> !authority.active();
     };
@@ -187,30 +187,30 @@
       // A hint of an earlier term would send requests back to a leader that was deposed.
       return;
     }
-    if (phase == ElectionState.LEADING
+    if (state == ElectionState.LEADING
         && hintedTerm > authority.term()
         && !hasAuthority(nowMicros)) {
       stepDown(nowMicros, "another node knows of term " + hintedTerm);
     }
-    if (phase != ElectionState.LEADING) {
+    if (state != ElectionState.LEADING) {
       leader = name;
     }
   }
 
   /** The latest term this node knows of. */
   public long latestTerm() {
-    return phase == ElectionState.LEADING ? authority.term() : leaderRevision;
+    return state == ElectionState.LEADING ? authority.term() : leaderRevision;
   }
 
   private void onLeaderKeyRead(long nowMicros, ReadResult result) {
-    if (phase != ElectionState.FOLLOWING && phase != ElectionState.VERIFYING) {
+    if (state != ElectionState.FOLLOWING && state != ElectionState.VERIFYING) {
       return;
     }
     if (result instanceof KeyValue entry) {
       onKeyPresent(nowMicros, entry);
     } else if (result instanceof ReadResult.Absent absent) {
       onKeyAbsent(nowMicros, absent);
-    } else if (phase == ElectionState.VERIFYING) {
+    } else if (state == ElectionState.VERIFYING) {
       readAgainAfter(nowMicros, VERIFY_RETRY_MICROS);
     } else {
       readAgainAfter(nowMicros, LeaderKeyReader.RETRY_PAUSE_MICROS);
@@ -221,7 +221,7 @@
     LeaderRecord holder = LeaderRecord.decode(entry.value());
     String name = holder.name();
     if (name.equals(self)) {
-      onOwnKey(nowMicros, holder.boot(), entry.leaseId(), entry.revision());
+      onOwnKey(nowMicros, holder.bootId(), entry.leaseId(), entry.revision());
       return;
     }
     claim.abandon();
@@ -229,16 +229,16 @@
     leaderAbsent = false;
     leaderRevision = entry.revision();
     followerGrants.fenceTermsBelow(entry.revision());
-    become(ElectionState.FOLLOWING, "led by " + name);
+    changeState(ElectionState.FOLLOWING, "led by " + name);
     leaderKey.watchFrom(entry.revision());
   }
 
   private void onOwnKey(long nowMicros, String holderBoot, long holderLeaseId, long revision) {
-    if (!holderBoot.equals(boot)) {
+    if (!holderBoot.equals(bootId)) {
       // Left by an earlier process of this node, which is gone for sure.
       LOG.info("revoking the lease of an earlier process of this node: lease={}", holderLeaseId);
       revokeOldLease(holderLeaseId);
-    } else if (phase == ElectionState.VERIFYING && claim.hasLease(holderLeaseId)) {
+    } else if (state == ElectionState.VERIFYING && claim.hasLease(holderLeaseId)) {
       becomeLeader(nowMicros, revision);
     } else {
       // A claim of ours that was applied late: give it up, nobody may rely on it.
@@ -253,63 +253,63 @@
     // Every term up to this revision has lost its key.
     followerGrants.fenceTermsBelow(absent.storeRevision() + 1);
     if (nowMicros < claimNotBefore) {
-      become(ElectionState.FOLLOWING, "another node is to lead");
+      changeState(ElectionState.FOLLOWING, "another node is to lead");
       leaderKey.readAgainAt(nowMicros + LeaderKeyReader.RETRY_PAUSE_MICROS);
       return;
     }
     claimAt = nowMicros + random.nextLong(MAX_CLAIM_DELAY_MICROS);
-    become(ElectionState.WAITING, "no leader");
+    changeState(ElectionState.WAITING, "no leader");
   }
 
   private void readAgainAfter(long nowMicros, long pause) {
-    if (phase == ElectionState.VERIFYING) {
+    if (state == ElectionState.VERIFYING) {
       // Nothing was granted to anybody yet, so the claim can simply be given up.
       claim.abandon();
-      become(ElectionState.FOLLOWING, "claim unclear");
+      changeState(ElectionState.FOLLOWING, "claim unclear");
     }
     leaderKey.readAgainAt(nowMicros + pause);
   }
 
   private void revokeOldLease(long holderLeaseId) {
-    claim.forget(holderLeaseId);
+    claim.clearLease(holderLeaseId);
     claim.abandon();
-    become(ElectionState.FOLLOWING, "revoking an old lease");
+    changeState(ElectionState.FOLLOWING, "revoking an old lease");
     leaderKey.revokeLease(holderLeaseId);
   }
 
   private void openLease(long nowMicros) {
-    become(ElectionState.OPENING, "claiming");
+    changeState(ElectionState.OPENING, "claiming");
     claim.openLease(
         nowMicros,
         (now, result) -> {
           if (result instanceof LeaseGrant) {
             writeLeaderKey();
           } else {
-            become(ElectionState.FOLLOWING, "no lease: " + result);
+            changeState(ElectionState.FOLLOWING, "no lease: " + result);
             leaderKey.readAgainAt(now + LeaderKeyReader.RETRY_PAUSE_MICROS);
           }
         });
   }
 
   private void writeLeaderKey() {
-    become(ElectionState.CLAIMING, "lease open");
+    changeState(ElectionState.CLAIMING, "lease open");
     claim.writeKey(
         (now, result) -> {
           if (result instanceof TransactionResult.Committed committed) {
             becomeLeader(now, committed.revision());
           } else {
-            become(ElectionState.VERIFYING, "claim not confirmed: " + result);
+            changeState(ElectionState.VERIFYING, "claim not confirmed: " + result);
             leaderKey.read();
           }
         });
   }
 
   private void becomeLeader(long nowMicros, long term) {
-    authority.begin(term, claim.leaseId(), claim.leaseSentAt(), nowMicros);
+    authority.begin(term, claim.leaseId(), claim.leaseRequestedAt(), nowMicros);
     leaderAbsent = false;
     leader = self;
-    leaderKey.recordContact(nowMicros);
-    become(ElectionState.LEADING, "term " + term);
+    leaderKey.recordStoreResponse(nowMicros);
+    changeState(ElectionState.LEADING, "term " + term);
     listener.onElected(nowMicros, term);
     tick(nowMicros);
   }
@@ -322,7 +322,7 @@
     claim.abandon();
     authority.end();
     leader = null;
-    become(ElectionState.FOLLOWING, why);
+    changeState(ElectionState.FOLLOWING, why);
     leaderKey.readAgainAt(nowMicros);
     listener.onDeposed(nowMicros, authority.term());
   }
--- a/src/main/java/org/dewreach/leadership/FollowerGrants.java
+++ b/src/main/java/org/dewreach/leadership/FollowerGrants.java
@@ -16,19 +16,20 @@
    * Length of a grant. A default of this project: short, since a takeover may have to wait for its
    * end.
    */
-  public static final long GRANT_MICROS = 1_600_000;
+  public static final long GRANT_DURATION_MICROS = 1_600_000;
 
   /** The leader counts a grant from its asking, and as a little shorter, for clock drift. */
-  static final long COUNTED_GRANT_MICROS = GRANT_MICROS - ClockDrift.within(GRANT_MICROS) - 20_000;
+  static final long COUNTED_GRANT_DURATION_MICROS =
+      GRANT_DURATION_MICROS - ClockDrift.maxOver(GRANT_DURATION_MICROS) - 20_000;
 
   /** After a start, earlier grants of this node may still run. */
   private static final long STARTUP_GRACE_MICROS =
-      GRANT_MICROS + ClockDrift.within(GRANT_MICROS) + 20_000;
+      GRANT_DURATION_MICROS + ClockDrift.maxOver(GRANT_DURATION_MICROS) + 20_000;
 
   private final long startedAt;
   private long grantedUntil = Long.MIN_VALUE;
   private long grantedTerm;
-  private long lowestLiveTerm;
+  private long lowestAdmissibleTerm;
 
   /**
    * Without any grant yet.
@@ -44,33 +45,33 @@
   }
 
   /** True while a grant runs, so that no other term may act here. */
-  private boolean grantRuns(long nowMicros) {
+  private boolean hasActiveGrant(long nowMicros) {
     return nowMicros < grantedUntil;
   }
 
   /** Grants that no later term acts for a while, unless a later one is known of. */
   public boolean grant(long term, long nowMicros) {
     if (inStartupGrace(nowMicros)
-        || term < lowestLiveTerm
-        || grantRuns(nowMicros) && grantedTerm > term) {
+        || term < lowestAdmissibleTerm
+        || hasActiveGrant(nowMicros) && grantedTerm > term) {
       return false;
     }
     grantedTerm = term;
-    grantedUntil = nowMicros + GRANT_MICROS;
+    grantedUntil = nowMicros + GRANT_DURATION_MICROS;
     return true;
   }
 
   /** Lets a term of this node act, unless a grant to an earlier one may still run. */
   public boolean admitTerm(long term, long nowMicros) {
-    if (inStartupGrace(nowMicros) || grantRuns(nowMicros) && grantedTerm != term) {
+    if (inStartupGrace(nowMicros) || hasActiveGrant(nowMicros) && grantedTerm != term) {
       return false;
     }
-    lowestLiveTerm = Math.max(lowestLiveTerm, term);
+    lowestAdmissibleTerm = Math.max(lowestAdmissibleTerm, term);
     return true;
   }
 
   /** The key-value store shows that the terms below the given one have lost the leader key. */
   public void fenceTermsBelow(long term) {
-    lowestLiveTerm = Math.max(lowestLiveTerm, term);
+    lowestAdmissibleTerm = Math.max(lowestAdmissibleTerm, term);
   }
 }
--- a/src/main/java/org/dewreach/leadership/LeadHandovers.java
+++ b/src/main/java/org/dewreach/leadership/HandoverHistory.java
@@ -5,7 +5,7 @@
  *
  * <p>A controller that leads again soon after that knows that the others had their turn.
  */
-public final class LeadHandovers {
+public final class HandoverHistory {
   /** Long enough for every controller to lead and give up once. */
   private static final long RECENT_MICROS = 120_000_000;
 
--- a/src/main/java/org/dewreach/leadership/WorkerContacts.java
+++ b/src/main/java/org/dewreach/leadership/LastHeartbeatTimes.java
@@ -11,9 +11,9 @@
  * <p>A leader that hears hardly any worker asks the others for it: only what they hear speaks for
  * handing over. Not thread-safe; runs on the controller's event loop.
  */
-public final class WorkerContacts {
+public final class LastHeartbeatTimes {
   /** Contacts older than this tell nothing about now. */
-  private static final long KEPT_MICROS = 60_000_000;
+  private static final long RETENTION_MICROS = 60_000_000;
 
   /** By machine; the one that was heard longest ago comes first. */
   private final Map<String, Long> lastHeartbeats = new LinkedHashMap<>();
@@ -28,13 +28,13 @@
 
   private void dropOldest(long nowMicros) {
     Iterator<Long> oldestFirst = lastHeartbeats.values().iterator();
-    while (oldestFirst.hasNext() && oldestFirst.next() < nowMicros - KEPT_MICROS) {
+    while (oldestFirst.hasNext() && oldestFirst.next() < nowMicros - RETENTION_MICROS) {
       oldestFirst.remove();
     }
   }
 
   /** How many of the machines sent this controller a heartbeat at the given time or later. */
-  public int countHeardSince(Collection<String> machines, long sinceMicros) {
+  public int countSeenSince(Collection<String> machines, long sinceMicros) {
     int heard = 0;
     for (String machine : machines) {
       Long lastHeartbeat = lastHeartbeats.get(machine);
--- a/src/main/java/org/dewreach/leadership/LeaderAuthority.java
+++ b/src/main/java/org/dewreach/leadership/LeaderAuthority.java
@@ -41,13 +41,13 @@
 
   /** The length of the lease less clock drift, and a little for timer steps. */
   private static final long AUTHORITY_MICROS =
-      LEASE_TTL_MICROS - ClockDrift.within(LEASE_TTL_MICROS) - 30_000;
+      LEASE_TTL_MICROS - ClockDrift.maxOver(LEASE_TTL_MICROS) - 30_000;
 
   /** With less authority than this left, renewals are failing: grants are asked for. */
   private static final long LOW_AUTHORITY_MICROS = 1_500_000;
 
-  private static final long REQUEST_INTERVAL_MICROS = 400_000;
-  private static final long REQUEST_TIMEOUT_MICROS = 700_000;
+  private static final long GRANT_REQUEST_INTERVAL_MICROS = 400_000;
+  private static final long GRANT_REQUEST_TIMEOUT_MICROS = 700_000;
 
   /** Whether this node's term may act. */
   private enum Phase {
@@ -83,7 +83,7 @@
   private long leaseId;
   private long leaseAuthorityUntil;
   private boolean renewalInFlight;
-  private boolean renewalsFail;
+  private boolean renewalsFailing;
   private long nextRenewalAt;
   private long nextGrantRequestAt;
 
@@ -109,7 +109,7 @@
     this.onLeaseEnded = onLeaseEnded;
   }
 
-  private void become(Phase next) {
+  private void changePhase(Phase next) {
     phase = next;
   }
 
@@ -117,18 +117,18 @@
   void begin(long newTerm, long newLeaseId, long leaseSentAt, long nowMicros) {
     term = newTerm;
     leaseId = newLeaseId;
-    renewalsFail = false;
+    renewalsFailing = false;
     grantedUntil.clear();
     leaseAuthorityUntil = leaseSentAt + AUTHORITY_MICROS;
     renewalInFlight = false;
     nextRenewalAt = nowMicros;
-    become(Phase.AWAITING_OWN_GRANTS);
+    changePhase(Phase.AWAITING_OWN_GRANTS);
   }
 
   /** This node leads no more. */
   void end() {
     leaseAuthorityUntil = 0;
-    become(Phase.NOT_LEADING);
+    changePhase(Phase.NOT_LEADING);
     basis = Basis.NONE;
   }
 
@@ -176,7 +176,7 @@
   /** Called when time has passed, while this node leads. */
   void tick(FollowerGrants ownGrants, long nowMicros) {
     if (phase == Phase.AWAITING_OWN_GRANTS && ownGrants.admitTerm(term, nowMicros)) {
-      become(Phase.ACTIVE);
+      changePhase(Phase.ACTIVE);
     }
     logBasisChange(nowMicros);
     requestGrants(ownGrants, nowMicros);
@@ -191,9 +191,9 @@
         || leaseAuthorityUntil - nowMicros > LOW_AUTHORITY_MICROS) {
       return;
     }
-    nextGrantRequestAt = nowMicros + REQUEST_INTERVAL_MICROS;
+    nextGrantRequestAt = nowMicros + GRANT_REQUEST_INTERVAL_MICROS;
     if (ownGrants.grant(term, nowMicros)) {
-      grantedUntil.put(self, nowMicros + FollowerGrants.COUNTED_GRANT_MICROS);
+      grantedUntil.put(self, nowMicros + FollowerGrants.COUNTED_GRANT_DURATION_MICROS);
     }
     for (String other : others) {
       requestGrant(other, nowMicros);
@@ -208,12 +208,13 @@
         "POST",
         PeerMessageCodec.GRANT_PATH,
         PeerMessageCodec.encode(new GrantRequest(forTerm)),
-        REQUEST_TIMEOUT_MICROS,
+        GRANT_REQUEST_TIMEOUT_MICROS,
         (now, status, body) -> {
           boolean granted =
               status == HttpStatus.OK && PeerMessageCodec.decodeGrantResponse(body).granted();
           if (granted && leads(forTerm)) {
-            grantedUntil.merge(other, sentAt + FollowerGrants.COUNTED_GRANT_MICROS, Math::max);
+            grantedUntil.merge(
+                other, sentAt + FollowerGrants.COUNTED_GRANT_DURATION_MICROS, Math::max);
           }
         });
   }
@@ -230,28 +231,28 @@
         RENEW_TIMEOUT_MICROS,
         (now, result) -> {
           if (leads(forTerm)) {
-            onRenewalReply(nowMicros, now, result);
+            onRenewalResponse(nowMicros, now, result);
           }
         });
   }
 
-  private void onRenewalReply(long sentAt, long nowMicros, LeaseResult result) {
+  private void onRenewalResponse(long sentAt, long nowMicros, LeaseResult result) {
     renewalInFlight = false;
     if (result instanceof LeaseGrant) {
       onRenewed.accept(nowMicros);
-      if (renewalsFail) {
+      if (renewalsFailing) {
         LOG.info("lease renewals succeed again: term={}", term);
       }
-      renewalsFail = false;
+      renewalsFailing = false;
       leaseAuthorityUntil = Math.max(leaseAuthorityUntil, sentAt + AUTHORITY_MICROS);
       nextRenewalAt = sentAt + RENEW_INTERVAL_MICROS;
     } else if (result instanceof LeaseResult.Expired) {
       onLeaseEnded.accept(nowMicros);
     } else {
-      if (!renewalsFail) {
+      if (!renewalsFailing) {
         LOG.info("lease renewals fail: term={} result={}", term, result);
       }
-      renewalsFail = true;
+      renewalsFailing = true;
       nextRenewalAt = nowMicros + RENEW_RETRY_MICROS;
     }
   }
--- a/src/main/java/org/dewreach/leadership/LeaderClaim.java
+++ b/src/main/java/org/dewreach/leadership/LeaderClaim.java
@@ -13,36 +13,36 @@
 /** A claim of this node to the leader key: the lease opened for it, and the write of the key. */
 final class LeaderClaim {
   /** Timeout of each request of a claim. A default of this project. */
-  private static final long TIMEOUT_MICROS = 1_500_000;
+  private static final long REQUEST_TIMEOUT_MICROS = 1_500_000;
 
   private static final long MICROS_PER_MS = 1_000;
 
   private final KeyValueStore store;
   private final String self;
-  private final String boot;
+  private final String bootId;
   private long leaseId;
-  private long leaseSentAt;
+  private long leaseRequestedAt;
 
   /**
    * Without a lease yet.
    *
-   * @param boot identifies this process among those of the same name
+   * @param bootId identifies this process among those of the same name
    */
-  LeaderClaim(KeyValueStore store, String self, String boot) {
+  LeaderClaim(KeyValueStore store, String self, String bootId) {
     this.store = store;
     this.self = self;
-    this.boot = boot;
+    this.bootId = bootId;
   }
 
   /** Opens the lease; its time counts from now. */
   void openLease(long nowMicros, ResultHandler<LeaseResult> handler) {
     store.grantLease(
         LeaderAuthority.LEASE_TTL_MICROS / MICROS_PER_MS,
-        TIMEOUT_MICROS,
+        REQUEST_TIMEOUT_MICROS,
         (now, result) -> {
           if (result instanceof LeaseGrant grant) {
             leaseId = grant.leaseId();
-            leaseSentAt = nowMicros;
+            leaseRequestedAt = nowMicros;
           }
           handler.onResult(now, result);
         });
@@ -52,9 +52,9 @@
   void writeKey(ResultHandler<TransactionResult> handler) {
     store.commit(
         List.of(Precondition.absent(Keys.LEADER)),
-        List.of(Mutation.put(Keys.LEADER, new LeaderRecord(self, boot).encode())),
+        List.of(Mutation.put(Keys.LEADER, new LeaderRecord(self, bootId).encode())),
         leaseId,
-        TIMEOUT_MICROS,
+        REQUEST_TIMEOUT_MICROS,
         handler);
   }
 
@@ -69,12 +69,12 @@
   }
 
   /** When the opening of the lease was sent. */
-  long leaseSentAt() {
-    return leaseSentAt;
+  long leaseRequestedAt() {
+    return leaseRequestedAt;
   }
 
   /** The lease is revoked by other means. */
-  void forget(long endedLeaseId) {
+  void clearLease(long endedLeaseId) {
     if (hasLease(endedLeaseId)) {
       leaseId = 0;
     }
--- a/src/main/java/org/dewreach/leadership/LeaderKeyReader.java
+++ b/src/main/java/org/dewreach/leadership/LeaderKeyReader.java
@@ -24,7 +24,7 @@
   private boolean readInFlight;
   private boolean watchInFlight;
   private long nextReadAt;
-  private long lastContact = -1;
+  private long lastStoreResponseAt = -1;
 
   /**
    * Nothing read yet.
@@ -45,13 +45,13 @@
   }
 
   /** When the key-value store last answered this node, or -1. */
-  long lastContact() {
-    return lastContact;
+  long lastStoreResponseAt() {
+    return lastStoreResponseAt;
   }
 
   /** The key-value store answered another request of the election. */
-  void recordContact(long nowMicros) {
-    lastContact = nowMicros;
+  void recordStoreResponse(long nowMicros) {
+    lastStoreResponseAt = nowMicros;
   }
 
   /** True if nothing is in flight and no pause runs. */
@@ -72,7 +72,7 @@
         (now, result) -> {
           readInFlight = false;
           if (!(result instanceof RequestFailure)) {
-            lastContact = now;
+            lastStoreResponseAt = now;
           }
           onRead.onResult(now, result);
         });
@@ -93,7 +93,7 @@
         (now, result) -> {
           watchInFlight = false;
           if (result instanceof WatchBatch) {
-            lastContact = now;
+            lastStoreResponseAt = now;
           }
           nextReadAt = now + pauseAfter(result);
           if (!following.getAsBoolean()) {
--- a/src/main/java/org/dewreach/leadership/LeaderRecord.java
+++ b/src/main/java/org/dewreach/leadership/LeaderRecord.java
@@ -8,15 +8,15 @@
  * Value of the leader key.
  *
  * @param name the controller that leads
- * @param boot identifies its process among those of the same name
+ * @param bootId identifies its process among those of the same name
  */
-record LeaderRecord(String name, String boot) {
+record LeaderRecord(String name, String bootId) {
   private static final String NAME = "name";
   private static final String BOOT = "boot";
 
   /** The value to store. */
   ObjectNode encode() {
-    return Codec.map().put(NAME, name).put(BOOT, boot);
+    return Codec.map().put(NAME, name).put(BOOT, bootId);
   }
 
   /** Decodes a stored value; a field that is missing is empty. */
--- a/src/main/java/org/dewreach/leadership/LeaseDelegations.java
+++ b/src/main/java/org/dewreach/leadership/LeaseDelegations.java
@@ -13,7 +13,7 @@
  *
  * <p>A delegate renews leases, so a lease counts as expired only if it would be had every node of
  * the machine's zone renewed it for as long as it may. A node may from {@link
- * DelegateRenewer#OUT_OF_CONTACT_MICROS} after its last response from a leader until the end of
+ * DelegateRenewer#ISOLATION_TIMEOUT_MICROS} after its last response from a leader until the end of
  * what that response delegated. Each request repeats the mark of the last response that arrived,
  * which proves that the node was in contact then, and says when it last renewed leases as a
  * delegate. Of a node that a new leader has not heard, it assumes the most that an earlier leader
@@ -21,24 +21,24 @@
  */
 public final class LeaseDelegations {
   /** What is known of another controller. */
-  private static final class Node {
+  private static final class PeerState {
     final String zone;
-    boolean heard;
-    long inContactAt;
+    boolean contactProven;
+    long lastContactAt;
     long renewedAt = Long.MIN_VALUE;
     long delegatedUntil = Long.MIN_VALUE;
 
-    Node(String zone) {
+    PeerState(String zone) {
       this.zone = zone;
     }
   }
 
-  private static final long OUT_OF_CONTACT_MICROS =
-      DelegateRenewer.OUT_OF_CONTACT_MICROS
-          - ClockDrift.within(DelegateRenewer.OUT_OF_CONTACT_MICROS)
+  private static final long COUNTED_ISOLATION_TIMEOUT_MICROS =
+      DelegateRenewer.ISOLATION_TIMEOUT_MICROS
+          - ClockDrift.maxOver(DelegateRenewer.ISOLATION_TIMEOUT_MICROS)
           - 20_000;
 
-  private final Map<String, Node> nodes = new HashMap<>();
+  private final Map<String, PeerState> peers = new HashMap<>();
   private final long term;
   private final long maxDelegatedMicros;
   private final String ownZone;
@@ -58,7 +58,7 @@
     this.maxDelegatedMicros = settings.workers().maxDelegationMicros();
     this.ownZone = settings.zone();
     for (Settings.Member member : settings.members()) {
-      nodes.put(member.name(), new Node(member.zone()));
+      peers.put(member.name(), new PeerState(member.zone()));
     }
   }
 
@@ -71,7 +71,7 @@
 
   /** The zone of a controller, or null if none has the name. */
   public String zoneOf(String name) {
-    Node node = nodes.get(name);
+    PeerState node = peers.get(name);
     return node == null ? null : node.zone;
   }
 
@@ -82,13 +82,13 @@
    */
   public DelegationResponse onRequest(
       DelegationRequest request, long delegatedMicros, long nowMicros) {
-    Node node = nodes.get(request.node());
+    PeerState node = peers.get(request.node());
     if (node == null) {
       return DelegationResponse.REFUSED;
     }
     if (provesContact(request, nowMicros)) {
-      node.heard = true;
-      node.inContactAt = Math.max(node.inContactAt, request.lastResponseMark());
+      node.contactProven = true;
+      node.lastContactAt = Math.max(node.lastContactAt, request.lastResponseMark());
       node.renewedAt = Math.max(node.renewedAt, latestRenewalAt(request, nowMicros));
     }
     node.delegatedUntil = Math.max(node.delegatedUntil, nowMicros + delegatedMicros);
@@ -108,7 +108,7 @@
       // It has not since its start; an earlier process of it may have.
       since = request.uptimeMicros();
     }
-    return nowMicros - since + ClockDrift.within(since);
+    return nowMicros - since + ClockDrift.maxOver(since);
   }
 
   /** This node itself may renew its workers' leases until then, should it lose its authority. */
@@ -119,28 +119,29 @@
   /** The latest time at which any node may yet renew leases of the zone without the leader. */
   public long delegatedUntil(String zone) {
     long latest = zone.equals(ownZone) ? ownDelegationUntil : Long.MIN_VALUE;
-    for (Node node : nodes.values()) {
+    for (PeerState node : peers.values()) {
       if (node.zone.equals(zone)) {
-        latest = Math.max(latest, node.heard ? node.delegatedUntil : delegationAssumedFor(node));
+        latest =
+            Math.max(latest, node.contactProven ? node.delegatedUntil : delegationAssumedFor(node));
       }
     }
     return latest;
   }
 
-  private long delegationAssumedFor(Node node) {
+  private long delegationAssumedFor(PeerState node) {
     return Math.max(authorityFrom + maxDelegatedMicros, node.delegatedUntil);
   }
 
   /** The latest time at which a delegate may have renewed leases of the zone. */
   public long renewedUntil(String zone, long nowMicros) {
     long latest = zone.equals(ownZone) ? ownRenewalAt.getAsLong() : Long.MIN_VALUE;
-    for (Node node : nodes.values()) {
+    for (PeerState node : peers.values()) {
       if (!node.zone.equals(zone)) {
         continue;
       }
-      if (!node.heard) {
+      if (!node.contactProven) {
         latest = Math.max(latest, delegationAssumedFor(node));
-      } else if (nowMicros <= node.inContactAt + OUT_OF_CONTACT_MICROS) {
+      } else if (nowMicros <= node.lastContactAt + COUNTED_ISOLATION_TIMEOUT_MICROS) {
         latest = Math.max(latest, node.renewedAt);
       } else {
         latest = Math.max(latest, Math.max(node.renewedAt, node.delegatedUntil));
--- a/src/main/java/org/dewreach/leadership/PeerContacts.java
+++ b/src/main/java/org/dewreach/leadership/PeerReachabilityPoller.java
@@ -20,7 +20,7 @@
  * <p>A worker that its leader does not answer tries the next controller, which sends it back, and
  * so on: if only the leader is cut off from the workers, another one hears them all the time.
  */
-public final class PeerContacts {
+public final class PeerReachabilityPoller {
   /** What the other controllers have told, as far as it is recent. */
   public enum Report {
     /** Some controller has told nothing, and none hears the workers. */
@@ -32,31 +32,31 @@
   }
 
   private static final long REQUEST_INTERVAL_MICROS = 1_000_000;
-  private static final long TIMEOUT_MICROS = 900_000;
+  private static final long REQUEST_TIMEOUT_MICROS = 900_000;
 
   /** What was told longer ago does not count. */
-  private static final long REPORT_VALID_MICROS = 3_500_000;
+  private static final long RESPONSE_VALID_MICROS = 3_500_000;
 
   /** So many machines stand for all, which keeps the question small. */
   private static final int MAX_SAMPLE = 60;
 
   /** A few workers heard, of one in this many asked for, may be chance. */
-  private static final int HEARD_DIVISOR = 4;
+  private static final int MIN_HEARD_DIVISOR = 4;
 
   /** What one controller told. */
-  private record Told(long atMicros, int asked, int heard) {
-    boolean hearsThem() {
-      return heard > 0 && heard * HEARD_DIVISOR >= asked;
+  private record PeerResponse(long receivedAtMicros, int requested, int heard) {
+    boolean reachesPeer() {
+      return heard > 0 && heard * MIN_HEARD_DIVISOR >= requested;
     }
   }
 
   private final Outbox outbox;
   private final List<String> others;
-  private final Map<String, Told> toldBy = new HashMap<>();
+  private final Map<String, PeerResponse> latestResponses = new HashMap<>();
   private long nextRequestAt;
 
   /** Nothing asked yet. */
-  public PeerContacts(Outbox outbox, Settings settings) {
+  public PeerReachabilityPoller(Outbox outbox, Settings settings) {
     this.outbox = outbox;
     this.others = settings.members().stream().map(Settings.Member::name).toList();
   }
@@ -67,7 +67,7 @@
    * @param unheard the machines that this leader does not hear, listed only when they are needed
    * @param withinMicros for how long a heartbeat counts
    */
-  public void ask(Supplier<List<String>> unheard, long withinMicros, long nowMicros) {
+  public void poll(Supplier<List<String>> unheard, long withinMicros, long nowMicros) {
     if (nowMicros < nextRequestAt) {
       return;
     }
@@ -75,22 +75,24 @@
     List<String> machines = sample(unheard.get());
     if (!machines.isEmpty()) {
       ContactRequest request = new ContactRequest(machines, withinMicros);
-      others.forEach(other -> ask(other, request));
+      others.forEach(other -> poll(other, request));
     }
   }
 
-  private void ask(String other, ContactRequest request) {
+  private void poll(String other, ContactRequest request) {
     outbox.call(
         new Target.Member(other),
         ConnectionPool.LEADERSHIP,
         "POST",
         PeerMessageCodec.CONTACTS_PATH,
         PeerMessageCodec.encode(request),
-        TIMEOUT_MICROS,
+        REQUEST_TIMEOUT_MICROS,
         (now, status, body) -> {
           Optional<ContactResponse> response = PeerMessageCodec.decodeContactResponse(status, body);
           response.ifPresent(
-              told -> toldBy.put(other, new Told(now, request.machines().size(), told.heard())));
+              told ->
+                  latestResponses.put(
+                      other, new PeerResponse(now, request.machines().size(), told.heard())));
         });
   }
 
@@ -106,10 +108,12 @@
 
   /** What is known from the others now. */
   public Report report(long nowMicros) {
-    toldBy.values().removeIf(told -> told.atMicros() < nowMicros - REPORT_VALID_MICROS);
-    if (toldBy.values().stream().anyMatch(Told::hearsThem)) {
+    latestResponses
+        .values()
+        .removeIf(told -> told.receivedAtMicros() < nowMicros - RESPONSE_VALID_MICROS);
+    if (latestResponses.values().stream().anyMatch(PeerResponse::reachesPeer)) {
       return Report.HEARD_ELSEWHERE;
     }
-    return toldBy.size() < others.size() ? Report.INCOMPLETE : Report.HEARD_NOWHERE;
+    return latestResponses.size() < others.size() ? Report.INCOMPLETE : Report.HEARD_NOWHERE;
   }
 }
--- a/src/main/java/org/dewreach/membership/HandoverPolicy.java
+++ b/src/main/java/org/dewreach/membership/HandoverPolicy.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.dewreach.config.Settings;
-import org.dewreach.leadership.LeadHandovers;
-import org.dewreach.leadership.PeerContacts;
+import org.dewreach.leadership.HandoverHistory;
+import org.dewreach.leadership.PeerReachabilityPoller;
 import org.dewreach.model.Machine;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -34,15 +34,18 @@
   }
 
   private final FleetManager fleet;
-  private final PeerContacts peers;
-  private final LeadHandovers handovers;
+  private final PeerReachabilityPoller peers;
+  private final HandoverHistory handovers;
   private final Settings settings;
   private Phase phase = Phase.REACHING_WORKERS;
   private long suspectedSince;
 
   /** A policy of one term. */
   public HandoverPolicy(
-      FleetManager fleet, PeerContacts peers, LeadHandovers handovers, Settings settings) {
+      FleetManager fleet,
+      PeerReachabilityPoller peers,
+      HandoverHistory handovers,
+      Settings settings) {
     this.fleet = fleet;
     this.peers = peers;
     this.handovers = handovers;
@@ -57,9 +60,9 @@
       return false;
     }
     if (suspect) {
-      peers.ask(() -> unheard(health), contactMicros(), nowMicros);
+      peers.poll(() -> unheard(health), contactMicros(), nowMicros);
     }
-    PeerContacts.Report report = peers.report(nowMicros);
+    PeerReachabilityPoller.Report report = peers.report(nowMicros);
     if (phase == Phase.REACHING_WORKERS) {
       suspectedSince = nowMicros;
     }
@@ -67,20 +70,21 @@
     return phase == Phase.GIVING_UP_LEAD;
   }
 
-  private Phase nextPhase(FleetHealth health, PeerContacts.Report report, long nowMicros) {
+  private Phase nextPhase(
+      FleetHealth health, PeerReachabilityPoller.Report report, long nowMicros) {
     if (!health.nearlyAllUnreachableOrLost()) {
       return Phase.REACHING_WORKERS;
     }
     if (!health.nearlyAllUnreachable()) {
       // Their leases are over: only what another one hears speaks for handing over now.
-      return report == PeerContacts.Report.HEARD_ELSEWHERE
+      return report == PeerReachabilityPoller.Report.HEARD_ELSEWHERE
           ? Phase.GIVING_UP_LEAD
           : Phase.LEADING_ON;
     }
     if (!fleet.partitionedFromWorkers()) {
       return phase == Phase.LEADING_ON ? phase : Phase.SUSPECTING_PARTITION;
     }
-    if (report == PeerContacts.Report.HEARD_ELSEWHERE) {
+    if (report == PeerReachabilityPoller.Report.HEARD_ELSEWHERE) {
       return Phase.GIVING_UP_LEAD;
     }
     return heardNowhere(health, report, nowMicros) || handovers.recentlyHandedOver(nowMicros)
@@ -93,13 +97,14 @@
    *
    * <p>Workers that are heard here and take no answers are heard elsewhere too: that tells nothing.
    */
-  private boolean heardNowhere(FleetHealth health, PeerContacts.Report report, long nowMicros) {
-    return report == PeerContacts.Report.HEARD_NOWHERE
+  private boolean heardNowhere(
+      FleetHealth health, PeerReachabilityPoller.Report report, long nowMicros) {
+    return report == PeerReachabilityPoller.Report.HEARD_NOWHERE
         && !health.mostlyMissesReplies()
         && nowMicros - suspectedSince >= WorkerTiming.NODE_RETRY_MICROS;
   }
 
-  private void become(Phase next, FleetHealth health, PeerContacts.Report report) {
+  private void become(Phase next, FleetHealth health, PeerReachabilityPoller.Report report) {
     if (next != phase) {
       LOG.info(
           "worker reachability changed: from={} to={} reachable={} overdue={} misses_replies={}"
--- a/src/main/java/org/dewreach/request/LeaderDiscovery.java
+++ b/src/main/java/org/dewreach/request/LeaderDiscovery.java
@@ -67,9 +67,9 @@
   }
 
   private boolean stateServiceSilent(long nowMicros) {
-    return election.lastContact() < 0
+    return election.lastStoreResponseAt() < 0
         ? nowMicros - startedAt > STARTED_ALONE_MICROS
-        : nowMicros - election.lastContact() > STATE_SILENT_MICROS;
+        : nowMicros - election.lastStoreResponseAt() > STATE_SILENT_MICROS;
   }
 
   private void onReply(KnownLeader known, long nowMicros) {
--- a/src/test/java/org/dewreach/autoscaling/ScaleOutExecutorTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScaleOutExecutorTest.java
@@ -27,7 +27,7 @@
 /** What becomes of rental requests: {@link ScaleOutExecutor}. */
 class ScaleOutExecutorTest {
   private static final long S = 1_000_000;
-  private static final Settings SETTINGS = SettingsFixture.oneNode();
+  private static final Settings SETTINGS = SettingsFixture.oneController();
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
 
   private final CloudFixture cloud = new CloudFixture(TYPE);
--- a/src/test/java/org/dewreach/controller/LeadershipTermTest.java
+++ b/src/test/java/org/dewreach/controller/LeadershipTermTest.java
@@ -19,10 +19,11 @@
 class LeadershipTermTest {
   private static final long S = 1_000_000;
   private static final long LEASE = 10 * S;
-  private static final Settings SETTINGS = SettingsFixture.twoNodes(LEASE);
+  private static final Settings SETTINGS = SettingsFixture.twoControllers(LEASE);
 
   private final Outbox outbox = new Outbox();
-  private final NodeServices services = NodeServices.create(SETTINGS, Tuning.DEFAULT, outbox, 0);
+  private final ControllerServices services =
+      ControllerServices.create(SETTINGS, Tuning.DEFAULT, outbox, 0);
   private long authorityFrom;
   private boolean answersReads = true;
   private final LeadershipTerm term = new LeadershipTerm(90, services, new Control(), 0);
@@ -40,7 +41,7 @@
     }
 
     @Override
-    public void resignUnreachable() {
+    public void handOverLeadership() {
       // The term goes on.
     }
 
@@ -90,7 +91,7 @@
     return answer;
   }
 
-  private void play(long fromMicros, long untilMicros) {
+  private void runTicks(long fromMicros, long untilMicros) {
     for (long at = fromMicros; at < untilMicros; at += 100_000) {
       tick(at);
     }
@@ -103,20 +104,20 @@
   @Test
   void leasesOfEarlierTermsAreCountedFromWhenTheLeaderMayAct() {
     authorityFrom = 3 * S;
-    play(0, 2 * S);
+    runTicks(0, 2 * S);
     assertEquals(LeadershipTerm.Phase.RECOVERING, term.stats().phase());
-    play(2 * S, 3 * S + LEASE);
+    runTicks(2 * S, 3 * S + LEASE);
     assertEquals(
         LeadershipTerm.Phase.RECOVERING,
         term.stats().phase(),
         "answered at 3 s, it runs tasks until 13 s");
-    play(3 * S + LEASE, 5 * S + LEASE);
+    runTicks(3 * S + LEASE, 5 * S + LEASE);
     assertEquals(LeadershipTerm.Phase.ACTIVE, term.stats().phase());
   }
 
   /** Guards against leases renewed by a leader that does not know what was cancelled. */
   @Test
-  void noWorkerIsAnsweredBeforeTheStateIsLoaded() {
+  void heartbeatsAreRejectedBeforeTheStateIsLoaded() {
     answersReads = false;
     tick(S);
     Heartbeat report = new Heartbeat("m1", "x:1", "box", "a", false, 1, 5, 60, -1, List.of());
--- a/src/test/java/org/dewreach/controller/SettingsFixture.java
+++ b/src/test/java/org/dewreach/controller/SettingsFixture.java
@@ -12,12 +12,12 @@
   private SettingsFixture() {}
 
   /** Node n0 in zone a, alone. */
-  public static Settings oneNode() {
+  public static Settings oneController() {
     return settings(List.of(), List.of("a"), 10 * S);
   }
 
   /** Node n0 in zone a, with n2 in zone b. */
-  public static Settings twoNodes(long leaseMicros) {
+  public static Settings twoControllers(long leaseMicros) {
     return settings(List.of(new Settings.Member("n2", "b", ANY)), List.of("a", "b"), leaseMicros);
   }
 
--- a/src/test/java/org/dewreach/controller/StatsCodecTest.java
+++ b/src/test/java/org/dewreach/controller/StatsCodecTest.java
@@ -21,17 +21,17 @@
           + "\"shed\":0,\"p50_us\":0,\"p99_us\":0,\"max_us\":0},"
           + "\"retries\":{\"load_limit\":9,\"end_in_doubt\":1},";
 
-  private static NodeStats stats(String leader, ElectionState election, TermStats termStats) {
+  private static ControllerStats stats(String leader, ElectionState election, TermStats termStats) {
     Map<RetryReason, Long> retries = new EnumMap<>(RetryReason.class);
     retries.put(RetryReason.END_IN_DOUBT, 1L);
     retries.put(RetryReason.LOAD_LIMIT, 9L);
     UserRequestStats requests = new UserRequestStats(CHANGES, QUERIES, retries);
     long term = termStats == null ? 0 : 12;
-    return new NodeStats("n0", leader, election, term, 3, requests, 40, 41, termStats);
+    return new ControllerStats("n0", leader, election, term, 3, requests, 40, 41, termStats);
   }
 
   @Test
-  void aLeaderTellsOfItsTerm() {
+  void aLeaderReportsItsTerm() {
     TermStats termStats = new TermStats(LeadershipTerm.Phase.RECOVERING, 1, 2, 3, 4, 5);
     assertEquals(
         "{\"node\":\"n0\",\"leader\":\"n0\",\"election\":\"LEADING\",\"term\":12,\"open_calls\":3,"
--- a/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
+++ b/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void aNodeThatReachesTheKeyValueStoreRenewsNoLease() throws MalformedException {
+  void aControllerThatReachesTheKeyValueStoreRenewsNoLease() throws MalformedException {
     requestDelegation(100 * S, true);
     delegateRenewer.tick("n0", 102 * S);
     for (Effect effect : outbox.drain()) {
--- a/src/test/java/org/dewreach/leadership/FollowerGrantsTest.java
+++ b/src/test/java/org/dewreach/leadership/FollowerGrantsTest.java
@@ -15,15 +15,15 @@
     FollowerGrants followerGrants = new FollowerGrants(0);
     assertTrue(followerGrants.grant(5, 10 * S));
     assertFalse(followerGrants.admitTerm(9, 10 * S + 1));
-    assertTrue(followerGrants.admitTerm(9, 10 * S + FollowerGrants.GRANT_MICROS));
+    assertTrue(followerGrants.admitTerm(9, 10 * S + FollowerGrants.GRANT_DURATION_MICROS));
     assertFalse(followerGrants.grant(5, 20 * S), "a later term acts");
   }
 
   @Test
-  void aRestartedNodeWaitsUntilItsForgottenGrantsAreOver() {
+  void aRestartedControllerWaitsUntilItsEarlierGrantsHaveExpired() {
     FollowerGrants followerGrants = new FollowerGrants(10 * S);
-    assertFalse(followerGrants.grant(5, 10 * S + FollowerGrants.GRANT_MICROS));
-    assertFalse(followerGrants.admitTerm(9, 10 * S + FollowerGrants.GRANT_MICROS));
+    assertFalse(followerGrants.grant(5, 10 * S + FollowerGrants.GRANT_DURATION_MICROS));
+    assertFalse(followerGrants.admitTerm(9, 10 * S + FollowerGrants.GRANT_DURATION_MICROS));
     assertTrue(followerGrants.admitTerm(9, 12 * S));
   }
 
@@ -59,7 +59,7 @@
           default -> {
             // The earlier leader asks only while it acts, or at first.
             if ((now < 2 * S || earlierActs) && nodes[node].grant(10, now)) {
-              grantedUntil[node] = now + FollowerGrants.COUNTED_GRANT_MICROS;
+              grantedUntil[node] = now + FollowerGrants.COUNTED_GRANT_DURATION_MICROS;
             }
           }
         }
--- /dev/null
+++ b/src/test/java/org/dewreach/leadership/LastHeartbeatTimesTest.java
@@ -0,0 +1,32 @@
+package org.dewreach.leadership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** When workers were last heard, whoever leads: {@link LastHeartbeatTimes}. */
+class LastHeartbeatTimesTest {
+  private static final long S = 1_000_000;
+
+  private final LastHeartbeatTimes heartbeats = new LastHeartbeatTimes();
+
+  @Test
+  void countsOnlyRequestedMachinesWithARecentHeartbeat() {
+    heartbeats.recordHeartbeat("m1", 10 * S);
+    heartbeats.recordHeartbeat("m2", 12 * S);
+    heartbeats.recordHeartbeat("m3", 12 * S);
+    assertEquals(1, heartbeats.countSeenSince(List.of("m1", "m2", "m4"), 11 * S));
+    heartbeats.recordHeartbeat("m1", 13 * S);
+    assertEquals(2, heartbeats.countSeenSince(List.of("m1", "m2", "m4"), 12 * S));
+  }
+
+  @Test
+  void oldHeartbeatsAreDropped() {
+    heartbeats.recordHeartbeat("m1", S);
+    heartbeats.recordHeartbeat("m2", 2 * S);
+    heartbeats.recordHeartbeat("m1", 3 * S);
+    heartbeats.recordHeartbeat("m3", 62_500_000);
+    assertEquals(2, heartbeats.countSeenSince(List.of("m1", "m2", "m3"), 0));
+  }
+}
--- a/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
+++ b/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aNodeNotHeardOfMayRenewForAsLongAsAnEarlierLeaderCanHaveDelegated() {
+  void aControllerWithoutProvenContactMayRenewForTheLongestEarlierDelegation() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
     assertEquals(100 * S + WORKERS.maxDelegationMicros(), delegations.renewedUntil("b", 105 * S));
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void aNodeInContactRenewsNoLease() {
+  void aControllerInContactRenewsNoLease() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
     long mark = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).mark();
@@ -74,7 +74,7 @@
    * delegate.
    */
   @Test
-  void aRestartedNodeMayHaveRenewedBefore() {
+  void aRestartedControllerMayHaveRenewedBefore() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
     long mark = delegations.onRequest(request(-1, -1, S), 0, 110 * S).mark();
--- a/src/test/java/org/dewreach/membership/CloudReconcilerTest.java
+++ b/src/test/java/org/dewreach/membership/CloudReconcilerTest.java
@@ -26,7 +26,7 @@
 /** What follows from the cloud's list of machines: {@link CloudReconciler}. */
 class CloudReconcilerTest {
   private static final long S = 1_000_000;
-  private static final Settings SETTINGS = SettingsFixture.oneNode();
+  private static final Settings SETTINGS = SettingsFixture.oneController();
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
 
   private final CloudFixture cloud = new CloudFixture(TYPE);
--- a/src/test/java/org/dewreach/membership/FailureDetectorTest.java
+++ b/src/test/java/org/dewreach/membership/FailureDetectorTest.java
@@ -21,7 +21,7 @@
   private static final long S = 1_000_000;
 
   /** Heartbeats come each second, leases last 10 s. */
-  private static final Settings SETTINGS = SettingsFixture.twoNodes(10 * S);
+  private static final Settings SETTINGS = SettingsFixture.twoControllers(10 * S);
 
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
 
--- a/src/test/java/org/dewreach/membership/FleetManagerTest.java
+++ b/src/test/java/org/dewreach/membership/FleetManagerTest.java
@@ -25,7 +25,7 @@
 class FleetManagerTest {
   private static final long S = 1_000_000;
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
-  private static final Settings SETTINGS = SettingsFixture.twoNodes(10 * S);
+  private static final Settings SETTINGS = SettingsFixture.twoControllers(10 * S);
 
   private final Outbox outbox = new Outbox();
   private final CloudClient cloud = new CloudClient(outbox, 100);
--- a/src/test/java/org/dewreach/membership/HandoverPolicyTest.java
+++ b/src/test/java/org/dewreach/membership/HandoverPolicyTest.java
@@ -8,9 +8,9 @@
 import org.dewreach.config.Settings;
 import org.dewreach.config.Tuning;
 import org.dewreach.controller.SettingsFixture;
-import org.dewreach.leadership.LeadHandovers;
+import org.dewreach.leadership.HandoverHistory;
 import org.dewreach.leadership.LeaseDelegations;
-import org.dewreach.leadership.PeerContacts;
+import org.dewreach.leadership.PeerReachabilityPoller;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
 import org.dewreach.peer.ContactResponse;
@@ -33,12 +33,12 @@
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
 
   /** Heartbeats come each second, leases last 40 s; there is one other controller. */
-  private static final Settings SETTINGS = SettingsFixture.twoNodes(40 * S);
+  private static final Settings SETTINGS = SettingsFixture.twoControllers(40 * S);
 
   private final Outbox outbox = new Outbox();
   private final CloudClient cloud = new CloudClient(outbox, 100);
   private final ClusterFixture cluster = new ClusterFixture(SETTINGS.teams());
-  private final LeadHandovers handovers = new LeadHandovers();
+  private final HandoverHistory handovers = new HandoverHistory();
   private final FleetManager fleet =
       new FleetManager(
           ClusterFixture.TERM,
@@ -52,7 +52,7 @@
           0,
           0);
   private final HandoverPolicy policy =
-      new HandoverPolicy(fleet, new PeerContacts(outbox, SETTINGS), handovers, SETTINGS);
+      new HandoverPolicy(fleet, new PeerReachabilityPoller(outbox, SETTINGS), handovers, SETTINGS);
 
   /** How many of the machines the other controller says it hears; it is silent if negative. */
   private int heardByOther = -1;
--- a/src/test/java/org/dewreach/membership/MachineHealthMonitorTest.java
+++ b/src/test/java/org/dewreach/membership/MachineHealthMonitorTest.java
@@ -24,7 +24,7 @@
   private static final long S = 1_000_000;
 
   /** Heartbeats come each second, leases last 10 s. */
-  private static final Settings SETTINGS = SettingsFixture.oneNode();
+  private static final Settings SETTINGS = SettingsFixture.oneController();
 
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
 
--- a/src/test/java/org/dewreach/membership/StalledRecoveryTest.java
+++ b/src/test/java/org/dewreach/membership/StalledRecoveryTest.java
@@ -29,7 +29,7 @@
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
 
   /** Heartbeats come each second, leases last 10 s: a machine is silent after 4.5 s. */
-  private static final Settings SETTINGS = SettingsFixture.twoNodes(10 * S);
+  private static final Settings SETTINGS = SettingsFixture.twoControllers(10 * S);
 
   private final KeyValueStoreFixture fixture = new KeyValueStoreFixture();
   private final ClusterFixture cluster = new ClusterFixture(SETTINGS.teams());
--- a/src/test/java/org/dewreach/request/LeaderForwarderTest.java
+++ b/src/test/java/org/dewreach/request/LeaderForwarderTest.java
@@ -31,7 +31,7 @@
 /** What a follower does with the leader's replies to forwarded requests. */
 class LeaderForwarderTest {
   private static final long S = 1_000_000;
-  private static final Settings SETTINGS = SettingsFixture.oneNode();
+  private static final Settings SETTINGS = SettingsFixture.oneController();
   private static final UserRequest QUERY = new UserRequest.Query("req-1");
   private static final UserRequest CANCEL = new UserRequest.Cancel("req-1");
   private static final UserRequest SUBMIT =
--- a/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
+++ b/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
@@ -33,7 +33,7 @@
 /** Jobs that are accepted while the leader is reading what else there is. */
 class LeaderlessJobImporterTest {
   private static final long S = 1_000_000;
-  private static final Settings SETTINGS = SettingsFixture.oneNode();
+  private static final Settings SETTINGS = SettingsFixture.oneController();
 
   private final KeyValueStoreFixture fixture = new KeyValueStoreFixture();
   private final KeyValueStore store = fixture.store();
