--- a/src/main/java/org/dewreach/controller/PeerRequestRouter.java
+++ b/src/main/java/org/dewreach/controller/PeerRequestRouter.java
@@ -95,7 +95,8 @@
 
   private void onContactRequest(long requestId, ContactRequest request) {
     int heard =
-        workerContacts.countHeardSince(request.machines(), clock.now() - request.withinMicros());
+        workerContacts.countHeardSince(
+            request.machines(), clock.now() - request.maxHeartbeatAgeMicros());
     outbox.respond(requestId, HttpStatus.OK, PeerMessageCodec.encode(new ContactResponse(heard)));
   }
 
--- a/src/main/java/org/dewreach/controller/StatsCodec.java
+++ b/src/main/java/org/dewreach/controller/StatsCodec.java
@@ -36,7 +36,7 @@
   private static void putConcurrency(ObjectNode map, ConcurrencyStats stats) {
     map.put("in_progress", stats.inProgress()).put("limit", stats.limit());
     map.put("answered", stats.answered());
-    map.put("turned_away", stats.turnedAway()).put("shed", stats.shed());
+    map.put("turned_away", stats.toldToRetry()).put("shed", stats.shed());
     map.put("p50_us", stats.p50Micros());
     map.put("p99_us", stats.p99Micros());
     map.put("max_us", stats.maxMicros());
--- a/src/main/java/org/dewreach/controller/UserRequestRouter.java
+++ b/src/main/java/org/dewreach/controller/UserRequestRouter.java
@@ -58,7 +58,7 @@
 
   /** True if the known leader did not take a request lately. */
   boolean doubtsLeader() {
-    return forwarder.doubtsLeader(clock.now());
+    return forwarder.suspectsLeader(clock.now());
   }
 
   /** Handles a request that a user sent to this node. */
@@ -86,7 +86,7 @@
       respondFinalState(request, finalState, limits.admit(request, responder));
       return;
     }
-    if (limits.sheds(request)) {
+    if (limits.shedIfAtLimit(request)) {
       responder.respond(UserResponse.unavailable(ConcurrencyLimiter.BUSY_RETRY_S));
       return;
     }
@@ -116,7 +116,7 @@
       return;
     }
     String leader = leadership.otherLeader();
-    if (leader == null || forwarder.isPausedFor(request, clock.now())) {
+    if (leader == null || forwarder.isForwardingPausedFor(request, clock.now())) {
       leaderlessHandler.handle(request, responder);
       return;
     }
@@ -143,7 +143,7 @@
       respondFinalState(request, finalState, responder);
     } else if (!valid || !leadership.canServe()) {
       reply.accept(new ForwardedReply.NotLeading());
-    } else if (limits.sheds(request)) {
+    } else if (limits.shedIfAtLimit(request)) {
       reply.accept(new ForwardedReply.Busy());
     } else {
       handleAsLeader(request, limits.admit(request, responder));
--- a/src/main/java/org/dewreach/history/FinalStateWatcher.java
+++ b/src/main/java/org/dewreach/history/FinalStateWatcher.java
@@ -24,15 +24,15 @@
   /** About 50 KiB a page. */
   private static final int PAGE_SIZE = 500;
 
-  private static final long WATCH_MS = 10_000;
+  private static final long MAX_WATCH_WAIT_MS = 10_000;
 
   /**
    * Pause between two requests: at most two of them a second from each controller. A default of
    * this project.
    */
-  private static final long PAUSE_MICROS = 500_000;
+  private static final long REQUEST_PAUSE_MICROS = 500_000;
 
-  private static final long RETRY_MICROS = 1_000_000;
+  private static final long RETRY_DELAY_MICROS = 1_000_000;
 
   private enum Phase {
     /** The next page is to be read. */
@@ -48,7 +48,7 @@
   private final KeyValueStore store;
   private final FinalStates finalStates;
   private Phase phase = Phase.READ_DUE;
-  private long nextRequestAt;
+  private long nextRequestAtMicros;
   private String lastKey;
   private long revision = -1;
 
@@ -58,24 +58,24 @@
     this.finalStates = finalStates;
   }
 
-  private void become(Phase next, long notBefore) {
+  private void schedule(Phase next, long notBefore) {
     phase = next;
-    nextRequestAt = notBefore;
+    nextRequestAtMicros = notBefore;
   }
 
   /** Sends the next request if it is time. */
   public void tick(long nowMicros) {
-    if (nowMicros < nextRequestAt) {
+    if (nowMicros < nextRequestAtMicros) {
       return;
     }
     switch (phase) {
       case READ_DUE -> {
-        become(Phase.READING, nowMicros);
+        schedule(Phase.READING, nowMicros);
         store.range(Keys.FINAL_STATES, lastKey, PAGE_SIZE, this::onPage);
       }
       case WATCH_DUE -> {
-        become(Phase.WATCHING, nowMicros);
-        store.watch(Keys.FINAL_STATES, revision, WATCH_MS, this::onChanges);
+        schedule(Phase.WATCHING, nowMicros);
+        store.watch(Keys.FINAL_STATES, revision, MAX_WATCH_WAIT_MS, this::onChanges);
       }
       case READING, WATCHING -> {
         // a request is in flight
@@ -90,7 +90,7 @@
 
   private void onPage(long nowMicros, RangeResult result) {
     if (!(result instanceof RangePage page)) {
-      become(Phase.READ_DUE, nowMicros + RETRY_MICROS);
+      schedule(Phase.READ_DUE, nowMicros + RETRY_DELAY_MICROS);
       return;
     }
     if (lastKey == null) {
@@ -104,10 +104,10 @@
       }
     }
     if (page.more() && !finalStates.full()) {
-      become(Phase.READ_DUE, nowMicros + PAUSE_MICROS);
+      schedule(Phase.READ_DUE, nowMicros + REQUEST_PAUSE_MICROS);
     } else {
       LOG.info("final states listed: known={} revision={}", finalStates.size(), revision);
-      become(Phase.WATCH_DUE, nowMicros);
+      schedule(Phase.WATCH_DUE, nowMicros);
     }
   }
 
@@ -115,11 +115,11 @@
     if (result instanceof WatchResult.Compacted) {
       LOG.info("watch of final states compacted, listing anew: revision={}", revision);
       lastKey = null;
-      become(Phase.READ_DUE, nowMicros);
+      schedule(Phase.READ_DUE, nowMicros);
       return;
     }
     if (!(result instanceof WatchBatch batch)) {
-      become(Phase.WATCH_DUE, nowMicros + RETRY_MICROS);
+      schedule(Phase.WATCH_DUE, nowMicros + RETRY_DELAY_MICROS);
       return;
     }
     for (KeyValue entry : batch.puts()) {
@@ -129,7 +129,7 @@
       }
     }
     revision = batch.storeRevision();
-    become(Phase.WATCH_DUE, nowMicros + PAUSE_MICROS);
+    schedule(Phase.WATCH_DUE, nowMicros + REQUEST_PAUSE_MICROS);
   }
 
   private static String jobId(KeyValue entry) {
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -142,7 +142,7 @@
     // Counted from the sending, which was before the leader counted, and less drift.
     long delegatedMicros = response.delegatedMicros();
     delegatedUntil = sentAt + delegatedMicros - ClockDrift.within(delegatedMicros);
-    lastResponseMark = response.mark();
+    lastResponseMark = response.timestampMicros();
     lastResponder = leader;
     recordContact(false, nowMicros);
   }
--- a/src/main/java/org/dewreach/leadership/LeaseDelegations.java
+++ b/src/main/java/org/dewreach/leadership/LeaseDelegations.java
@@ -14,9 +14,9 @@
  * <p>A delegate renews leases, so a lease counts as expired only if it would be had every node of
  * the machine's zone renewed it for as long as it may. A node may from {@link
  * DelegateRenewer#OUT_OF_CONTACT_MICROS} after its last response from a leader until the end of
- * what that response delegated. Each request repeats the mark of the last response that arrived,
- * which proves that the node was in contact then, and says when it last renewed leases as a
- * delegate. Of a node that a new leader has not heard, it assumes the most that an earlier leader
+ * what that response delegated. Each request repeats the timestamp of the last response that
+ * arrived, which proves that the node was in contact then, and says when it last renewed leases as
+ * a delegate. Of a node that a new leader has not heard, it assumes the most that an earlier leader
  * can have delegated until the new one could act.
  */
 public final class LeaseDelegations {
@@ -88,16 +88,16 @@
     }
     if (provesContact(request, nowMicros)) {
       node.heard = true;
-      node.inContactAt = Math.max(node.inContactAt, request.lastResponseMark());
+      node.inContactAt = Math.max(node.inContactAt, request.echoedTimestampMicros());
       node.renewedAt = Math.max(node.renewedAt, latestRenewalAt(request, nowMicros));
     }
     node.delegatedUntil = Math.max(node.delegatedUntil, nowMicros + delegatedMicros);
     return new DelegationResponse(term, delegatedMicros, nowMicros);
   }
 
-  /** True if the request repeats the mark of a response of this term. */
+  /** True if the request repeats the timestamp of a response of this term. */
   private boolean provesContact(DelegationRequest request, long nowMicros) {
-    long mark = request.lastResponseMark();
+    long mark = request.echoedTimestampMicros();
     return authorityFrom >= 0 && mark >= authorityFrom && mark <= nowMicros;
   }
 
--- a/src/main/java/org/dewreach/leadership/PeerContacts.java
+++ b/src/main/java/org/dewreach/leadership/PeerContacts.java
@@ -90,7 +90,9 @@
         (now, status, body) -> {
           Optional<ContactResponse> response = PeerMessageCodec.decodeContactResponse(status, body);
           response.ifPresent(
-              told -> toldBy.put(other, new Told(now, request.machines().size(), told.heard())));
+              told ->
+                  toldBy.put(
+                      other, new Told(now, request.machines().size(), told.reachableMachines())));
         });
   }
 
--- a/src/main/java/org/dewreach/peer/ContactRequest.java
+++ b/src/main/java/org/dewreach/peer/ContactRequest.java
@@ -6,6 +6,6 @@
  * A leader that hears hardly any worker asks another controller which of them it hears.
  *
  * @param machines some of the machines that the leader does not hear
- * @param withinMicros for how long a heartbeat counts
+ * @param maxHeartbeatAgeMicros the age up to which a heartbeat counts
  */
-public record ContactRequest(List<String> machines, long withinMicros) {}
+public record ContactRequest(List<String> machines, long maxHeartbeatAgeMicros) {}
--- a/src/main/java/org/dewreach/peer/ContactResponse.java
+++ b/src/main/java/org/dewreach/peer/ContactResponse.java
@@ -3,6 +3,7 @@
 /**
  * The answer to a {@link ContactRequest}.
  *
- * @param heard how many of the machines sent the answering controller a heartbeat in that time
+ * @param reachableMachines how many of the machines sent the answering controller a heartbeat in
+ *     that time
  */
-public record ContactResponse(int heard) {}
+public record ContactResponse(int reachableMachines) {}
--- a/src/main/java/org/dewreach/peer/DelegationRequest.java
+++ b/src/main/java/org/dewreach/peer/DelegationRequest.java
@@ -7,11 +7,11 @@
  * @param node the follower's name
  * @param uptimeMicros for how long its process has run
  * @param sinceRenewalMicros time since it last renewed a lease as a delegate, or {@link #NONE}
- * @param lastResponseMark the mark of the last response that it received from this leader, or
- *     {@link #NONE}: proof that it was in contact when that response was sent
+ * @param echoedTimestampMicros the timestamp of the last response that it received from this
+ *     leader, or {@link #NONE}: proof that it was in contact when that response was sent
  */
 public record DelegationRequest(
-    String node, long uptimeMicros, long sinceRenewalMicros, long lastResponseMark) {
+    String node, long uptimeMicros, long sinceRenewalMicros, long echoedTimestampMicros) {
   /** No renewal, or no response, so far. */
   public static final long NONE = -1;
 }
--- a/src/main/java/org/dewreach/peer/PeerMessageCodec.java
+++ b/src/main/java/org/dewreach/peer/PeerMessageCodec.java
@@ -133,7 +133,7 @@
         .put("node", request.node())
         .put("up", request.uptimeMicros())
         .put("answered_ago", request.sinceRenewalMicros())
-        .put("echo", request.lastResponseMark());
+        .put("echo", request.echoedTimestampMicros());
   }
 
   /** Decodes a request for a delegation. */
@@ -150,7 +150,7 @@
     ObjectNode map = Codec.map().put("term", response.term());
     return response.term() == 0
         ? map
-        : map.put("lent", response.delegatedMicros()).put("at", response.mark());
+        : map.put("lent", response.delegatedMicros()).put("at", response.timestampMicros());
   }
 
   /** Decodes the response to a request for a delegation; missing numbers are 0. */
@@ -161,7 +161,7 @@
 
   /** Encodes a question for the workers that another controller hears. */
   public static ObjectNode encode(ContactRequest request) {
-    ObjectNode map = Codec.map().put("within", request.withinMicros());
+    ObjectNode map = Codec.map().put("within", request.maxHeartbeatAgeMicros());
     ArrayNode hosts = map.putArray("hosts");
     request.machines().forEach(hosts::add);
     return map;
@@ -176,7 +176,7 @@
 
   /** Encodes how many of the workers this controller hears. */
   public static ObjectNode encode(ContactResponse response) {
-    return Codec.map().put("heard", response.heard());
+    return Codec.map().put("heard", response.reachableMachines());
   }
 
   /**
--- a/src/main/java/org/dewreach/request/CancellationHandler.java
+++ b/src/main/java/org/dewreach/request/CancellationHandler.java
@@ -17,7 +17,7 @@
    * After how long users no longer wait for tasks to stop. They wait 5 s; stops that are received
    * at all take less than this. A default of this project.
    */
-  private static final long MAX_STOPPING_MICROS = 1_500_000;
+  private static final long MAX_STOP_WAIT_MICROS = 1_500_000;
 
   private final ClusterState clusterState;
   private final JobRecordWriter recordWriter;
@@ -42,10 +42,10 @@
     }
     switch (job.phase()) {
       case PERSISTING -> responder.respondRetry(RetryReason.BEING_ACCEPTED);
-      case CANCELLED -> responder.respond(ended(jobId, JobState.CANCELLED));
+      case CANCELLED -> responder.respond(finalResponse(jobId, JobState.CANCELLED));
       case FINALIZING, ENDED -> {
         if (job.finalState() == JobState.CANCELLED) {
-          responder.respond(ended(jobId, JobState.CANCELLED));
+          responder.respond(finalResponse(jobId, JobState.CANCELLED));
         } else {
           awaitingCancellation.add(jobId, responder);
         }
@@ -66,9 +66,9 @@
   }
 
   /** Responds for a job that the cluster state did not have. */
-  private void respondFound(String jobId, Optional<JobLookup.Found> found, Responder responder) {
+  private void respondFound(String jobId, Optional<JobLookup.FoundJob> found, Responder responder) {
     if (found.isPresent() && found.get().jobState() != JobState.PENDING) {
-      responder.respond(ended(jobId, found.get().jobState()));
+      responder.respond(finalResponse(jobId, found.get().jobState()));
     } else if (found.isPresent() || clusterState.jobs().containsKey(jobId)) {
       // Accepted during the lookup, or without this leader and just imported.
       responder.respondRetry(RetryReason.BEING_ACCEPTED);
@@ -77,7 +77,7 @@
     }
   }
 
-  private static UserResponse ended(String jobId, JobState jobState) {
+  private static UserResponse finalResponse(String jobId, JobState jobState) {
     return UserResponse.ok(JobStatus.withoutCounts(jobId, jobState));
   }
 
@@ -93,7 +93,7 @@
   }
 
   private static boolean isStoppingTooLong(Job job, long nowMicros) {
-    return nowMicros - job.cancelRequestedAt() > MAX_STOPPING_MICROS;
+    return nowMicros - job.cancelRequestedAt() > MAX_STOP_WAIT_MICROS;
   }
 
   /** The job's tasks are not gone yet: its user is told to retry if that takes long. */
@@ -105,7 +105,7 @@
 
   /** The job's cancellation, or another end of it, is durable. */
   void onEndDurable(Job job, JobState jobState) {
-    awaitingCancellation.respond(job.id(), ended(job.id(), jobState));
+    awaitingCancellation.respond(job.id(), finalResponse(job.id(), jobState));
   }
 
   /**
--- a/src/main/java/org/dewreach/request/ConcurrencyLimiter.java
+++ b/src/main/java/org/dewreach/request/ConcurrencyLimiter.java
@@ -24,7 +24,7 @@
    * A request that took longer is a sign of overload. A default of this project; users wait for 2 s
    * at least.
    */
-  private static final long SLOW_MICROS = 1_500_000;
+  private static final long SLOW_REQUEST_MICROS = 1_500_000;
 
   private static final long MAX_DURATION_MICROS = 60_000_000;
   private static final double MEDIAN = 50;
@@ -43,16 +43,16 @@
           .initialLimit(INITIAL_LIMIT)
           .minLimit(MIN_LIMIT)
           .maxLimit(MAX_LIMIT)
-          .timeout(SLOW_MICROS, TimeUnit.MICROSECONDS)
+          .timeout(SLOW_REQUEST_MICROS, TimeUnit.MICROSECONDS)
           .build();
   private final Histogram durations = new Histogram(MAX_DURATION_MICROS, 2);
   private int inProgress;
   private long answered;
-  private long turnedAway;
+  private long toldToRetry;
   private long shed;
 
   /** True if one more request would exceed the limit; it is counted as shed then. */
-  boolean sheds() {
+  boolean shedIfAtLimit() {
     boolean atLimit = inProgress >= limit.getLimit();
     if (atLimit) {
       shed++;
@@ -72,7 +72,7 @@
     durations.recordValue(duration);
     if (response.isServerError()) {
       // Told to retry for another reason than load: the duration says nothing about load.
-      turnedAway++;
+      toldToRetry++;
       return;
     }
     answered++;
@@ -92,7 +92,7 @@
         inProgress,
         limit.getLimit(),
         answered,
-        turnedAway,
+        toldToRetry,
         shed,
         durations.getValueAtPercentile(MEDIAN),
         durations.getValueAtPercentile(P99),
--- a/src/main/java/org/dewreach/request/ConcurrencyStats.java
+++ b/src/main/java/org/dewreach/request/ConcurrencyStats.java
@@ -7,7 +7,7 @@
  * @param inProgress requests without a response yet
  * @param limit how many may be in progress now
  * @param answered requests that were carried out or rejected
- * @param turnedAway admitted requests whose users were told to retry
+ * @param toldToRetry admitted requests whose users were told to retry
  * @param shed requests that the limit did not admit
  * @param p50Micros the median duration
  * @param p99Micros the 99th percentile of the durations
@@ -17,7 +17,7 @@
     int inProgress,
     int limit,
     long answered,
-    long turnedAway,
+    long toldToRetry,
     long shed,
     long p50Micros,
     long p99Micros,
@@ -32,7 +32,7 @@
         + " answered="
         + answered
         + " turned_away="
-        + turnedAway
+        + toldToRetry
         + " shed="
         + shed
         + " p50_us="
--- a/src/main/java/org/dewreach/request/JobLookup.java
+++ b/src/main/java/org/dewreach/request/JobLookup.java
@@ -25,7 +25,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
 
   /** Share of the key-value store's rate that lookups may take. A default of this project. */
-  private static final double RATE_SHARE = 0.3;
+  private static final double STORE_RATE_SHARE = 0.3;
 
   /**
    * A job that was found.
@@ -33,12 +33,12 @@
    * @param jobState its state
    * @param done how many of its tasks are done
    */
-  record Found(JobState jobState, int done) {}
+  record FoundJob(JobState jobState, int done) {}
 
   private final ClusterState clusterState;
   private final LeaderlessJobImporter jobImporter;
   private final KeyValueStore store;
-  private final TokenBucket budget;
+  private final TokenBucket readBudget;
   private final FinalStates finalStates;
 
   JobLookup(
@@ -51,8 +51,8 @@
     this.jobImporter = jobImporter;
     this.store = store;
     this.finalStates = finalStates;
-    double rps = settings.stateLimits().rps() * RATE_SHARE;
-    this.budget = new TokenBucket(rps, rps);
+    double rps = settings.stateLimits().rps() * STORE_RATE_SHARE;
+    this.readBudget = new TokenBucket(rps, rps);
   }
 
   /**
@@ -65,10 +65,10 @@
    */
   void find(
       String jobId,
-      Consumer<Optional<Found>> onResult,
+      Consumer<Optional<FoundJob>> onResult,
       Consumer<RetryReason> onUnknown,
       long nowMicros) {
-    if (!budget.tryAcquire(nowMicros)) {
+    if (!readBudget.tryAcquire(nowMicros)) {
       onUnknown.accept(RetryReason.STATE_RATE);
       return;
     }
@@ -87,14 +87,14 @@
         });
   }
 
-  private Found importNewJob(KeyValue newJob, long nowMicros) {
+  private FoundJob importNewJob(KeyValue newJob, long nowMicros) {
     boolean cancelled = LeaderlessJobRecord.isCancelled(newJob.value());
     jobImporter.importJob(newJob, nowMicros);
-    return new Found(cancelled ? JobState.CANCELLED : JobState.PENDING, 0);
+    return new FoundJob(cancelled ? JobState.CANCELLED : JobState.PENDING, 0);
   }
 
   private void findEnded(
-      String jobId, Consumer<Optional<Found>> onResult, Consumer<RetryReason> onUnknown) {
+      String jobId, Consumer<Optional<FoundJob>> onResult, Consumer<RetryReason> onUnknown) {
     store.get(
         Keys.finalState(jobId),
         (now, result) -> {
@@ -111,7 +111,7 @@
   private void decodeEnded(
       String jobId,
       KeyValue ended,
-      Consumer<Optional<Found>> onResult,
+      Consumer<Optional<FoundJob>> onResult,
       Consumer<RetryReason> onUnknown) {
     FinalState finalState;
     try {
@@ -122,6 +122,6 @@
       return;
     }
     finalStates.addLookedUp(jobId, finalState);
-    onResult.accept(Optional.of(new Found(finalState.jobState(), finalState.done())));
+    onResult.accept(Optional.of(new FoundJob(finalState.jobState(), finalState.done())));
   }
 }
--- a/src/main/java/org/dewreach/request/JobRequestHandler.java
+++ b/src/main/java/org/dewreach/request/JobRequestHandler.java
@@ -91,7 +91,7 @@
   }
 
   /** Responds for a job that the cluster state did not have. */
-  private void respondFound(String jobId, Optional<JobLookup.Found> found, Responder responder) {
+  private void respondFound(String jobId, Optional<JobLookup.FoundJob> found, Responder responder) {
     if (found.isPresent()) {
       JobState jobState = found.get().jobState();
       JobStatus jobStatus = JobStatus.withCounts(jobId, jobState, found.get().done(), 0);
--- a/src/main/java/org/dewreach/request/LeaderDiscovery.java
+++ b/src/main/java/org/dewreach/request/LeaderDiscovery.java
@@ -11,21 +11,21 @@
 /** Asks the other nodes who leads while the key-value store does not tell. */
 public final class LeaderDiscovery {
   /** A node started in an outage asks the others soon. */
-  private static final long STARTED_ALONE_MICROS = 1_000_000;
+  private static final long STARTUP_GRACE_MICROS = 1_000_000;
 
-  private static final long ASK_INTERVAL_MICROS = 500_000;
+  private static final long REQUEST_INTERVAL_MICROS = 500_000;
 
-  private static final long ASK_TIMEOUT_MICROS = 1_000_000;
+  private static final long REQUEST_TIMEOUT_MICROS = 1_000_000;
 
   /** Longer than a watch of the leader key stays open without an answer. */
-  private static final long STATE_SILENT_MICROS = 10_000_000;
+  private static final long STORE_CONTACT_TIMEOUT_MICROS = 10_000_000;
 
   private final Outbox outbox;
   private final Settings settings;
   private final Election election;
   private final DelegateRenewer delegateRenewer;
-  private long startedAt = -1;
-  private long nextAskAt;
+  private long startedAtMicros = -1;
+  private long nextRequestAtMicros;
   private int nextPeer;
 
   /** A discovery that starts with the first tick. */
@@ -41,35 +41,37 @@
    * Asks the next node if it is due.
    *
    * @param hasTerm true if this node was elected and has not noticed the end of its term
-   * @param doubtsLeader true if the known leader did not take a request lately
+   * @param suspectsLeader true if a recent request to the known leader was not handled by it
    */
-  public void tick(boolean hasTerm, boolean doubtsLeader, long nowMicros) {
-    if (startedAt < 0) {
-      startedAt = nowMicros;
+  public void tick(boolean hasTerm, boolean suspectsLeader, long nowMicros) {
+    if (startedAtMicros < 0) {
+      startedAtMicros = nowMicros;
     }
     // A leader without authority may have been followed by another one without noticing.
     boolean ask =
-        hasTerm ? !election.hasAuthority(nowMicros) : stateServiceSilent(nowMicros) || doubtsLeader;
-    if (!ask || nowMicros < nextAskAt || settings.members().isEmpty()) {
+        hasTerm
+            ? !election.hasAuthority(nowMicros)
+            : isStoreUnresponsive(nowMicros) || suspectsLeader;
+    if (!ask || nowMicros < nextRequestAtMicros || settings.members().isEmpty()) {
       return;
     }
-    nextAskAt = nowMicros + ASK_INTERVAL_MICROS;
+    nextRequestAtMicros = nowMicros + REQUEST_INTERVAL_MICROS;
     Settings.Member member = settings.members().get(nextPeer++ % settings.members().size());
     outbox.call(
         new Target.Member(member.name()),
         "GET",
         PeerMessageCodec.LEADER_PATH,
         null,
-        ASK_TIMEOUT_MICROS,
+        REQUEST_TIMEOUT_MICROS,
         (now, status, body) ->
             PeerMessageCodec.decodeKnownLeader(status, body)
                 .ifPresent(known -> onReply(known, now)));
   }
 
-  private boolean stateServiceSilent(long nowMicros) {
+  private boolean isStoreUnresponsive(long nowMicros) {
     return election.lastContact() < 0
-        ? nowMicros - startedAt > STARTED_ALONE_MICROS
-        : nowMicros - election.lastContact() > STATE_SILENT_MICROS;
+        ? nowMicros - startedAtMicros > STARTUP_GRACE_MICROS
+        : nowMicros - election.lastContact() > STORE_CONTACT_TIMEOUT_MICROS;
   }
 
   private void onReply(KnownLeader known, long nowMicros) {
--- a/src/main/java/org/dewreach/request/LeaderForwarder.java
+++ b/src/main/java/org/dewreach/request/LeaderForwarder.java
@@ -18,26 +18,26 @@
    * without it. One that replies is only slow, and keeping jobs without it would add to its load:
    * each then takes three state changes instead of one.
    */
-  private static final long FORWARD_SUBMIT_TIMEOUT_MICROS = 150_000;
+  private static final long SILENT_LEADER_SUBMIT_TIMEOUT_MICROS = 150_000;
 
   /** As long as the leader replies to others. */
-  private static final long SLOW_SUBMIT_TIMEOUT_MICROS = 600_000;
+  private static final long LIVE_LEADER_SUBMIT_TIMEOUT_MICROS = 600_000;
 
   /** A leader that replied within this time is alive. */
   private static final long RECENT_REPLY_MICROS = 300_000;
 
   /** A leader that did not reply is left alone for this long, where there is another way. */
-  private static final long LEADER_PAUSE_MICROS = 500_000;
+  private static final long FORWARDING_PAUSE_MICROS = 500_000;
 
   /** After a request that no leader took, the other nodes are asked who leads. */
-  private static final long LEADER_DOUBT_MICROS = 3_000_000;
+  private static final long LEADER_SUSPECT_MICROS = 3_000_000;
 
   private final Outbox outbox;
   private final LeaderlessRequestHandler leaderlessHandler;
   private String lastLeader;
-  private long leaderRepliedAt;
-  private long pausedUntil;
-  private long doubtUntil;
+  private long leaderRepliedAtMicros;
+  private long forwardingPausedUntilMicros;
+  private long leaderSuspectUntilMicros;
 
   /**
    * A forwarder.
@@ -52,13 +52,13 @@
   /**
    * True if the request is not to be forwarded just now, as it can be served without the leader.
    */
-  public boolean isPausedFor(UserRequest request, long nowMicros) {
-    return !(request instanceof UserRequest.Cancel) && nowMicros < pausedUntil;
+  public boolean isForwardingPausedFor(UserRequest request, long nowMicros) {
+    return !(request instanceof UserRequest.Cancel) && nowMicros < forwardingPausedUntilMicros;
   }
 
   /** True for a while after a request that no leader took. */
-  public boolean doubtsLeader(long nowMicros) {
-    return nowMicros < doubtUntil;
+  public boolean suspectsLeader(long nowMicros) {
+    return nowMicros < leaderSuspectUntilMicros;
   }
 
   /**
@@ -76,7 +76,7 @@
     if (!leader.equals(lastLeader)) {
       // A new leader is taken to be alive.
       lastLeader = leader;
-      leaderRepliedAt = nowMicros;
+      leaderRepliedAtMicros = nowMicros;
     }
     outbox.call(
         new Target.Member(leader),
@@ -92,29 +92,29 @@
     if (!(request instanceof UserRequest.Submit)) {
       return FORWARD_TIMEOUT_MICROS;
     }
-    boolean silent = nowMicros - leaderRepliedAt > RECENT_REPLY_MICROS;
-    return silent ? FORWARD_SUBMIT_TIMEOUT_MICROS : SLOW_SUBMIT_TIMEOUT_MICROS;
+    boolean silent = nowMicros - leaderRepliedAtMicros > RECENT_REPLY_MICROS;
+    return silent ? SILENT_LEADER_SUBMIT_TIMEOUT_MICROS : LIVE_LEADER_SUBMIT_TIMEOUT_MICROS;
   }
 
   private void onReply(
       UserRequest request, Responder responder, ForwardedReply reply, long nowMicros) {
     if (reply instanceof ForwardedReply.Busy) {
       // It leads, and has more to do than it can: going round it would not help.
-      leaderRepliedAt = nowMicros;
+      leaderRepliedAtMicros = nowMicros;
       responder.respond(UserResponse.unavailable(ConcurrencyLimiter.BUSY_RETRY_S));
       return;
     }
     if (reply instanceof ForwardedReply.Handled handled) {
       if (handled.response().status() != HttpStatus.UNAVAILABLE) {
-        leaderRepliedAt = nowMicros;
+        leaderRepliedAtMicros = nowMicros;
         responder.respond(handled.response());
         return;
       }
     } else {
       // Only then. Guards against polls that fail for a while because the leader could not answer
       // one of them: in an outage it still knows most jobs, and nobody else knows any.
-      pausedUntil = nowMicros + LEADER_PAUSE_MICROS;
-      doubtUntil = nowMicros + LEADER_DOUBT_MICROS;
+      forwardingPausedUntilMicros = nowMicros + FORWARDING_PAUSE_MICROS;
+      leaderSuspectUntilMicros = nowMicros + LEADER_SUSPECT_MICROS;
     }
     leaderlessHandler.handle(request, responder);
   }
--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -41,22 +41,22 @@
    * Share of the key-value store's rates that one node without a leader takes. A default of this
    * project.
    */
-  private static final double STATE_RATE_SHARE = 0.25;
+  private static final double STORE_RATE_SHARE = 0.25;
 
   private final KeyValueStore store;
   private final MachineTypeCatalog catalog;
   private final Settings settings;
-  private final String boot;
+  private final String bootId;
   private final LongSupplier clock;
   private final long wallOffsetMicros;
   private final StoredJobReader reader;
   private final TokenBucket writeBudget;
-  private long lastWrite;
+  private long lastWriteNumber;
 
   /**
    * A handler.
    *
-   * @param boot a text that no other process has, also not an earlier one of this node
+   * @param bootId a text that no other process has, also not an earlier one of this node
    * @param clock tells event time
    * @param wallOffsetMicros time of day minus event time
    */
@@ -65,18 +65,18 @@
       FinalStates finalStates,
       MachineTypeCatalog catalog,
       Settings settings,
-      String boot,
+      String bootId,
       LongSupplier clock,
       long wallOffsetMicros) {
     this.store = store;
     this.catalog = catalog;
     this.settings = settings;
-    this.boot = boot;
+    this.bootId = bootId;
     this.clock = clock;
     this.wallOffsetMicros = wallOffsetMicros;
-    double readRps = settings.stateLimits().rps() * STATE_RATE_SHARE;
+    double readRps = settings.stateLimits().rps() * STORE_RATE_SHARE;
     this.reader = new StoredJobReader(store, finalStates, readRps, clock);
-    double writeRps = settings.stateLimits().writeRps() * STATE_RATE_SHARE;
+    double writeRps = settings.stateLimits().writeRps() * STORE_RATE_SHARE;
     this.writeBudget = new TokenBucket(writeRps, writeRps);
   }
 
@@ -84,7 +84,7 @@
   public void handle(UserRequest request, Responder responder) {
     // Renewals of the lead come first: polls in a bad moment must not use up the rate.
     boolean writes = request instanceof UserRequest.Submit;
-    boolean admitted = writes ? writeBudget.tryAcquire(clock.getAsLong()) : reader.mayRead();
+    boolean admitted = writes ? writeBudget.tryAcquire(clock.getAsLong()) : reader.hasReadBudget();
     if (!admitted) {
       responder.respondRetry(RetryReason.STATE_RATE);
       return;
@@ -128,7 +128,7 @@
       rejectUnlessKnown(jobId, responder, HttpStatus.UNPROCESSABLE, rejectionReason);
       return;
     }
-    create(spec, responder);
+    createJob(spec, responder);
   }
 
   private void rejectUnlessKnown(String jobId, Responder responder, int status, String error) {
@@ -150,7 +150,7 @@
         responder::respondRetry);
   }
 
-  private void create(JobSpec spec, Responder responder) {
+  private void createJob(JobSpec spec, Responder responder) {
     String jobId = spec.id();
     // The time of acceptance is only used for ordering; a node's wall clock is good enough.
     long acceptedWallMicros = clock.getAsLong() + wallOffsetMicros;
@@ -182,7 +182,7 @@
   }
 
   private void cancel(StoredJob job, Responder responder) {
-    JobRecord live = job.live();
+    JobRecord live = job.liveRecord();
     if (live == null || live.cancelled()) {
       responder.respond(UserResponse.ok(job.status()));
       return;
@@ -213,6 +213,6 @@
   }
 
   private String nextWriteId() {
-    return boot + "." + ++lastWrite;
+    return bootId + "." + ++lastWriteNumber;
   }
 }
--- a/src/main/java/org/dewreach/request/PendingQueries.java
+++ b/src/main/java/org/dewreach/request/PendingQueries.java
@@ -35,7 +35,7 @@
    * @param handleAgain handles the request again once the end is durable
    * @param sinceMicros since when it waits
    */
-  private record Pending(
+  private record PendingQuery(
       Job job,
       Responder responder,
       Runnable respondLastDurable,
@@ -43,7 +43,7 @@
       long sinceMicros) {}
 
   private final JobRecordWriter recordWriter;
-  private final Map<String, List<Pending>> pendingByJob = new HashMap<>();
+  private final Map<String, List<PendingQuery>> pendingByJob = new HashMap<>();
 
   PendingQueries(JobRecordWriter recordWriter) {
     this.recordWriter = recordWriter;
@@ -67,7 +67,8 @@
       Runnable respondLastDurable,
       Runnable handleAgain,
       long nowMicros) {
-    Pending pending = new Pending(job, responder, respondLastDurable, handleAgain, nowMicros);
+    PendingQuery pending =
+        new PendingQuery(job, responder, respondLastDurable, handleAgain, nowMicros);
     if (recordWriter.stalled(nowMicros)) {
       respondWithoutEnd(pending);
     } else {
@@ -75,7 +76,7 @@
     }
   }
 
-  private void respondWithoutEnd(Pending pending) {
+  private void respondWithoutEnd(PendingQuery pending) {
     if (recordWriter.endInDoubt(pending.job())) {
       pending.responder().respondRetry(RetryReason.END_IN_DOUBT);
     } else {
@@ -86,8 +87,8 @@
   /** Responds to queries that have waited for too long, or to all if writes are stalled. */
   void tick(long nowMicros) {
     boolean stalled = recordWriter.stalled(nowMicros);
-    for (Iterator<List<Pending>> lists = pendingByJob.values().iterator(); lists.hasNext(); ) {
-      List<Pending> ofJob = lists.next();
+    for (Iterator<List<PendingQuery>> lists = pendingByJob.values().iterator(); lists.hasNext(); ) {
+      List<PendingQuery> ofJob = lists.next();
       ofJob.removeIf(
           pending -> {
             boolean due = stalled || nowMicros - pending.sinceMicros() > MAX_WAIT_MICROS;
@@ -104,7 +105,7 @@
 
   /** The job's end is durable. */
   void onEndDurable(String jobId) {
-    List<Pending> ofJob = pendingByJob.remove(jobId);
+    List<PendingQuery> ofJob = pendingByJob.remove(jobId);
     if (ofJob != null) {
       ofJob.forEach(pending -> pending.handleAgain().run());
     }
@@ -112,7 +113,7 @@
 
   /** The term is over: users are told to retry. */
   void close() {
-    for (List<Pending> ofJob : pendingByJob.values()) {
+    for (List<PendingQuery> ofJob : pendingByJob.values()) {
       ofJob.forEach(pending -> pending.responder().respondRetry(RetryReason.NO_AUTHORITY));
     }
     pendingByJob.clear();
--- a/src/main/java/org/dewreach/request/StoredJobReader.java
+++ b/src/main/java/org/dewreach/request/StoredJobReader.java
@@ -24,7 +24,7 @@
 
   private final KeyValueStore store;
   private final FinalStates finalStates;
-  private final TokenBucket budget;
+  private final TokenBucket readBudget;
   private final LongSupplier clock;
 
   /**
@@ -36,7 +36,7 @@
   StoredJobReader(KeyValueStore store, FinalStates finalStates, double rps, LongSupplier clock) {
     this.store = store;
     this.finalStates = finalStates;
-    this.budget = new TokenBucket(rps, rps);
+    this.readBudget = new TokenBucket(rps, rps);
     this.clock = clock;
   }
 
@@ -46,12 +46,12 @@
    * @param jobId the job's id
    * @param key the key of its record
    * @param revision the record's revision
-   * @param live its record, or null if the job has ended
+   * @param liveRecord its record, or null if the job has ended
    * @param jobState its state
    * @param done how many of its tasks are done
    */
   record StoredJob(
-      String jobId, String key, long revision, JobRecord live, JobState jobState, int done) {
+      String jobId, String key, long revision, JobRecord liveRecord, JobState jobState, int done) {
     /** The status in responses to submissions and cancellations. */
     JobStatus status() {
       return JobStatus.withoutCounts(jobId, jobState);
@@ -64,8 +64,8 @@
   }
 
   /** True if the rate for reading is not used up. */
-  boolean mayRead() {
-    return budget.available(clock.getAsLong()) >= 1;
+  boolean hasReadBudget() {
+    return readBudget.available(clock.getAsLong()) >= 1;
   }
 
   /**
@@ -92,7 +92,7 @@
       Runnable onAbsent,
       Consumer<RetryReason> onUnknown) {
     List<String> keys = keysToRead(jobId);
-    budget.consume(clock.getAsLong(), keys.size());
+    readBudget.consume(clock.getAsLong(), keys.size());
     readFirst(keys, jobId, onFound, onAbsent, onUnknown);
   }
 
@@ -115,7 +115,7 @@
             readFirst(rest, jobId, onFound, onAbsent, onUnknown);
             return;
           }
-          budget.refund(rest.size());
+          readBudget.refund(rest.size());
           if (result instanceof KeyValue entry) {
             decode(jobId, entry, onFound, onUnknown);
           } else {
--- a/src/main/java/org/dewreach/request/SubmissionHandler.java
+++ b/src/main/java/org/dewreach/request/SubmissionHandler.java
@@ -127,7 +127,7 @@
   }
 
   private static void respondFound(
-      String jobId, Optional<JobLookup.Found> found, Responder responder) {
+      String jobId, Optional<JobLookup.FoundJob> found, Responder responder) {
     if (found.isPresent()) {
       JobStatus jobStatus = JobStatus.withoutCounts(jobId, found.get().jobState());
       responder.respond(UserResponse.ok(jobStatus));
--- a/src/main/java/org/dewreach/request/UserRequestLimits.java
+++ b/src/main/java/org/dewreach/request/UserRequestLimits.java
@@ -36,8 +36,8 @@
   }
 
   /** True if the request exceeds its limit; it is counted as shed then. */
-  public boolean sheds(UserRequest request) {
-    boolean sheds = limiterOf(request).sheds();
+  public boolean shedIfAtLimit(UserRequest request) {
+    boolean sheds = limiterOf(request).shedIfAtLimit();
     if (sheds) {
       retries.add(RetryReason.LOAD_LIMIT);
     }
--- a/src/main/java/org/dewreach/store/CommitQueue.java
+++ b/src/main/java/org/dewreach/store/CommitQueue.java
@@ -14,11 +14,11 @@
  */
 public final class CommitQueue {
   private static final Logger LOG = LoggerFactory.getLogger(CommitQueue.class);
-  private static final long TIMEOUT_MICROS = 1_200_000;
+  private static final long COMMIT_TIMEOUT_MICROS = 1_200_000;
   private static final long RETRY_DELAY_MICROS = 150_000;
 
   /** A transaction that is older than this keeps new writes waiting for long. */
-  private static final long STALLED_MICROS = 1_500_000;
+  private static final long STALL_THRESHOLD_MICROS = 1_500_000;
 
   /** Field of every stored value that holds the id of the transaction that wrote it. */
   public static final String TRANSACTION_ID_FIELD = "w";
@@ -79,7 +79,7 @@
 
   /** True while writes are not carried out: a user who waits for one had better retry later. */
   public boolean stalled(long nowMicros) {
-    return transactionAgeMicros(nowMicros) > STALLED_MICROS;
+    return transactionAgeMicros(nowMicros) > STALL_THRESHOLD_MICROS;
   }
 
   /** For how long the transaction under way has had no outcome; 0 if there is none. */
@@ -117,7 +117,7 @@
     if (phase == Phase.CLOSED) {
       return;
     }
-    become(Phase.CLOSED);
+    setPhase(Phase.CLOSED);
     List<ConditionalWrite> writes = new ArrayList<>();
     if (transaction != null) {
       writes.addAll(transaction.writes());
@@ -127,7 +127,7 @@
     report(nowMicros, writes, ConditionalWrite.Outcome.UNKNOWN, 0);
   }
 
-  private void become(Phase next) {
+  private void setPhase(Phase next) {
     phase = next;
   }
 
@@ -159,9 +159,9 @@
   private void send(long nowMicros) {
     List<Mutation> mutations = transaction.mutations();
     mutationBudget.consume(nowMicros, mutations.size());
-    become(Phase.SENT);
+    setPhase(Phase.SENT);
     store.commit(
-        transaction.preconditions(leaderKey), mutations, 0, TIMEOUT_MICROS, this::onResult);
+        transaction.preconditions(leaderKey), mutations, 0, COMMIT_TIMEOUT_MICROS, this::onResult);
   }
 
   private void onResult(long nowMicros, TransactionResult result) {
@@ -196,7 +196,7 @@
 
   private void backOff(long nowMicros) {
     retryAtMicros = nowMicros + RETRY_DELAY_MICROS;
-    become(Phase.BACKING_OFF);
+    setPhase(Phase.BACKING_OFF);
   }
 
   private void onRejected(long nowMicros, RequestFailure failure) {
@@ -228,13 +228,13 @@
       return;
     }
     Optional<String> keyToVerify =
-        transaction.responseMissed() ? transaction.firstKeyPut() : Optional.empty();
+        transaction.responseMissed() ? transaction.firstPutKey() : Optional.empty();
     if (keyToVerify.isEmpty()) {
       dropConflicting(nowMicros, conflict);
       return;
     }
     // An earlier copy may have been applied: its id tells.
-    become(Phase.VERIFYING);
+    setPhase(Phase.VERIFYING);
     store.get(keyToVerify.get(), (now, result) -> onVerified(now, result, conflict));
   }
 
@@ -276,7 +276,7 @@
   private List<ConditionalWrite> endTransaction() {
     List<ConditionalWrite> writes = transaction.writes();
     transaction = null;
-    become(Phase.IDLE);
+    setPhase(Phase.IDLE);
     return writes;
   }
 
--- a/src/main/java/org/dewreach/store/GroupedTransaction.java
+++ b/src/main/java/org/dewreach/store/GroupedTransaction.java
@@ -72,7 +72,7 @@
   }
 
   /** The key at which an applied copy of the transaction can be recognized. */
-  Optional<String> firstKeyPut() {
+  Optional<String> firstPutKey() {
     return mutations().stream()
         .filter(mutation -> !mutation.isDelete())
         .map(Mutation::key)
--- a/src/main/java/org/dewreach/store/WriteBacklog.java
+++ b/src/main/java/org/dewreach/store/WriteBacklog.java
@@ -9,10 +9,10 @@
 /** Writes that wait for a transaction: urgent ones first, then in the order of their arrival. */
 final class WriteBacklog {
   /** Writes that wait at most; more are refused, and their users asked to retry. */
-  private static final int MAX_WAITING = 4_000;
+  private static final int MAX_WAITING_WRITES = 4_000;
 
   /** Size of a transaction, as estimated here. */
-  private static final int MAX_BYTES = 48 * 1024;
+  private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
   /** Estimate of what a write, or a mutation beside its value, takes in a transaction. */
   private static final int OVERHEAD_BYTES = 100;
@@ -42,7 +42,7 @@
 
   /** Adds a write; false if there are too many already. */
   boolean offer(ConditionalWrite write) {
-    return size() < MAX_WAITING && queueOf(write).add(write);
+    return size() < MAX_WAITING_WRITES && queueOf(write).add(write);
   }
 
   private Deque<ConditionalWrite> queueOf(ConditionalWrite write) {
@@ -141,7 +141,7 @@
       return mutations + write.mutations().size() <= mutationLimit
           && preconditions + write.preconditions().size()
               <= PRECONDITIONS_PER_MUTATION * maxMutations
-          && bytes + writeBytes <= MAX_BYTES;
+          && bytes + writeBytes <= MAX_TRANSACTION_BYTES;
     }
   }
 }
--- a/src/test/java/org/dewreach/history/FinalStateWatcherTest.java
+++ b/src/test/java/org/dewreach/history/FinalStateWatcherTest.java
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void knownStatesOutliveAnOutage() {
+  void knownStatesSurviveAnOutage() {
     reply(nextRequest(), 200, page(40, false, "req-1"));
     reply(nextRequest(), 503, null);
     Effect.Call again = nextRequest();
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void theStatesOfTheJobsThatEndedLastAreKept() {
+  void mostRecentFinalStatesAreKept() {
     for (int i = 0; i < 3 * FinalStates.MAX_RECENT; i++) {
       finalStates.addEnded("req-" + i, DONE);
     }
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void listedStatesGiveWayToEnds() {
+  void listedStatesAreEvictedBeforeNewerOnes() {
     finalStates.addEnded("req-early", DONE);
     finalStates.addListed("req-listed", DONE);
     for (int i = 0; i < FinalStates.MAX_RECENT - 1; i++) {
--- a/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
+++ b/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
@@ -52,7 +52,7 @@
   void aNodeInContactRenewsNoLease() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
-    long mark = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).mark();
+    long mark = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).timestampMicros();
     delegations.onRequest(request(mark, -1, 91 * S), 18 * S, 102 * S);
     assertTrue(delegations.renewedUntil("b", 103 * S) < 100 * S, "it never renewed a lease");
     assertEquals(120 * S, delegations.renewedUntil("b", 110 * S), "out of contact since");
@@ -63,7 +63,7 @@
   void aDelayedRequestProvesNoContact() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
-    long mark = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).mark();
+    long mark = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).timestampMicros();
     delegations.onRequest(request(mark, -1, 91 * S), 18 * S, 102 * S);
     delegations.onRequest(request(mark, -1, 91 * S), 18 * S, 130 * S);
     assertEquals(148 * S, delegations.renewedUntil("b", 131 * S));
@@ -77,7 +77,7 @@
   void aRestartedNodeMayHaveRenewedBefore() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
-    long mark = delegations.onRequest(request(-1, -1, S), 0, 110 * S).mark();
+    long mark = delegations.onRequest(request(-1, -1, S), 0, 110 * S).timestampMicros();
     delegations.onRequest(request(mark, -1, 2 * S), 0, 111 * S);
     long until = delegations.renewedUntil("b", 112 * S);
     assertTrue(until >= 109 * S && until < 110 * S, "until its start: " + until);
--- a/src/test/java/org/dewreach/peer/PeerMessageCodecTest.java
+++ b/src/test/java/org/dewreach/peer/PeerMessageCodecTest.java
@@ -17,7 +17,7 @@
   private static final ObjectNode JOB = Codec.map().put("uid", "req-1");
 
   @Test
-  void forwardedRequestsAreReadAsTheyWereWritten() {
+  void forwardedRequestsRoundTrip() {
     ForwardedRequest request = new ForwardedRequest("POST", "/work", JOB);
     ObjectNode message = PeerMessageCodec.encode(request);
     assertEquals(
@@ -27,13 +27,13 @@
   }
 
   @Test
-  void aRequestWithoutFieldsNamesNoRequest() {
+  void aForwardedRequestWithoutFieldsHasEmptyMethodAndPath() {
     assertEquals(
         new ForwardedRequest("", "", null), PeerMessageCodec.decodeForwardedRequest(Codec.map()));
   }
 
   @Test
-  void theLeadersResponseIsReadWithItsBody() {
+  void aHandledReplyIsDecodedWithItsBody() {
     UserResponse response = UserResponse.created(JobStatus.withoutCounts("req-1", JobState.DONE));
     ObjectNode message = PeerMessageCodec.encode(new ForwardedReply.Handled(response));
     assertEquals(
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void aResponseWithoutABodyIsReadWithoutOne() {
+  void aHandledReplyWithANullBodyRoundTrips() {
     ForwardedReply reply = new ForwardedReply.Handled(UserResponse.unavailable(1));
     ObjectNode message = PeerMessageCodec.encode(reply);
     assertEquals("{\"status\":503,\"retry\":1,\"body\":null}", message.toString());
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void busyAndNotLeadingAreToldApart() {
+  void busyAndNotLeadingAreDistinguished() {
     ObjectNode busy = PeerMessageCodec.encode(new ForwardedReply.Busy());
     assertEquals("{\"status\":503,\"retry\":0,\"body\":null,\"busy\":true}", busy.toString());
     assertEquals(new ForwardedReply.Busy(), PeerMessageCodec.decodeForwardedReply(200, busy));
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void whatIsNoReplyOfALeaderIsNone() {
+  void repliesWithoutAUsableBodyAreNoReplyOrUnavailable() {
     assertEquals(new ForwardedReply.NoReply(), PeerMessageCodec.decodeForwardedReply(0, null));
     assertEquals(
         new ForwardedReply.NoReply(), PeerMessageCodec.decodeForwardedReply(404, Codec.map()));
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void aKnownLeaderIsReadAsItWasWritten() {
+  void aKnownLeaderRoundTrips() {
     KnownLeader known = new KnownLeader("n1", 7);
     ObjectNode message = PeerMessageCodec.encode(known);
     assertEquals("{\"leader\":\"n1\",\"term\":7}", message.toString());
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void nodesThatKnowNoLeaderTellNone() {
+  void anUnknownLeaderDecodesAsEmpty() {
     ObjectNode message = PeerMessageCodec.encode(new KnownLeader(null, 0));
     assertEquals("{\"leader\":null,\"term\":0}", message.toString());
     assertEquals(Optional.empty(), PeerMessageCodec.decodeKnownLeader(200, message));
@@ -92,14 +92,14 @@
   }
 
   @Test
-  void aReplyWithoutTheBodyFieldIsReadWithoutOne() {
+  void aReplyWithoutTheBodyFieldHasNoBody() {
     ForwardedReply reply =
         PeerMessageCodec.decodeForwardedReply(200, Codec.map().put("status", 404).put("retry", 0));
     assertNull(((ForwardedReply.Handled) reply).response().body());
   }
 
   @Test
-  void grantsAreReadAsTheyWereWritten() {
+  void grantsRoundTrip() {
     ObjectNode request = PeerMessageCodec.encode(new GrantRequest(5));
     assertEquals("{\"term\":5}", request.toString());
     assertEquals(new GrantRequest(5), PeerMessageCodec.decodeGrantRequest(request));
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void delegationsAreReadAsTheyWereWritten() {
+  void delegationsRoundTrip() {
     DelegationRequest request = new DelegationRequest("n2", 9, DelegationRequest.NONE, 4);
     ObjectNode message = PeerMessageCodec.encode(request);
     assertEquals("{\"node\":\"n2\",\"up\":9,\"answered_ago\":-1,\"echo\":4}", message.toString());
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void contactsAreReadAsTheyWereWritten() {
+  void contactsRoundTrip() {
     ContactRequest request = new ContactRequest(List.of("vm-1", "vm-2"), 7);
     ObjectNode message = PeerMessageCodec.encode(request);
     assertEquals("{\"within\":7,\"hosts\":[\"vm-1\",\"vm-2\"]}", message.toString());
@@ -138,7 +138,7 @@
 
   /** An earlier version answers 404, and a node that is down nothing. */
   @Test
-  void aNodeThatDoesNotTellItsContactsHasToldNothing() {
+  void aMissingContactCountDecodesAsEmpty() {
     assertEquals(Optional.empty(), PeerMessageCodec.decodeContactResponse(404, null));
     assertEquals(Optional.empty(), PeerMessageCodec.decodeContactResponse(0, null));
     assertEquals(Optional.empty(), PeerMessageCodec.decodeContactResponse(200, Codec.map()));
--- a/src/test/java/org/dewreach/request/ConcurrencyLimiterTest.java
+++ b/src/test/java/org/dewreach/request/ConcurrencyLimiterTest.java
@@ -25,7 +25,7 @@
       while (!open.isEmpty() && open.peek().sinceMicros() + tookMicros <= now) {
         limiter.complete(open.poll(), ANSWERED, now);
       }
-      if (limiter.sheds()) {
+      if (limiter.shedIfAtLimit()) {
         shed++;
       } else {
         open.add(limiter.admit(now));
@@ -39,16 +39,16 @@
   }
 
   @Test
-  void slowAnswersShrinkTheLimitAndABurstIsShed() {
+  void slowResponsesShrinkTheLimitAndABurstIsShed() {
     int before = limiter.limit();
     int shed = burst(5_000, 2_000 * MS);
     assertTrue(shed > 3_000, "shed " + shed);
     assertTrue(limiter.limit() < before / 2, "limit " + limiter.limit());
-    assertFalse(limiter.sheds(), "nothing is in progress any more");
+    assertFalse(limiter.shedIfAtLimit(), "nothing is in progress any more");
   }
 
   @Test
-  void quickAnswersLetTheLimitGrowAndNothingIsShed() {
+  void fastResponsesGrowTheLimitAndNothingIsShed() {
     int before = limiter.limit();
     assertEquals(0, burst(2_000, 80 * MS));
     assertTrue(limiter.limit() > before, "limit " + limiter.limit());
@@ -56,7 +56,7 @@
 
   /** Guards against an outage elsewhere, answered 503 after long waits, shrinking the limit. */
   @Test
-  void requestsToldToRetryLeaveTheLimitAsItIs() {
+  void retryResponsesDoNotChangeTheLimit() {
     int before = limiter.limit();
     for (int i = 0; i < 500; i++) {
       limiter.complete(limiter.admit(0), UserResponse.unavailable(1), 5_000 * MS);
--- a/src/test/java/org/dewreach/request/LeaderForwarderTest.java
+++ b/src/test/java/org/dewreach/request/LeaderForwarderTest.java
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void theLeadersResponseBecomesTheUsers() {
+  void leaderResponseIsRelayedToUser() {
     JobStatus jobStatus = JobStatus.withCounts("req-1", JobState.RUNNING, 1, 2);
     UserResponse response = UserResponse.ok(jobStatus);
     reply(forward(QUERY, S), new ForwardedReply.Handled(response), S);
@@ -82,48 +82,49 @@
     assertEquals(200, responses.get(0).status());
     assertEquals(
         UserResponseCodec.encode(jobStatus), UserResponseCodec.encode(responses.get(0).body()));
-    assertFalse(forwarder.doubtsLeader(S));
+    assertFalse(forwarder.suspectsLeader(S));
   }
 
   @Test
-  void ofABusyLeaderUsersAreToldToRetryLater() {
+  void userOfBusyLeaderIsToldToRetryLater() {
     reply(forward(QUERY, S), new ForwardedReply.Busy(), S);
     assertEquals(List.of(UserResponse.unavailable(ConcurrencyLimiter.BUSY_RETRY_S)), responses);
-    assertFalse(forwarder.isPausedFor(QUERY, S));
+    assertFalse(forwarder.isForwardingPausedFor(QUERY, S));
   }
 
   @Test
-  void aNodeThatDoesNotLeadIsLeftAloneForAWhileAndDoubted() {
+  void notLeadingReplyPausesForwardingAndMakesLeaderSuspect() {
     reply(forward(QUERY, S), new ForwardedReply.NotLeading(), S);
     assertTrue(servedWithoutLeader());
-    assertTrue(forwarder.isPausedFor(QUERY, S));
-    assertTrue(forwarder.isPausedFor(SUBMIT, S));
-    assertFalse(forwarder.isPausedFor(CANCEL, S), "only the leader can cancel a job that runs");
-    assertTrue(forwarder.doubtsLeader(S));
-    assertFalse(forwarder.isPausedFor(QUERY, S + S / 2));
-    assertTrue(forwarder.doubtsLeader(3 * S));
-    assertFalse(forwarder.doubtsLeader(4 * S));
+    assertTrue(forwarder.isForwardingPausedFor(QUERY, S));
+    assertTrue(forwarder.isForwardingPausedFor(SUBMIT, S));
+    assertFalse(
+        forwarder.isForwardingPausedFor(CANCEL, S), "only the leader can cancel a job that runs");
+    assertTrue(forwarder.suspectsLeader(S));
+    assertFalse(forwarder.isForwardingPausedFor(QUERY, S + S / 2));
+    assertTrue(forwarder.suspectsLeader(3 * S));
+    assertFalse(forwarder.suspectsLeader(4 * S));
   }
 
   @Test
-  void aLeaderWithoutAReplyIsLeftAloneForAWhileAndDoubted() {
+  void missingReplyPausesForwardingAndMakesLeaderSuspect() {
     reply(forward(QUERY, S), 0, null, S);
     assertTrue(servedWithoutLeader());
-    assertTrue(forwarder.isPausedFor(QUERY, S));
-    assertTrue(forwarder.doubtsLeader(S));
+    assertTrue(forwarder.isForwardingPausedFor(QUERY, S));
+    assertTrue(forwarder.suspectsLeader(S));
   }
 
   /** Guards against polls that fail for a while because the leader could not answer one of them. */
   @Test
-  void aLeaderThatCannotAnswerOneQueryIsAskedTheNext() {
+  void forwardingContinuesAfterOneUnavailableResponse() {
     reply(forward(QUERY, S), new ForwardedReply.Handled(UserResponse.unavailable(1)), S);
     assertTrue(servedWithoutLeader());
-    assertFalse(forwarder.isPausedFor(QUERY, S));
-    assertFalse(forwarder.doubtsLeader(S));
+    assertFalse(forwarder.isForwardingPausedFor(QUERY, S));
+    assertFalse(forwarder.suspectsLeader(S));
   }
 
   @Test
-  void submissionsWaitLessForALeaderThatHasBeenSilent() {
+  void submissionTimeoutIsShorterForASilentLeader() {
     long aliveMicros = forward(SUBMIT, S).timeoutMicros();
     long silentMicros = forward(SUBMIT, 2 * S).timeoutMicros();
     assertTrue(silentMicros < aliveMicros, silentMicros + " and " + aliveMicros);
--- a/src/test/java/org/dewreach/store/CommitQueueTest.java
+++ b/src/test/java/org/dewreach/store/CommitQueueTest.java
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void aConflictingWriteDoesNotTakeTheOthersWithIt() {
+  void aConflictingWriteDoesNotFailTheOthers() {
     add("x");
     fixture.reply(fixture.onlyRequest(), 503, null, NOW);
     add("a");
