--- a/src/main/java/org/dewreach/controller/HeartbeatRouter.java
+++ b/src/main/java/org/dewreach/controller/HeartbeatRouter.java
@@ -2,7 +2,7 @@
 
 import org.dewreach.heartbeat.PendingHeartbeats;
 import org.dewreach.leadership.DelegateRenewer;
-import org.dewreach.leadership.WorkerContacts;
+import org.dewreach.leadership.LastHeartbeatTimes;
 import org.dewreach.port.Event;
 import org.dewreach.port.Outbox;
 import org.dewreach.wire.Heartbeat;
@@ -22,14 +22,14 @@
   private final Outbox outbox;
   private final Leadership leadership;
   private final EventClock clock;
-  private final WorkerContacts workerContacts;
+  private final LastHeartbeatTimes lastHeartbeats;
   private final PendingHeartbeats pendingHeartbeats;
 
-  HeartbeatRouter(NodeServices services, Leadership leadership, EventClock clock) {
+  HeartbeatRouter(ControllerServices services, Leadership leadership, EventClock clock) {
     this.outbox = services.outbox();
     this.leadership = leadership;
     this.clock = clock;
-    this.workerContacts = services.workerContacts();
+    this.lastHeartbeats = services.lastHeartbeats();
     this.pendingHeartbeats = new PendingHeartbeats(services.settings().limits().maxConnections());
   }
 
@@ -43,8 +43,8 @@
       outbox.respond(request.requestId(), HttpStatus.BAD_REQUEST, null);
       return;
     }
-    workerContacts.recordHeartbeat(heartbeat.machine(), clock.now());
-    if (leadership.isUndecided() && !pendingHeartbeats.full()) {
+    lastHeartbeats.recordHeartbeat(heartbeat.machine(), clock.now());
+    if (leadership.isUndecided() && !pendingHeartbeats.isFull()) {
       pendingHeartbeats.add(request.requestId(), heartbeat, clock.now());
     } else {
       route(request.requestId(), heartbeat);
@@ -54,7 +54,7 @@
   /** Responds to heartbeats that need not or must not wait any longer. */
   void tick() {
     if (!pendingHeartbeats.isEmpty()) {
-      pendingHeartbeats.answerDue(leadership.isUndecided(), clock.now(), this::route);
+      pendingHeartbeats.respondToDue(leadership.isUndecided(), clock.now(), this::route);
     }
   }
 
--- a/src/main/java/org/dewreach/controller/StatsCodec.java
+++ b/src/main/java/org/dewreach/controller/StatsCodec.java
@@ -11,8 +11,8 @@
 final class StatsCodec {
   private StatsCodec() {}
 
-  static ObjectNode encode(NodeStats stats) {
-    ObjectNode map = Codec.map().put("node", stats.node()).put("leader", stats.leader());
+  static ObjectNode encode(ControllerStats stats) {
+    ObjectNode map = Codec.map().put("node", stats.name()).put("leader", stats.leader());
     map.put("election", stats.election().name()).put("term", stats.term());
     map.put("open_calls", stats.openCalls());
     putUserRequests(map, stats.userRequests());
@@ -36,7 +36,7 @@
   private static void putConcurrency(ObjectNode map, ConcurrencyStats stats) {
     map.put("in_progress", stats.inProgress()).put("limit", stats.limit());
     map.put("answered", stats.answered());
-    map.put("turned_away", stats.turnedAway()).put("shed", stats.shed());
+    map.put("turned_away", stats.toldToRetry()).put("shed", stats.shed());
     map.put("p50_us", stats.p50Micros());
     map.put("p99_us", stats.p99Micros());
     map.put("max_us", stats.maxMicros());
--- a/src/main/java/org/dewreach/controller/TermComponents.java
+++ b/src/main/java/org/dewreach/controller/TermComponents.java
@@ -6,11 +6,11 @@
 import org.dewreach.heartbeat.DirectCommandSender;
 import org.dewreach.heartbeat.HeartbeatHandler;
 import org.dewreach.leadership.LeaseDelegations;
-import org.dewreach.leadership.PeerContacts;
+import org.dewreach.leadership.PeerReachabilityPoller;
 import org.dewreach.membership.FleetManager;
 import org.dewreach.membership.HandoverPolicy;
 import org.dewreach.membership.RecoveryTracker;
-import org.dewreach.membership.StalledRecovery;
+import org.dewreach.membership.StalledRecoveryResolver;
 import org.dewreach.request.JobRequestHandler;
 import org.dewreach.state.ClusterState;
 import org.dewreach.state.ClusterStateLoader;
@@ -38,13 +38,13 @@
    * @param closed tells whether the term is over
    */
   record Callbacks(
-      DurabilityListener records,
+      DurabilityListener durabilityListener,
       Consumer<String> onImportFailed,
-      DirectCommandSender.ReplyListener directReplies,
+      DirectCommandSender.ReplyListener directReplyListener,
       BooleanSupplier closed) {}
 
   private final long term;
-  private final NodeServices services;
+  private final ControllerServices services;
   private final Settings settings;
   final ClusterState clusterState;
   final CommitQueue queue;
@@ -54,7 +54,7 @@
   final HandoverPolicy handoverPolicy;
   final RecoveryTracker recovery;
   final RecoveryDurationTracker recoveryClock;
-  final StalledRecovery stalledRecovery;
+  final StalledRecoveryResolver stalledRecovery;
   final CancellationGate cancellationGate;
   final JobRecordWriter recordWriter;
   final ClusterStateLoader loader;
@@ -68,7 +68,7 @@
 
   TermComponents(
       long term,
-      NodeServices services,
+      ControllerServices services,
       LeadershipControl control,
       Callbacks callbacks,
       long nowMicros) {
@@ -82,16 +82,17 @@
             queue,
             settings.stateLimits().valueBytes(),
             services.wallOffsetMicros(),
-            callbacks.records());
+            callbacks.durabilityListener());
     this.delegations = new LeaseDelegations(term, settings, control::lastRenewalAt);
     this.fleet = newFleetManager(nowMicros);
     this.handoverPolicy = newHandoverPolicy();
     this.recovery = new RecoveryTracker(clusterState, fleet);
     this.recoveryClock =
         new RecoveryDurationTracker(services.store(), queue, services.wallOffsetMicros());
-    this.stalledRecovery = new StalledRecovery(recovery, fleet, recoveryClock, settings);
+    this.stalledRecovery = new StalledRecoveryResolver(recovery, fleet, recoveryClock, settings);
     this.cancellationGate = new CancellationGate(clusterState, settings, delegations, recovery);
-    this.recordWriter = new JobRecordWriter(queue, cancellationGate, callbacks.records());
+    this.recordWriter =
+        new JobRecordWriter(queue, cancellationGate, callbacks.durabilityListener());
     this.loader = newLoader();
     this.jobImporter =
         new LeaderlessJobImporter(
@@ -102,7 +103,7 @@
             term,
             services.outbox(),
             clusterState,
-            callbacks.directReplies(),
+            callbacks.directReplyListener(),
             settings.limits().connectionsToWorkers());
     this.heartbeatHandler = newHeartbeatHandler(callbacks.closed());
     this.placement = newPlacementLoop();
@@ -135,8 +136,8 @@
   }
 
   private HandoverPolicy newHandoverPolicy() {
-    PeerContacts peers = new PeerContacts(services.outbox(), settings);
-    return new HandoverPolicy(fleet, peers, services.handovers(), settings);
+    PeerReachabilityPoller peers = new PeerReachabilityPoller(services.outbox(), settings);
+    return new HandoverPolicy(fleet, peers, services.handoverHistory(), settings);
   }
 
   private ClusterStateLoader newLoader() {
--- a/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
+++ b/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aNodeNotHeardOfMayRenewForAsLongAsAnEarlierLeaderCanHaveDelegated() {
+  void aControllerWithoutProvenContactMayRenewForTheLongestEarlierDelegation() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
     assertEquals(100 * S + WORKERS.maxDelegationMicros(), delegations.renewedUntil("b", 105 * S));
@@ -49,10 +49,10 @@
   }
 
   @Test
-  void aNodeInContactRenewsNoLease() {
+  void aControllerInContactRenewsNoLease() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
-    long mark = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).mark();
+    long mark = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).timestampMicros();
     delegations.onRequest(request(mark, -1, 91 * S), 18 * S, 102 * S);
     assertTrue(delegations.renewedUntil("b", 103 * S) < 100 * S, "it never renewed a lease");
     assertEquals(120 * S, delegations.renewedUntil("b", 110 * S), "out of contact since");
@@ -63,7 +63,7 @@
   void aDelayedRequestProvesNoContact() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
-    long mark = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).mark();
+    long mark = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).timestampMicros();
     delegations.onRequest(request(mark, -1, 91 * S), 18 * S, 102 * S);
     delegations.onRequest(request(mark, -1, 91 * S), 18 * S, 130 * S);
     assertEquals(148 * S, delegations.renewedUntil("b", 131 * S));
@@ -74,10 +74,10 @@
    * delegate.
    */
   @Test
-  void aRestartedNodeMayHaveRenewedBefore() {
+  void aRestartedControllerMayHaveRenewedBefore() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
-    long mark = delegations.onRequest(request(-1, -1, S), 0, 110 * S).mark();
+    long mark = delegations.onRequest(request(-1, -1, S), 0, 110 * S).timestampMicros();
     delegations.onRequest(request(mark, -1, 2 * S), 0, 111 * S);
     long until = delegations.renewedUntil("b", 112 * S);
     assertTrue(until >= 109 * S && until < 110 * S, "until its start: " + until);
