--- a/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
@@ -14,21 +14,25 @@
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobSpec;
 
-/** Derives from the unplaced tasks how much capacity is worth renting. */
+/** Computes how much capacity is worth renting for the unplaced tasks. */
 public final class CapacityDemand {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** What a task takes besides its own run. */
+  /** Time that a task takes in addition to its run time. */
   private static final int TASK_OVERHEAD_S = 3;
 
   private static final long TASK_OVERHEAD_MICROS = 3_000_000;
 
-  /** Work that is done within this time is not spread over more machines. */
+  /** Work that can be completed within this time is not spread over more machines. */
   private static final long MIN_HORIZON_MICROS = 15_000_000;
 
+  /** Lower bound for the result of {@link #maxWaitS}. */
   private static final double MIN_MAX_WAIT_S = 10;
 
-  /** The slack of a job without an objective: more than any other, and safe to add to. */
+  /**
+   * The slack of a job without an objective: larger than any other, but small enough to be added to
+   * without overflow.
+   */
   private static final long UNLIMITED_SLACK_MICROS = Long.MAX_VALUE / 4;
 
   private final ClusterState clusterState;
@@ -37,9 +41,9 @@
   private final long wallOffsetMicros;
 
   /**
-   * The demand of one term.
+   * Creates the demand of one term.
    *
-   * @param wallOffsetMicros time of day less event time
+   * @param wallOffsetMicros offset from event time to wall-clock time
    */
   public CapacityDemand(
       ClusterState clusterState, Settings settings, Tuning tuning, long wallOffsetMicros) {
@@ -49,7 +53,7 @@
     this.wallOffsetMicros = wallOffsetMicros;
   }
 
-  /** The unplaced tasks that are worth machines of their own. */
+  /** Returns the requirements of the unplaced tasks that are worth additional machines. */
   List<CapacityRequirement> requirements(List<UnplacedTasks> unplaced, long nowMicros) {
     List<CapacityRequirement> requirements = new ArrayList<>();
     for (UnplacedTasks item : unplaced) {
@@ -64,7 +68,7 @@
     return requirements;
   }
 
-  /** True if the machines that are there would work on the unplaced batch tasks for too long. */
+  /** True if the existing machines would take too long to work off the unplaced batch tasks. */
   boolean hasLongBacklog(List<UnplacedTasks> unplaced, long nowMicros) {
     double backlogCpuS = 0;
     double weightedMaxWaitS = 0;
@@ -82,7 +86,7 @@
     return backlogCpuS > 0 && backlogCpuS > batchCpus() * weightedMaxWaitS / backlogCpuS;
   }
 
-  /** The CPUs that batch tasks have or could have. */
+  /** Returns the CPUs that batch tasks use or could use. */
   private double batchCpus() {
     double batchCpus = 0;
     for (Machine machine : clusterState.machines().values()) {
@@ -100,20 +104,23 @@
     return batchCpus;
   }
 
-  /** How many of the unplaced tasks are worth a machine of their own, rather than a wait. */
+  /** Returns how many of the unplaced tasks are worth additional machines, rather than a wait. */
   private int tasksWorthRenting(UnplacedTasks item, long nowMicros) {
     Job job = item.job();
     JobSpec spec = job.spec();
     if (spec.jobKind() == JobKind.SERVICE) {
       return item.tasks();
     }
-    // In floating point: the owner's estimate may be anything.
+    // Floating point avoids an overflow: the user's estimate of the run time may be any number.
     double work = (double) job.pending() * (spec.expectedMicros() + TASK_OVERHEAD_MICROS);
     int parallel = (int) Math.min(job.pending(), Math.ceil(work / horizonMicros(job, nowMicros)));
     return Math.min(item.tasks(), Math.max(0, parallel - job.bound().size()));
   }
 
-  /** Within what time a job's pending tasks are to be done: half of what its objective leaves. */
+  /**
+   * Returns the time within which a job's pending tasks are to be completed: half of the time that
+   * its objective leaves, or a fixed time if it has no objective.
+   */
   private long horizonMicros(Job job, long nowMicros) {
     long horizon =
         hasObjective(job)
@@ -126,10 +133,10 @@
     return order.completionTargetMicros(job.spec()) >= 0;
   }
 
-  /** Time until the job is to be done by its objective; negative if that is past. */
+  /** Returns the time until the objective of the job is due; negative if that time has passed. */
   private long dueInMicros(Job job, long nowMicros) {
-    long submittedAt = job.acceptedWallMicros() - wallOffsetMicros;
-    return submittedAt + order.completionTargetMicros(job.spec()) - nowMicros;
+    long acceptedAt = job.acceptedWallMicros() - wallOffsetMicros;
+    return acceptedAt + order.completionTargetMicros(job.spec()) - nowMicros;
   }
 
   private long slackMicros(Job job, long nowMicros) {
@@ -138,13 +145,13 @@
         : UNLIMITED_SLACK_MICROS;
   }
 
-  /** How long work can wait for machines that are there: half of the time that it has left. */
+  /** Returns how long tasks can wait for existing machines: half of their slack. */
   private double maxWaitS(Job job, long nowMicros) {
     double longWaitS = tuning.longWaitMicros() / MICROS_PER_SECOND;
     if (!hasObjective(job)) {
       return longWaitS;
     }
-    double spareS = slackMicros(job, nowMicros) / (2 * MICROS_PER_SECOND);
-    return Math.max(MIN_MAX_WAIT_S, Math.min(longWaitS, spareS));
+    double halfSlackS = slackMicros(job, nowMicros) / (2 * MICROS_PER_SECOND);
+    return Math.max(MIN_MAX_WAIT_S, Math.min(longWaitS, halfSlackS));
   }
 }
--- a/src/main/java/org/dewreach/autoscaling/CapacityPlan.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityPlan.java
@@ -14,21 +14,24 @@
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MachineType;
 
-/** The machines that one plan counts on, and those that it adds. */
+/** The machines that one plan counts on, and those that it adds to them. */
 final class CapacityPlan {
-  /** A machine that takes longer than twice its boot time and this is overdue. */
+  /**
+   * A machine is overdue if its boot takes longer than twice the boot time of its type plus this
+   * margin.
+   */
   private static final long BOOT_OVERDUE_MARGIN_MICROS = 10_000_000;
 
-  /** The most machines that one rental request may ask for. */
+  /** Maximum number of machines of one rental request. */
   private static final int MAX_MACHINES_PER_REQUEST = 50;
 
-  /** A machine that is booting, requested or planned, with the capacity that is left on it. */
+  /** A machine that is booting, requested or planned, with its unassigned capacity. */
   private record ExpectedMachine(MachinePool pool, FreeCapacity freeCapacity) {
     ExpectedMachine(MachinePool pool) {
       this(pool, FreeCapacity.of(pool.type()));
     }
 
-    /** Takes capacity for as many tasks as fit and may be in its zone, and tells how many. */
+    /** Assigns as many tasks as fit and as its zone allows, and returns their number. */
     int assign(JobSpec spec, int maxTasks, ZoneAllowance allowance) {
       int assigned =
           freeCapacity.allocate(spec, Math.min(maxTasks, allowance.remaining(pool.zone())));
@@ -42,7 +45,7 @@
 
   private CapacityPlan() {}
 
-  /** A plan that counts on the machines that boot and on those that were requested. */
+  /** Returns a plan that counts on the booting and the requested machines. */
   static CapacityPlan startingWith(
       Collection<Machine> machines, List<MachinePool> requestedPools, long nowMicros) {
     CapacityPlan plan = new CapacityPlan();
@@ -59,7 +62,7 @@
     return plan;
   }
 
-  /** True for a machine that will soon be of use. One long overdue is not counted on. */
+  /** True if the machine is expected to be usable soon. An overdue machine is not counted on. */
   private static boolean isExpectedSoon(Machine machine, long nowMicros) {
     return (machine.phase() == MachinePhase.BOOTING || machine.phase() == MachinePhase.UNCONFIRMED)
         && !machine.quarantined()
@@ -67,7 +70,7 @@
             < 2 * machine.type().bootMicros() + BOOT_OVERDUE_MARGIN_MICROS;
   }
 
-  /** A copy of what concerns one zone, to try a job there. */
+  /** Returns a copy with the expected machines of one zone, to try a job there. */
   CapacityPlan copyOf(String zone) {
     CapacityPlan copy = new CapacityPlan();
     for (ExpectedMachine machine : expected) {
@@ -80,7 +83,7 @@
   }
 
   /**
-   * Covers the tasks of a group by expected machines, and adds machines for the others.
+   * Assigns the tasks of a group to expected machines, and adds machines for the remaining tasks.
    *
    * @return the number of tasks that are not covered
    */
@@ -94,8 +97,8 @@
     }
     while (left > 0) {
       MachinePool pool = selector.cheapest(group, left, allowance);
-      // One request has no room for more: the next plan goes on. Guards against planning for
-      // thousands of machines, again and again, when the largest allowed job waits.
+      // One request cannot ask for more machines; the next plan continues. Guards against planning
+      // thousands of machines again in every round while the largest allowed job waits.
       if (pool == null || added.getOrDefault(pool, 0) >= MAX_MACHINES_PER_REQUEST) {
         break;
       }
@@ -107,7 +110,7 @@
     return left;
   }
 
-  /** The zones in which machines are expected or on offer, in alphabetical order. */
+  /** Returns the zones in which machines are expected or on offer, in alphabetical order. */
   Set<String> zones(List<MachineType> catalog) {
     Set<String> zones = new TreeSet<>();
     catalog.forEach(type -> zones.addAll(type.zones()));
@@ -115,7 +118,7 @@
     return zones;
   }
 
-  /** The price of all added machines. */
+  /** Returns the price of all added machines. */
   double price() {
     double sum = 0;
     for (Map.Entry<MachinePool, Integer> entry : added.entrySet()) {
@@ -124,7 +127,7 @@
     return sum;
   }
 
-  /** The added machines, by pool. */
+  /** Returns the added machines, by pool. */
   List<Rental> rentals() {
     List<Rental> rentals = new ArrayList<>();
     added.forEach((pool, count) -> rentals.add(new Rental(pool, count)));
--- a/src/main/java/org/dewreach/autoscaling/MachinePool.java
+++ b/src/main/java/org/dewreach/autoscaling/MachinePool.java
@@ -6,22 +6,23 @@
 import org.dewreach.wire.MachineType;
 
 /**
- * The machines that the cloud offers under one type, zone and kind of price.
+ * The machines of one type that the cloud offers in one zone, either as spot or as on-demand
+ * machines.
  *
  * @param spot true for spot machines, false for on-demand ones
  */
 public record MachinePool(MachineType type, String zone, boolean spot) {
-  /** The pool that a machine belongs to. */
+  /** Returns the pool that a machine belongs to. */
   public static MachinePool of(Machine machine) {
     return new MachinePool(machine.type(), machine.zone(), machine.spot());
   }
 
-  /** The price of one machine. */
+  /** Returns the price of one machine. */
   double price() {
     return spot ? type.spotPrice() : type.price();
   }
 
-  /** True if the job's owner allows machines of this pool. */
+  /** True if the job's constraints allow machines of this pool. */
   boolean permittedBy(JobSpec spec) {
     return SortFirstFit.permitted(spec, type.name(), zone, spot);
   }
--- a/src/main/java/org/dewreach/autoscaling/PoolSelector.java
+++ b/src/main/java/org/dewreach/autoscaling/PoolSelector.java
@@ -7,19 +7,15 @@
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MachineType;
 
-/** Chooses the pool that is the cheapest per task, among those that can be asked for now. */
+/** Chooses the pool with the lowest cost per task among the pools that can be requested now. */
 final class PoolSelector {
   private static final double COST_TOLERANCE = 1e-9;
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /**
-   * Time over which what a machine costs until it is of use is spread. A default of this project.
-   */
+  /** Time over which the cost of a machine during its start-up is amortized. */
   private static final double STARTUP_COST_AMORTIZATION_S = 120;
 
-  /**
-   * How much dearer a machine counts that comes too late for the tasks. A default of this project.
-   */
+  /** Factor on the cost of a machine that becomes usable too late for the tasks. */
   private static final double LATE_COST_FACTOR = 2;
 
   private final List<MachineType> catalog;
@@ -29,9 +25,10 @@
   private final long nowMicros;
 
   /**
-   * A selector for one plan.
+   * Creates a selector for one plan.
    *
-   * @param onDemandForAll false if work that may run on spot machines is to get only those
+   * @param onDemandForAll false if tasks that may run on spot machines are to get only spot
+   *     machines
    */
   PoolSelector(
       List<MachineType> catalog, boolean onDemandForAll, RefusalBackoff refusals, long nowMicros) {
@@ -42,7 +39,10 @@
     this.nowMicros = nowMicros;
   }
 
-  /** Spot pools before on-demand ones: of pools with equal costs the first one is chosen. */
+  /**
+   * Returns all pools, spot before on-demand ones: of pools with equal costs, the first one is
+   * chosen.
+   */
   private static List<MachinePool> pools(List<MachineType> catalog) {
     List<MachinePool> pools = new ArrayList<>();
     for (MachineType type : catalog) {
@@ -54,12 +54,14 @@
     return pools;
   }
 
-  /** All machine types on offer. */
+  /** Returns all machine types on offer. */
   List<MachineType> catalog() {
     return catalog;
   }
 
-  /** The cheapest pool for the given number of the group's tasks, or null if there is none. */
+  /**
+   * Returns the cheapest pool for the given number of the group's tasks, or null if there is none.
+   */
   MachinePool cheapest(RequirementGroup group, int tasks, ZoneAllowance allowance) {
     MachinePool best = null;
     double bestCost = Double.POSITIVE_INFINITY;
@@ -85,12 +87,12 @@
         && (pool.spot() || !spotOnly);
   }
 
-  /** What a machine of the pool costs per task, with its start-up. */
+  /** Returns the cost per task of a machine of the pool, including its start-up. */
   private static double costPerTask(MachinePool pool, RequirementGroup group, int maxTasks) {
     CapacityRequirement requirement = group.requirement();
     MachineType type = pool.type();
     int tasks = FreeCapacity.of(type).allocate(requirement.spec(), maxTasks);
-    // Until it has booted and fetched its images, a machine is paid for and of no use.
+    // While it boots and fetches images, a machine is paid for but cannot run tasks.
     double fetchS = type.fetchGbPerS() > 0 ? group.fetchGb(tasks) / type.fetchGbPerS() : 0;
     boolean late = type.bootMicros() + fetchS * MICROS_PER_SECOND > requirement.slackMicros();
     double startupS = type.bootMicros() / MICROS_PER_SECOND + fetchS;
--- a/src/main/java/org/dewreach/autoscaling/Rental.java
+++ b/src/main/java/org/dewreach/autoscaling/Rental.java
@@ -1,8 +1,8 @@
 package org.dewreach.autoscaling;
 
 /**
- * Machines to be rented with one request.
+ * Machines of one pool to be rented with one request.
  *
- * @param count how many
+ * @param count the number of machines
  */
 record Rental(MachinePool pool, int count) {}
--- a/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
@@ -12,7 +12,7 @@
 import org.dewreach.state.MachineRegistry;
 
 /**
- * Releases machines to the cloud and remembers the names of those that are gone.
+ * Releases machines to the cloud and remembers the names of the released ones.
  *
  * <p>A machine is first marked ({@link MachinePhase#TERMINATING}); all marked machines are released
  * with the next request.
@@ -30,14 +30,14 @@
   private long nextRequestAt;
   private boolean closed;
 
-  /** An executor of one term. */
+  /** Creates the executor of one term. */
   public ScaleInExecutor(ClusterState clusterState, MachineRegistry registry, CloudClient cloud) {
     this.clusterState = clusterState;
     this.registry = registry;
     this.cloud = cloud;
   }
 
-  /** Ignores all later answers of the cloud. */
+  /** Closes the executor; later responses of the cloud are ignored. */
   public void close() {
     closed = true;
   }
@@ -47,7 +47,7 @@
     clusterState.changePhase(machine, MachinePhase.TERMINATING, reason, nowMicros);
   }
 
-  /** Releases the machines that are marked, unless a request is in flight. */
+  /** Sends a request to release the marked machines, unless one is in flight. */
   public void releaseMarked(long nowMicros) {
     if (requestInFlight || nowMicros < nextRequestAt || !cloud.mayCall(nowMicros)) {
       return;
@@ -57,7 +57,7 @@
       return;
     }
     requestInFlight = true;
-    cloud.release(nowMicros, names, (answeredAt, result) -> onResult(names, result, answeredAt));
+    cloud.release(nowMicros, names, (respondedAt, result) -> onResult(names, result, respondedAt));
   }
 
   private List<String> markedNames() {
@@ -96,7 +96,10 @@
     }
   }
 
-  /** True if the machine was released: it may still be listed, or heard of, for a while. */
+  /**
+   * True if the machine was released. The cloud may still list it, and its heartbeats may still
+   * arrive, for a while.
+   */
   public boolean isReleased(String name) {
     return releasedNames.contains(name);
   }
--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -12,35 +12,29 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Cordons machines that are not needed, and has those released that are idle. */
+/** Cordons machines that are not needed, and marks idle machines for release. */
 public final class ScaleInPolicy {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleInPolicy.class);
 
-  /**
-   * There has to be spare capacity for this long before a machine is cordoned. A default of this
-   * project.
-   */
+  /** There must be spare capacity for this long before a machine is cordoned. */
   private static final long SPARE_CAPACITY_PERIOD_MICROS = 10_000_000;
 
   /**
-   * A machine with more of its CPUs taken by services would only run empty after long. A default of
-   * this project.
+   * A machine is not cordoned if services use a larger share of its CPUs, because it would take
+   * long to become empty.
    */
   private static final double MAX_SERVICE_SHARE = 0.4;
 
-  /** Machines that may be cordoned in one round. */
+  /** The number of machines that may be cordoned in one round, unless the fleet is large. */
   private static final int MIN_CORDON_LIMIT_PER_ROUND = 3;
 
-  /**
-   * Of a large fleet, one machine in this many may be cordoned in one round. A default of this
-   * project.
-   */
+  /** In a large fleet, one in this many machines may be cordoned in one round. */
   private static final int MACHINES_PER_CORDON = 25;
 
-  /** Prices per CPU that differ by less are equal. */
+  /** Prices per CPU that differ by less than this are considered equal. */
   private static final double PRICE_TOLERANCE = 1e-9;
 
-  /** From the end of the boot until the first task can start. */
+  /** Time from the end of the boot until the first task can start. */
   private static final long FIRST_HEARTBEAT_DELAY_MICROS = 5_000_000;
 
   private final ClusterState clusterState;
@@ -49,7 +43,7 @@
   private final ScaleInExecutor scaleIn;
   private long spareCapacitySince;
 
-  /** The policy of one term. */
+  /** Creates the policy of one term. */
   public ScaleInPolicy(
       ClusterState clusterState,
       MachineTypeCatalog catalog,
@@ -61,7 +55,10 @@
     this.scaleIn = scaleIn;
   }
 
-  /** Typical time until a machine rented now is of use. */
+  /**
+   * Returns the typical time until a machine that is rented now can run tasks, for the type with
+   * the longest boot time.
+   */
   public long typicalBootMicros() {
     long longest = 0;
     for (MachineType type : catalog.types()) {
@@ -71,8 +68,8 @@
   }
 
   /**
-   * Cordons a few machines at a time when the others have had capacity for their tasks for a while,
-   * and uncordons all as soon as tasks wait.
+   * Cordons a few machines per round once the others have had capacity for their tasks for a while,
+   * and uncordons all machines as soon as there are unplaced tasks.
    */
   public void cordonSpareMachines(long nowMicros, List<UnplacedTasks> unplaced) {
     if (!unplaced.isEmpty()) {
@@ -86,9 +83,9 @@
       }
       return;
     }
-    int most =
+    int maxCordoned =
         Math.max(MIN_CORDON_LIMIT_PER_ROUND, clusterState.machines().size() / MACHINES_PER_CORDON);
-    for (int i = 0; i < most; i++) {
+    for (int i = 0; i < maxCordoned; i++) {
       Machine spare = mostExpensiveSpareMachine(nowMicros);
       if (spare == null) {
         break;
@@ -110,8 +107,8 @@
   }
 
   /**
-   * The machine with the highest price per CPU among those whose tasks have room elsewhere; among
-   * equals the last of the list, which fills last. Null if there is none.
+   * Returns the machine with the highest price per CPU among those whose tasks would fit on other
+   * machines; among equals the last of the list, which is filled last. Null if there is none.
    */
   private Machine mostExpensiveSpareMachine(long nowMicros) {
     SpareCapacity spareCapacity = spareCapacity(nowMicros);
@@ -133,13 +130,15 @@
   /**
    * The free CPUs of the fleet.
    *
-   * @param headroom what is to stay free on on-demand machines for services to come
+   * @param headroom the CPUs to keep free on on-demand machines for future services
    */
   private record SpareCapacity(double onDemandCpus, double spotCpus, double headroom) {
-    /** True if the fleet can spare what the machine offers, and has room for its tasks. */
+    /**
+     * True if the fleet can do without the capacity of the machine and has capacity for its tasks.
+     */
     boolean canSpare(Machine machine, double serviceCpus) {
       boolean enoughInAll = spotCpus + onDemandCpus - headroom >= machine.type().cpus();
-      // Services run on on-demand machines only, so those have to have room for them.
+      // Services run only on on-demand machines, so those must have capacity for them.
       boolean enoughOnDemand =
           machine.spot() || onDemandCpus - machine.freeCpus() - serviceCpus >= headroom;
       return enoughInAll && enoughOnDemand;
@@ -153,7 +152,7 @@
         clusterState.serviceRate().headroomCpus(typicalBootMicros(), nowMicros));
   }
 
-  /** The CPUs taken by tasks that may run on on-demand machines only. */
+  /** Returns the CPUs used by tasks that may run only on on-demand machines. */
   private static double serviceCpus(Machine machine) {
     double cpus = 0;
     for (Task task : machine.tasks()) {
@@ -166,7 +165,7 @@
     return MachinePool.of(machine).price() / Math.max(1, machine.type().cpus());
   }
 
-  /** Marks the machines for release that have been idle for longer than they are kept. */
+  /** Marks for release the machines that have been idle for longer than they are to be kept. */
   public void releaseIdleMachines(long nowMicros) {
     for (Machine machine : clusterState.machines().values()) {
       long keptMicros = machine.cordoned() ? 0 : tuning.idleKeptMicros();
--- a/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleOutExecutor.java
@@ -17,7 +17,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Rents machines for unplaced tasks, and repeats requests whose outcome is not known. */
+/** Rents machines for unplaced tasks, and retries requests whose outcome is unknown. */
 public final class ScaleOutExecutor {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOutExecutor.class);
 
@@ -25,7 +25,7 @@
   private static final int MAX_ATTEMPTS = 4;
   private static final long RETRY_DELAY_MICROS = 1_500_000;
 
-  /** A rental request without an outcome. */
+  /** A rental request whose outcome is not known yet. */
   private static final class OpenRequest {
     final String name;
     final Rental rental;
@@ -51,7 +51,7 @@
   private long lastRequestNumber;
   private boolean closed;
 
-  /** An executor of one term. */
+  /** Creates the executor of one term. */
   public ScaleOutExecutor(
       long term,
       ClusterState clusterState,
@@ -69,14 +69,17 @@
     this.scaleIn = scaleIn;
   }
 
-  /** Ignores all later answers of the cloud. */
+  /** Closes the executor; later responses of the cloud are ignored. */
   public void close() {
     closed = true;
   }
 
-  /** Repeats requests that are due, then rents for the unplaced tasks. Called once a round. */
+  /**
+   * Retries requests that are due, then rents machines for the unplaced tasks. Called once per
+   * round.
+   */
   public void scaleOut(long nowMicros, List<UnplacedTasks> unplaced) {
-    repeatDueRequests(nowMicros);
+    retryDueRequests(nowMicros);
     if (catalog.types().isEmpty() || openRequests.size() >= MAX_OPEN_REQUESTS) {
       return;
     }
@@ -100,14 +103,14 @@
   }
 
   private OpenRequest newRequest(Rental rental) {
-    // The term makes the name unique among leaders, the counter within the term.
+    // The term makes the name unique across leaders, the counter makes it unique within the term.
     String name = "dw-" + term + "-" + ++lastRequestNumber;
     OpenRequest request = new OpenRequest(name, rental);
     openRequests.put(name, request);
     return request;
   }
 
-  private void repeatDueRequests(long nowMicros) {
+  private void retryDueRequests(long nowMicros) {
     for (OpenRequest request : List.copyOf(openRequests.values())) {
       if (!request.inFlight && nowMicros >= request.nextAttemptAt && cloud.mayCall(nowMicros)) {
         send(request, nowMicros);
@@ -115,7 +118,7 @@
     }
   }
 
-  /** The pool of each machine that was asked for and not granted yet. */
+  /** Returns the pool of each machine that is requested and not rented yet. */
   private List<MachinePool> requestedPools() {
     List<MachinePool> pools = new ArrayList<>();
     for (OpenRequest request : openRequests.values()) {
@@ -140,7 +143,7 @@
         new RentalRequest(
             request.name, pool.type().name(), pool.zone(), pool.spot(), request.rental.count());
     cloud.rent(
-        nowMicros, rentalRequest, (answeredAt, result) -> onResult(request, result, answeredAt));
+        nowMicros, rentalRequest, (respondedAt, result) -> onResult(request, result, respondedAt));
   }
 
   private void onResult(OpenRequest request, RentalResult result, long nowMicros) {
@@ -155,12 +158,12 @@
       planner.onRefused(request.rental.pool(), nowMicros);
       openRequests.remove(request.name);
     } else {
-      onInconclusive(request, nowMicros);
+      onUnknownOutcome(request, nowMicros);
     }
   }
 
-  private void onInconclusive(OpenRequest request, long nowMicros) {
-    // Executed or not: the same name again gives the same machines.
+  private void onUnknownOutcome(OpenRequest request, long nowMicros) {
+    // The request may have been executed; a retry under the same name returns the same machines.
     request.nextAttemptAt = nowMicros + RETRY_DELAY_MICROS;
     if (request.attempts >= MAX_ATTEMPTS) {
       openRequests.remove(request.name);
@@ -187,7 +190,8 @@
   }
 
   private void addRented(String name, MachinePool pool, long nowMicros) {
-    // Its worker may have reported, or the machine may have been released, before this answer came.
+    // Before this response arrived, the worker of the machine may have sent a heartbeat, or the
+    // machine may have been released.
     if (clusterState.machines().containsKey(name) || scaleIn.isReleased(name)) {
       return;
     }
--- a/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
+++ b/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
@@ -6,27 +6,29 @@
 import org.dewreach.wire.MachineType;
 
 /**
- * Chooses what to rent: unplaced tasks are first fitted, by the rule of placement, on machines that
- * are still booting; for the rest the cheapest pool is chosen, one machine at a time.
+ * Plans which machines to rent: unplaced tasks are first assigned, by the same first-fit rule as in
+ * placement, to machines that are still booting; for the remaining tasks the cheapest pool is
+ * chosen, one machine at a time.
  */
 final class ScalingPlanner {
   private final RefusalBackoff refusals = new RefusalBackoff();
 
-  /** The cloud had fewer machines of the pool than were asked for. */
+  /** Records that the cloud had fewer machines of the pool than requested. */
   void onRefused(MachinePool pool, long nowMicros) {
     refusals.onRefused(pool, nowMicros);
   }
 
-  /** The cloud had all machines of the pool that were asked for. */
+  /** Records that the cloud had all requested machines of the pool. */
   void onFulfilled(MachinePool pool) {
     refusals.onFulfilled(pool);
   }
 
   /**
-   * What to ask the cloud for now.
+   * Returns the machines to request from the cloud now.
    *
-   * @param requestedPools the pools of the machines that were asked for and have not come yet
-   * @param onDemandForAll false if work that may run on spot machines is to get only those
+   * @param requestedPools the pools of the machines that are requested and not rented yet
+   * @param onDemandForAll false if tasks that may run on spot machines are to get only spot
+   *     machines
    */
   List<Rental> plan(
       List<CapacityRequirement> requirements,
@@ -47,7 +49,7 @@
     return plan.rentals();
   }
 
-  /** Where the group's tasks may be planned; null if they can be planned nowhere. */
+  /** Returns the zones in which the group's tasks may be planned; null if there is none. */
   private static ZoneAllowance allowance(
       RequirementGroup group, CapacityPlan plan, SharedZoneSelector zoneSelector) {
     CapacityRequirement requirement = group.requirement();
--- a/src/main/java/org/dewreach/autoscaling/SharedZoneSelector.java
+++ b/src/main/java/org/dewreach/autoscaling/SharedZoneSelector.java
@@ -7,10 +7,10 @@
 import org.dewreach.placement.SortFirstFit;
 
 /**
- * Chooses the zone for a job whose tasks have to share one.
+ * Chooses the zone for a job whose tasks must share one.
  *
- * <p>Guards against machines rented in a zone that the job cannot use, and against machines to come
- * in several zones that are counted together for it.
+ * <p>Guards against renting machines in a zone that the job cannot use, and against counting
+ * expected machines of several zones together for one job.
  */
 final class SharedZoneSelector {
   private static final double PRICE_TOLERANCE = 1e-9;
@@ -18,15 +18,16 @@
   private final Collection<Machine> machines;
   private final PoolSelector selector;
 
-  /** A selector for one plan. */
+  /** Creates a selector for one plan. */
   SharedZoneSelector(Collection<Machine> machines, PoolSelector selector) {
     this.machines = machines;
     this.selector = selector;
   }
 
   /**
-   * The zone of the job's bound tasks, else the one that can hold most of the others; among equals
-   * the one in which the least remains to be paid for. Null if none can hold any of them.
+   * Returns the zone of the job's bound tasks, or else the zone that can hold most of the unplaced
+   * tasks; among equals, the zone where the machines that are still missing cost least. Null if no
+   * zone can hold any of them.
    */
   String select(RequirementGroup group, CapacityPlan plan) {
     CapacityRequirement requirement = group.requirement();
@@ -38,11 +39,13 @@
     int fewestLeft = requirement.tasks();
     double bestPrice = 0;
     for (String zone : plan.zones(selector.catalog())) {
-      CapacityPlan trial = plan.copyOf(zone);
-      int left = trial.cover(group, ZoneAllowance.only(zone), selector);
-      // Machines that came for the job and that wait with it for the others make it stay there.
-      double missing = 1 - (double) countTasksFittingNow(requirement, zone) / requirement.tasks();
-      double price = (trial.price() - plan.price()) * missing;
+      CapacityPlan candidatePlan = plan.copyOf(zone);
+      int left = candidatePlan.cover(group, ZoneAllowance.only(zone), selector);
+      // Lowers the price of a zone where machines that were rented for the job already wait for the
+      // remaining ones, so that the job keeps that zone.
+      double missingShare =
+          1 - (double) countTasksFittingNow(requirement, zone) / requirement.tasks();
+      double price = (candidatePlan.price() - plan.price()) * missingShare;
       boolean cheaper = best != null && left == fewestLeft && price < bestPrice - PRICE_TOLERANCE;
       if (left < fewestLeft || cheaper) {
         best = zone;
@@ -62,7 +65,7 @@
     return null;
   }
 
-  /** How many of the tasks fit into the free capacity of the zone's machines. */
+  /** Returns how many of the tasks fit into the free capacity of the zone's machines. */
   private int countTasksFittingNow(CapacityRequirement requirement, String zone) {
     int tasks = 0;
     for (Machine machine : machines) {
--- a/src/main/java/org/dewreach/autoscaling/ZoneAllowance.java
+++ b/src/main/java/org/dewreach/autoscaling/ZoneAllowance.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How many more tasks of a job may be planned in each zone. */
+/** The number of tasks of a job that may still be planned in each zone. */
 final class ZoneAllowance {
   private final Map<String, Integer> remaining = new HashMap<>();
   private final int remainingElsewhere;
@@ -12,19 +12,22 @@
     this.remainingElsewhere = remainingElsewhere;
   }
 
-  /** No limit in any zone. */
+  /** Returns an allowance without a limit in any zone. */
   static ZoneAllowance anyZone() {
     return new ZoneAllowance(Integer.MAX_VALUE);
   }
 
-  /** No limit in this zone, and no tasks elsewhere. */
+  /** Returns an allowance for any number of tasks in this zone and none elsewhere. */
   static ZoneAllowance only(String zone) {
     ZoneAllowance allowance = new ZoneAllowance(0);
     allowance.remaining.put(zone, Integer.MAX_VALUE);
     return allowance;
   }
 
-  /** At most half of the job's tasks, rounded up, in each zone, the bound ones included. */
+  /**
+   * Returns an allowance for at most half of the job's tasks in each zone, rounded up and including
+   * the tasks that are bound there.
+   */
   static ZoneAllowance atMostHalf(CapacityRequirement requirement) {
     int half = (requirement.spec().tasks() + 1) / 2;
     ZoneAllowance allowance = new ZoneAllowance(half);
@@ -34,12 +37,12 @@
     return allowance;
   }
 
-  /** How many more tasks may be planned in the zone. */
+  /** Returns how many more tasks may be planned in the zone. */
   int remaining(String zone) {
     return remaining.getOrDefault(zone, remainingElsewhere);
   }
 
-  /** Counts tasks that were planned in the zone. */
+  /** Subtracts tasks that were planned in the zone. */
   void consume(String zone, int tasks) {
     remaining.put(zone, remaining(zone) - tasks);
   }
--- a/src/main/java/org/dewreach/placement/FreeCapacity.java
+++ b/src/main/java/org/dewreach/placement/FreeCapacity.java
@@ -5,8 +5,8 @@
 import org.dewreach.wire.MachineType;
 
 /**
- * Room for tasks that is counted apart from the cluster state: of machines to come, or of machines
- * some of whose tasks are being stopped.
+ * The free capacity of a machine, tracked separately from the cluster state: for a machine that is
+ * expected but not up yet, or for one where some tasks are being stopped.
  */
 public final class FreeCapacity {
   private double cpus;
@@ -19,46 +19,48 @@
     this.memoryGb = memoryGb;
   }
 
-  /** What an empty machine of the type has. */
+  /** Returns the capacity of an empty machine of the type. */
   public static FreeCapacity of(MachineType type) {
     return new FreeCapacity(type.cpus(), type.gpus(), type.memoryGb());
   }
 
-  /** What a machine has free. */
+  /** Returns the capacity that the machine has free now. */
   public static FreeCapacity free(Machine machine) {
     return new FreeCapacity(machine.freeCpus(), machine.freeGpus(), machine.freeMemoryGb());
   }
 
-  /** A copy that changes on its own. */
+  /** Returns an independent copy. */
   public FreeCapacity copy() {
     return new FreeCapacity(cpus, gpus, memoryGb);
   }
 
-  /** True if there is room for one task of the job. */
+  /** True if the free capacity is enough for one task of the job. */
   public boolean covers(JobSpec spec) {
     return ResourceAmounts.covers(cpus, spec.cpus())
         && ResourceAmounts.covers(gpus, spec.gpus())
         && ResourceAmounts.covers(memoryGb, spec.memoryGb());
   }
 
-  /** Gives back the room of one task. */
+  /** Adds the resources of one task to the free capacity. */
   public void deallocate(JobSpec spec) {
     cpus += spec.cpus();
     gpus += spec.gpus();
     memoryGb += spec.memoryGb();
   }
 
-  /** Takes the room of one task, whether it is there or not. */
+  /** Subtracts the resources of one task, even if they are not free. */
   public void allocate(JobSpec spec) {
     cpus -= spec.cpus();
     gpus -= spec.gpus();
     memoryGb -= spec.memoryGb();
   }
 
-  /** Takes room for as many tasks as fit, at most the number given, and tells how many. */
-  public int allocate(JobSpec spec, int most) {
+  /**
+   * Allocates as many tasks of the job as fit, at most {@code maxTasks}, and returns their number.
+   */
+  public int allocate(JobSpec spec, int maxTasks) {
     int count = 0;
-    while (count < most && covers(spec)) {
+    while (count < maxTasks && covers(spec)) {
       allocate(spec);
       count++;
     }
--- a/src/main/java/org/dewreach/placement/FreeCapacityIndex.java
+++ b/src/main/java/org/dewreach/placement/FreeCapacityIndex.java
@@ -3,16 +3,16 @@
 import java.util.Arrays;
 
 /**
- * A segment tree of the largest free amounts in ranges of the list, so that a walk skips ranges
- * without room.
+ * A segment tree over the machine list that holds the largest free amounts of each range, so that a
+ * search skips ranges without enough capacity.
  *
- * <p>Each node has the largest free CPUs, memory and GPUs below it, each by itself. A range whose
- * largest amounts do not cover a task has no machine that does; one whose amounts do may still have
- * none, so a leaf is what decides. The walk over the index therefore meets the very machines that
- * the plain walk would, in the same order.
+ * <p>Each node holds the largest free CPUs, memory and GPUs of the leaves below it, each as a
+ * separate maximum. A range whose maxima do not cover a task contains no machine that does; a range
+ * whose maxima do may still contain none, so only a leaf is conclusive. A search with the index
+ * therefore finds the same machines as a linear scan, in the same order.
  */
 final class FreeCapacityIndex {
-  /** Amounts of a position that offers nothing. */
+  /** The amounts of an unavailable position; a negative amount does not even cover a need of 0. */
   private static final double UNAVAILABLE = -1;
 
   private int leafCount = 1;
@@ -20,7 +20,7 @@
   private double[] memory = new double[2];
   private double[] gpus = new double[2];
 
-  /** Starts over with so many positions, none of which offers anything. */
+  /** Resets the index to {@code size} positions, all of them unavailable. */
   void reset(int size) {
     int needed = Math.max(1, Integer.highestOneBit(Math.max(1, size) * 2 - 1));
     if (needed != leafCount) {
@@ -34,7 +34,7 @@
     Arrays.fill(gpus, UNAVAILABLE);
   }
 
-  /** Sets a position without looking at the ranges above it; {@link #build} follows. */
+  /** Sets a leaf without updating its ancestors; {@link #build} has to be called afterwards. */
   void setLeaf(int position, double freeCpus, double freeMemory, double freeGpus) {
     int node = leafCount + position;
     cpus[node] = freeCpus;
@@ -42,19 +42,19 @@
     gpus[node] = freeGpus;
   }
 
-  /** Computes all ranges from their positions. */
+  /** Computes all inner nodes from the leaves. */
   void build() {
     for (int node = leafCount - 1; node > 0; node--) {
       updateFromChildren(node);
     }
   }
 
-  /** Takes everything from a position. */
+  /** Marks a position as unavailable. */
   void remove(int position) {
     set(position, UNAVAILABLE, UNAVAILABLE, UNAVAILABLE);
   }
 
-  /** Sets a position and the ranges above it. */
+  /** Sets a leaf and updates its ancestors. */
   void set(int position, double freeCpus, double freeMemory, double freeGpus) {
     setLeaf(position, freeCpus, freeMemory, freeGpus);
     for (int node = (leafCount + position) / 2; node > 0; node /= 2) {
@@ -68,7 +68,10 @@
     gpus[node] = Math.max(gpus[2 * node], gpus[2 * node + 1]);
   }
 
-  /** The first position, from the given one on, that covers the amounts; -1 if there is none. */
+  /**
+   * Returns the first position at or after {@code from} that covers the amounts, or -1 if there is
+   * none.
+   */
   int next(int from, double needCpus, double needMemory, double needGpus) {
     if (from >= leafCount) {
       return -1;
@@ -82,7 +85,7 @@
         node = 2 * node;
         continue;
       }
-      // To the next range on the right: up while this is a right child.
+      // Moves on to the next subtree on the right: goes up while the node is a right child.
       while ((node & 1) == 1) {
         if (node == 1) {
           return -1;
--- a/src/main/java/org/dewreach/placement/QueueOrder.java
+++ b/src/main/java/org/dewreach/placement/QueueOrder.java
@@ -14,71 +14,75 @@
 import org.dewreach.wire.JobSpec;
 
 /**
- * The order in which waiting jobs are placed: priority, then guarantee, then what can still be in
- * time, then age.
+ * The order in which waiting jobs are placed: by priority, then by guarantee, then by whether they
+ * can still meet their completion target, then by age.
  *
- * <p>When there is more work than room, going by age alone makes every job late by a little. So a
- * job that can still be done in time goes before one that cannot, and of those the one with the
- * least work left goes first: the most jobs are then in time.
+ * <p>When there is more work than capacity, an order by age alone makes every job slightly late.
+ * Therefore a job that can still meet its target goes before one that cannot, and among those that
+ * can, the one with the least remaining work goes first: this maximizes the number of jobs that
+ * meet their target.
  */
 public final class QueueOrder {
   private static final Comparator<Job> BY_AGE =
       Comparator.comparingLong(Job::acceptedWallMicros).thenComparing(Job::id);
 
-  /** From placement to running: the command, and often an image. A default of this project. */
+  /**
+   * Expected time from placement to running: delivering the command, and often fetching an image.
+   */
   private static final long TASK_START_MICROS = 4_000_000;
 
   /**
-   * A job that misses its target by less than half of it is still better than a later one. A
-   * default of this project.
+   * A job that finishes within this many times its target is preferred to one that finishes even
+   * later.
    */
   private static final double GRACE_FACTOR = 1.5;
 
-  /**
-   * With less slack than this, a job goes before those that can still wait. A default of this
-   * project.
-   */
+  /** A job with less slack than this goes before jobs that can still wait. */
   private static final long URGENT_SLACK_MICROS = 20_000_000;
 
-  /** A job that has waited for this long is to be served for its age. A default of this project. */
+  /** Once a job has waited longer than this, some orderings go by age. */
   private static final long LONG_WAIT_THRESHOLD_MICROS = 150_000_000;
 
-  /** Once a job has waited long, one order in this many goes by age. A default of this project. */
+  /** Once a job has waited long, one in this many orderings goes by age. */
   private static final int AGE_ORDER_INTERVAL = 2;
 
   /**
-   * A job waits no longer than this for its first task, if its priority gets any. A default of this
-   * project.
+   * A job waits no longer than this for its first task, provided that jobs of its priority get any
+   * capacity.
    */
   private static final long STARVATION_THRESHOLD_MICROS = 140_000_000;
 
-  /** What goes first among jobs of one priority. */
+  /** The order among jobs of one priority, first band first. */
   private enum Band {
-    /** Has waited too long for its first task. */
+    /** Jobs that have waited too long for their first task. */
     STARVED,
-    /** All others, in an order that goes by age. */
+    /** All other jobs, in an ordering that goes by age. */
     AGE_ORDERED,
-    /** Within its team's guarantee. */
+    /** Jobs within their team's guarantee. */
     GUARANTEED,
-    /** Beyond its team's guarantee. */
+    /** Jobs beyond their team's guarantee. */
     UNGUARANTEED
   }
 
-  /** Whether a job can still be done in time. */
+  /** Whether a job can still meet its completion target. */
   private enum Timeliness {
-    /** Only if it is placed soon. */
+    /** The job meets its target only if it is placed soon. */
     URGENT,
-    /** Yes, or it has no target. */
+    /** The job meets its target with time to spare, or it has no target. */
     ON_TIME,
-    /** Not quite. */
+    /** The job misses its target but finishes within the grace period. */
     WITHIN_GRACE,
-    /** By far not. */
+    /** The job finishes after the grace period. */
     LATE
   }
 
-  /** The sort key of a job. */
+  /**
+   * The sort key of a job.
+   *
+   * @param work remaining work in CPU-microseconds, or 0 if it is not compared
+   */
   private record SortKey(Job job, Band band, Timeliness timeliness, double work) {
-    /** A rank that is decided by the band and the job's age. */
+    /** A key that compares by priority, band and the job's age only. */
     SortKey(Job job, Band band) {
       this(job, band, Timeliness.URGENT, 0);
     }
@@ -95,7 +99,10 @@
   private final Map<String, Long> finishWithinMicrosByClass = new HashMap<>();
   private int orderingsWithLongWait;
 
-  /** Creates the order for these guarantees and objectives, of which those on finishing count. */
+  /**
+   * Creates the order for the teams' guarantees and the objectives, of which only those of kind
+   * FINISH_WITHIN are used.
+   */
   public QueueOrder(Map<String, Settings.Team> teams, List<Settings.Objective> objectives) {
     this.teams = teams;
     for (Settings.Objective objective : objectives) {
@@ -107,19 +114,21 @@
   }
 
   /**
-   * Those of the jobs that wait, in the order of placement.
+   * Returns the waiting jobs in the order in which they are to be placed.
    *
-   * <p>Guards against jobs that always have others before them: large ones under a flood of small
-   * ones, late ones, those of a team without a guarantee. A starved job comes first within its
-   * priority, {@linkplain #isStarved for one task}. And once some job has waited long, every other
-   * order goes by age alone; so each gets room in the end, and most of the room still goes to what
-   * can be in time.
+   * <p>Guards against starvation of jobs that always have others ahead of them: large jobs under a
+   * flood of small ones, late jobs, and jobs of a team without a guarantee. A {@linkplain
+   * #isStarved starved} job comes first within its priority until it has one task. In addition,
+   * once some job has waited long, every second ordering goes by age alone within each priority; so
+   * every job gets capacity eventually, and most of the capacity still goes to jobs that can meet
+   * their target.
    *
-   * @param jobs all jobs, by which the guarantees are given out
+   * @param jobs all jobs, among which the guarantees are allotted
+   * @param isWaiting selects the jobs to be ordered
    */
-  public List<Job> order(Collection<Job> jobs, Predicate<Job> waits, long wallMicros) {
+  public List<Job> order(Collection<Job> jobs, Predicate<Job> isWaiting, long wallMicros) {
     Set<Job> guaranteed = guaranteed(jobs);
-    List<Job> waiting = jobs.stream().filter(waits).toList();
+    List<Job> waiting = jobs.stream().filter(isWaiting).toList();
     boolean byAge = shouldOrderByAge(waiting, wallMicros);
     List<SortKey> sortKeys = new ArrayList<>(waiting.size());
     for (Job job : waiting) {
@@ -147,7 +156,7 @@
     return false;
   }
 
-  /** True for a job that has waited so long for its first task that it is to be given one now. */
+  /** True if the job has waited so long for its first task that it is to get one now. */
   public static boolean isStarved(Job job, long wallMicros) {
     return wallMicros - job.acceptedWallMicros() > STARVATION_THRESHOLD_MICROS
         && job.doneCount() == 0
@@ -174,14 +183,20 @@
     return earliestEnd <= graceEnd ? Timeliness.WITHIN_GRACE : Timeliness.LATE;
   }
 
-  /** When the job is to be done, from its acceptance, by its owner or its class; or -1. */
+  /**
+   * Returns the time within which the job is to be completed, counted from its acceptance: its own
+   * deadline, or else the objective of its class; -1 if it has neither.
+   */
   public long completionTargetMicros(JobSpec spec) {
     return spec.dueMicros() >= 0
         ? spec.dueMicros()
         : finishWithinMicrosByClass.getOrDefault(spec.jobClass(), -1L);
   }
 
-  /** Jobs that fit into their team's guarantee together with its earlier unfinished jobs. */
+  /**
+   * Returns the jobs that fit into their team's guarantee together with the team's earlier
+   * unfinished jobs.
+   */
   Set<Job> guaranteed(Collection<Job> jobs) {
     List<Job> byAge = new ArrayList<>(jobs);
     byAge.sort(BY_AGE);
--- a/src/main/java/org/dewreach/placement/Quotas.java
+++ b/src/main/java/org/dewreach/placement/Quotas.java
@@ -5,26 +5,29 @@
 import org.dewreach.config.Settings;
 import org.dewreach.wire.JobSpec;
 
-/** What each team's bound tasks take of its quota. A task counts until it is proven gone. */
+/**
+ * Tracks how much of each team's quota its bound tasks use. A task counts until it is proven to be
+ * gone.
+ */
 public final class Quotas {
-  /** Rounding errors of the sums over all tasks that come and go are smaller. */
+  /** Larger than the rounding errors of the sums to which tasks are added and subtracted. */
   private static final double TOLERANCE = 1e-6;
 
   private final Map<String, Settings.Team> teams;
   private final Map<String, TeamUsage> usages = new HashMap<>();
 
-  /** Creates the accounts of these teams, without any bound task. */
+  /** Creates the accounting for these teams, without any bound task. */
   public Quotas(Map<String, Settings.Team> teams) {
     this.teams = teams;
   }
 
-  /** Adds so many tasks of the job to what its team uses; a negative number removes them. */
+  /** Adds this number of the job's tasks to its team's usage; a negative number removes them. */
   public void add(JobSpec spec, int tasks) {
     usages.computeIfAbsent(spec.team(), name -> new TeamUsage()).add(spec, tasks);
   }
 
-  /** How many more tasks of the job its team may start, at most the number given. */
-  public int startableTasks(JobSpec spec, int most) {
+  /** Returns how many more tasks of the job its team may start, at most {@code maxTasks}. */
+  public int startableTasks(JobSpec spec, int maxTasks) {
     Settings.Team team = teams.get(spec.team());
     if (team == null) {
       return 0;
@@ -35,6 +38,6 @@
         spec.gpus() > 0
             ? (team.gpusMax() - usage.gpus() + TOLERANCE) / spec.gpus()
             : Double.MAX_VALUE;
-    return (int) Math.max(0, Math.min(most, Math.min(byCpu, byGpu)));
+    return (int) Math.max(0, Math.min(maxTasks, Math.min(byCpu, byGpu)));
   }
 }
--- a/src/main/java/org/dewreach/placement/ResourceAmounts.java
+++ b/src/main/java/org/dewreach/placement/ResourceAmounts.java
@@ -1,13 +1,13 @@
 package org.dewreach.placement;
 
-/** Comparison of amounts of CPU, memory and GPUs that are sums and differences of others. */
+/** Compares amounts of CPU, memory and GPUs that are results of additions and subtractions. */
 final class ResourceAmounts {
-  /** Rounding errors of such amounts are smaller. */
+  /** Larger than the rounding errors of such amounts. */
   private static final double TOLERANCE = 1e-9;
 
   private ResourceAmounts() {}
 
-  /** True if the amount that is there is enough for what is needed. */
+  /** True if the available amount is enough for the needed one, apart from rounding errors. */
   static boolean covers(double available, double needed) {
     return needed <= available + TOLERANCE;
   }
--- a/src/main/java/org/dewreach/placement/ServiceArrivalRate.java
+++ b/src/main/java/org/dewreach/placement/ServiceArrivalRate.java
@@ -3,17 +3,17 @@
 import org.dewreach.wire.JobSpec;
 
 /**
- * The rate at which services arrive, and how much room to keep for those to come.
+ * Estimates the rate at which services arrive, and the headroom to keep for future arrivals.
  *
- * <p>On average, departures make room for arrivals; what has to be kept is for their unevenness
- * over the time that a new machine takes. With n arrivals expected in that time, that is a little
- * more than the root of n.
+ * <p>On average, departures free the capacity that arrivals need; headroom is needed only for the
+ * fluctuation of arrivals over the time that a new machine takes to become usable. With n arrivals
+ * expected in that time, that is slightly more than the square root of n.
  */
 public final class ServiceArrivalRate {
-  /** Arrivals are forgotten over about this long. A default of this project. */
+  /** Time constant with which past arrivals decay. */
   private static final double DECAY_TIME_MICROS = 120e6;
 
-  /** With fewer arrivals expected no room is kept. */
+  /** No headroom is kept if fewer arrivals than this are expected. */
   private static final double MIN_EXPECTED_ARRIVALS = 0.2;
 
   private final double standardDeviations;
@@ -21,12 +21,12 @@
   private double maxTaskCpus;
   private long lastDecayMicros;
 
-  /** Keeps room for so many standard deviations of the arrivals. */
+  /** Creates an estimator whose headroom covers this many standard deviations of the arrivals. */
   public ServiceArrivalRate(double standardDeviations) {
     this.standardDeviations = standardDeviations;
   }
 
-  /** A service was accepted. */
+  /** Records that a service was accepted. */
   public void recordArrival(JobSpec spec, long nowMicros) {
     decay(nowMicros);
     arrivalsPerMicro += spec.tasks() / DECAY_TIME_MICROS;
@@ -40,7 +40,10 @@
     }
   }
 
-  /** CPUs to keep free for services when a new machine takes the time given. */
+  /**
+   * Returns the number of CPUs to keep free for services, given the time that a new machine takes
+   * to become usable.
+   */
   public double headroomCpus(long bootMicros, long nowMicros) {
     decay(nowMicros);
     double expected = arrivalsPerMicro * bootMicros;
--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -9,13 +9,16 @@
 import org.dewreach.wire.JobSpec;
 
 /**
- * The list of machines, largest CPU capacity first, and the first one that covers a task.
+ * The machine list of the SortFirstFit algorithm (Zhou et al., GLOBECOM 2017): machines are sorted
+ * by CPU capacity, largest first, and a task goes to the first machine that covers it.
  *
- * <p>Ties go to more memory, then to the name. Free CPU, memory and GPUs are checked together;
- * memory stands in for the paper's bandwidth.
+ * <p>Machines with equal CPU capacity are sorted by memory, largest first, then by name. Free CPU,
+ * memory and GPUs are checked together; memory replaces the bandwidth that the paper checks.
  */
 public final class SortFirstFit {
-  /** A start is looked for within at most this many times the time given. */
+  /**
+   * The limit on the time to fetch images is relaxed to at most this many times the requested one.
+   */
   private static final int MAX_FETCH_LIMIT_FACTOR = 4;
 
   /** The order of the list. */
@@ -49,17 +52,21 @@
   }
 
   /**
-   * Has the free capacity of all machines read again before the next walk.
+   * Marks the indexes as stale, so that the free capacity of all machines is read again before the
+   * next search.
    *
-   * <p>Machines may have become schedulable in ways that the list is not told of, so whoever is
-   * about to place tasks calls this first. Until then only what {@link #updateCapacity} tells is
-   * known.
+   * <p>Machines may become schedulable without any notification to this list, so a caller that is
+   * about to place tasks calls this first. Otherwise the indexes reflect only the changes reported
+   * through {@link #updateCapacity}.
    */
   public void invalidateIndex() {
     indexesStale = true;
   }
 
-  /** A task was bound to the machine or unbound from it, or the machine was uncordoned. */
+  /**
+   * Updates the index after a task was bound to the machine or unbound from it, or after the
+   * machine was uncordoned.
+   */
   public void updateCapacity(Machine machine) {
     int at = indexesStale ? -1 : Collections.binarySearch(machines, machine, ORDER);
     if (at < 0) {
@@ -91,17 +98,18 @@
     onDemandIndex.build();
   }
 
-  /** The list, in its order; not to be changed. */
+  /** Returns an unmodifiable view of the list, in its order. */
   public List<Machine> machines() {
     return Collections.unmodifiableList(machines);
   }
 
   /**
-   * The first machine of the list that is allowed and covers one task of the job, or null.
+   * Returns the first machine of the list that is allowed and covers one task of the job, or null
+   * if there is none.
    *
-   * <p>Work that may run on spot machines walks the list over those first, and then over the
-   * on-demand ones: only these can take the work that may not. Among machines of equal rank (same
-   * CPU and memory) one that has the image already goes before the others.
+   * <p>For tasks that may run on spot machines, those are searched first and on-demand machines
+   * second, because only on-demand machines can run the tasks that may not use spot ones. Among
+   * machines with the same CPU and memory capacity, one that already has the image is preferred.
    */
   public Machine firstFit(JobSpec spec, Predicate<Machine> allowed) {
     if (spec.spot()) {
@@ -114,10 +122,10 @@
   }
 
   /**
-   * As {@link #firstFit(JobSpec, Predicate)}, for work that is to start within some time. The paper
-   * checks the bandwidth left to a server; here it is the rate at which images are fetched: a
-   * machine whose fetches would take too long is passed over while another one can start the task
-   * in time, or in two or four times that.
+   * Like {@link #firstFit(JobSpec, Predicate)}, for tasks that are to start within some time. Where
+   * the paper checks the bandwidth left on a server, this checks the time that fetching images
+   * takes: a machine whose fetches would take longer than the limit is skipped as long as another
+   * machine can start the task within the limit, or within two or four times the limit.
    */
   public Machine firstFit(JobSpec spec, Predicate<Machine> allowed, long withinMicros) {
     for (long within = withinMicros;
@@ -133,7 +141,7 @@
     return firstFit(spec, allowed);
   }
 
-  /** The walk along the list; the index only leaves out machines that cannot cover the task. */
+  /** Searches the list in its order; the index only skips machines that cannot cover the task. */
   private Machine search(JobSpec spec, FreeCapacityIndex index, Predicate<Machine> allowed) {
     if (indexesStale) {
       rebuildIndexes();
@@ -165,26 +173,26 @@
         && one.type().memoryGb() == other.type().memoryGb();
   }
 
-  /** True if the machine has room for one task of the job. */
+  /** True if the free capacity of the machine is enough for one task of the job. */
   public static boolean covers(Machine machine, JobSpec spec) {
     return ResourceAmounts.covers(machine.freeCpus(), spec.cpus())
         && ResourceAmounts.covers(machine.freeMemoryGb(), spec.memoryGb())
         && ResourceAmounts.covers(machine.freeGpus(), spec.gpus());
   }
 
-  /** True if the job's owner allows the machine. */
+  /** True if the job's constraints on type, zone and spot allow the machine. */
   public static boolean permitted(JobSpec spec, Machine machine) {
     return permitted(spec, machine.type().name(), machine.zone(), machine.spot());
   }
 
-  /** True if the job's owner allows machines of this type, zone and kind. */
+  /** True if the job's constraints allow machines of this type and zone, spot or on-demand. */
   public static boolean permitted(JobSpec spec, String type, String zone, boolean spot) {
     return (spec.types() == null || spec.types().contains(type))
         && (spec.zone() == null || spec.zone().equals(zone))
         && (spec.spot() || !spot);
   }
 
-  /** Tasks with the same key fit on the same machines. */
+  /** Returns a key that is equal for tasks that fit on the same machines. */
   public static String equivalenceKey(JobSpec spec) {
     return spec.cpus()
         + "|"
--- a/src/main/java/org/dewreach/placement/TeamUsage.java
+++ b/src/main/java/org/dewreach/placement/TeamUsage.java
@@ -2,12 +2,12 @@
 
 import org.dewreach.wire.JobSpec;
 
-/** What tasks of one team take together. */
+/** The resources used by all counted tasks of one team. */
 final class TeamUsage {
   private double cpus;
   private double gpus;
 
-  /** Adds so many tasks of the job; a negative number removes them. */
+  /** Adds this number of the job's tasks; a negative number removes them. */
   void add(JobSpec spec, int tasks) {
     cpus += tasks * spec.cpus();
     gpus += tasks * spec.gpus();
--- a/src/main/java/org/dewreach/scheduling/JobPlacement.java
+++ b/src/main/java/org/dewreach/scheduling/JobPlacement.java
@@ -13,9 +13,12 @@
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.TaskName;
 
-/** One attempt to place tasks of one job. */
+/** Places tasks of one job within a placement pass. */
 final class JobPlacement {
-  /** Tasks that are passed over, each for its earlier direct start, for one that fits. */
+  /**
+   * Maximum number of tasks that are skipped, each because of its earlier direct start, in the
+   * search for one that can be placed.
+   */
   private static final int MAX_SKIPPED_TASKS = 20;
 
   private final ClusterState clusterState;
@@ -29,9 +32,10 @@
   private boolean blockedByDirectStart;
 
   /**
-   * An attempt that has placed nothing yet.
+   * Creates a placement that has not placed anything yet.
    *
-   * @param startWithinMicros how soon the tasks are to start, or 0
+   * @param exemptFromHeadroom true if tasks may be placed in the headroom kept for services
+   * @param startWithinMicros the time within which the tasks are to start, or 0 for no limit
    */
   JobPlacement(
       ClusterState clusterState,
@@ -51,8 +55,9 @@
   }
 
   /**
-   * True if all of the job is placed at once or nothing: stopping short of a whole gang would only
-   * make the others wait; the same holds for a service whose replicas need each other's zone.
+   * True if the job is placed as a whole or not at all. The tasks of a partly placed gang would
+   * only wait for the others; the same holds for a service without bound replicas whose replicas
+   * must share a zone.
    */
   static boolean isAllOrNothing(Job job) {
     JobSpec spec = job.spec();
@@ -60,33 +65,40 @@
         || spec.sameZone() && spec.jobKind() == JobKind.SERVICE && job.bound().isEmpty();
   }
 
-  /** True if a task would have found room but for its earlier direct start on that machine. */
+  /**
+   * True if some task would have fit on a machine on which it must not be placed again because of
+   * an earlier direct start.
+   */
   boolean blockedByDirectStart() {
     return blockedByDirectStart;
   }
 
-  /** Places at most so many of the pending tasks, and tells how many. */
-  int place(int most) {
+  /**
+   * Places at most {@code maxTasks} of the pending tasks, and returns the number of those placed.
+   */
+  int place(int maxTasks) {
     int pending = job.pending();
     boolean allOrNothing = isAllOrNothing(job);
-    boolean runs = gang && !job.bound().isEmpty();
-    if (runs || allOrNothing && most < pending) {
+    boolean alreadyRuns = gang && !job.bound().isEmpty();
+    if (alreadyRuns || allOrNothing && maxTasks < pending) {
       return 0;
     }
     for (String zone : zones()) {
-      List<Task> placed = place(Math.min(most, pending), zone);
+      List<Task> placed = place(Math.min(maxTasks, pending), zone);
       if (placed.size() == pending || !allOrNothing && !placed.isEmpty()) {
         return placed.size();
       }
-      // No start was sent for any of these: they are taken back in the cluster state.
-      placed.forEach(task -> clusterState.unbind(task, "does not fit whole", nowMicros));
+      // No start command was sent for these tasks, so unbinding them in the cluster state is
+      // enough.
+      placed.forEach(task -> clusterState.unbind(task, "the whole job does not fit", nowMicros));
     }
     return 0;
   }
 
   /**
-   * The zones to try one after the other; null stands for all of them together. A job whose tasks
-   * must share a zone stays where its bound tasks are, or takes the zones in the order of the list.
+   * Returns the zones to try one after the other; null stands for all zones together. A job whose
+   * tasks must share a zone stays in the zone of its bound tasks, or else tries the zones in the
+   * order of the machine list.
    */
   private List<String> zones() {
     if (!spec.sameZone() || spec.tasks() == 1) {
@@ -107,21 +119,21 @@
   private List<Task> place(int count, String zone) {
     Predicate<Machine> allowed = allowedMachines(zone);
     List<Task> placed = new ArrayList<>();
-    // The tasks of a gang find each other by their attempt: it is one for all of them.
+    // The tasks of a gang find each other by their attempt number, so all of them share one.
     long gangAttempt = gang ? clusterState.nextAttempt() : 0;
-    int passedOver = 0;
+    int skipped = 0;
     int index = job.nextPending();
     while (placed.size() < count && index >= 0) {
-      DirectStartFilter neverStarted = new DirectStartFilter(new TaskName(job.id(), index));
+      DirectStartFilter directStartFilter = new DirectStartFilter(new TaskName(job.id(), index));
       Machine machine =
           clusterState
               .sortedMachines()
-              .firstFit(spec, allowed.and(neverStarted), startWithinMicros);
+              .firstFit(spec, allowed.and(directStartFilter), startWithinMicros);
       if (machine == null) {
-        blockedByDirectStart |= neverStarted.excludedAny;
-        // Guards against one task that may not go there again keeping its job, and all like it,
-        // away.
-        if (!neverStarted.excludedAny || ++passedOver > MAX_SKIPPED_TASKS) {
+        blockedByDirectStart |= directStartFilter.excludedAny;
+        // Guards against one task that may not return to a machine blocking its whole job, and all
+        // equivalent jobs, from that machine.
+        if (!directStartFilter.excludedAny || ++skipped > MAX_SKIPPED_TASKS) {
           break;
         }
       } else {
@@ -143,14 +155,15 @@
       allowed = allowed.and(machine -> machine.zone().equals(zone));
     }
     if (spec.spreadZones()) {
-      int mostInZone = (spec.tasks() + 1) / 2;
-      allowed = allowed.and(machine -> job.boundInZone(machine.zone()) < mostInZone);
+      int maxTasksPerZone = (spec.tasks() + 1) / 2;
+      allowed = allowed.and(machine -> job.boundInZone(machine.zone()) < maxTasksPerZone);
     }
     return allowed;
   }
 
   /**
-   * Leaves out machines where the task had a direct start, and remembers whether there were any.
+   * Excludes machines on which the task was started by a direct command, and records whether it
+   * excluded any.
    */
   private static final class DirectStartFilter implements Predicate<Machine> {
     private final TaskName task;
--- a/src/main/java/org/dewreach/scheduling/MachineFilter.java
+++ b/src/main/java/org/dewreach/scheduling/MachineFilter.java
@@ -6,15 +6,18 @@
 import org.dewreach.model.Machine;
 import org.dewreach.placement.SortFirstFit;
 
-/** Which machines a job's tasks may go to at the moment, whatever room these have. */
+/**
+ * Selects the machines on which a job's tasks may be placed now, regardless of their free capacity.
+ */
 final class MachineFilter {
-  /** A machine that refused a task for want of room is given none for this long. */
+  /** A machine that rejected a task for lack of capacity is given no tasks for this long. */
   private static final long START_REFUSAL_BACKOFF_MICROS = 3_000_000;
 
   private MachineFilter() {}
 
   /**
-   * Machines that the owner allows, that refused no task lately, and where the job did not fail.
+   * Returns a filter for machines that the job's constraints allow, that rejected no task recently,
+   * and on which the job did not fail recently.
    */
   static Predicate<Machine> forJob(Job job, long nowMicros) {
     Set<String> avoided = job.backoff().avoidedMachines(nowMicros);
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -22,27 +22,33 @@
 import org.dewreach.wire.TaskName;
 
 /**
- * Makes room for tasks that fit nowhere by stopping tasks of lower priority.
+ * Frees capacity for tasks that fit on no machine by stopping tasks of lower priority.
  *
- * <p>Machines are walked in the order of the list. Room that is being freed already is counted, so
- * that one need does not stop tasks twice.
+ * <p>Machines are examined in the order of the sorted list. Capacity that is already being freed is
+ * counted, so that tasks are not stopped twice for the same unplaced task.
  */
 public final class Preemption {
-  /** Bounds what one pass may stop; the next pass goes on. */
+  /** Bounds the number of tasks that one pass stops; the next pass continues. */
   private static final int MAX_VICTIMS_PER_PASS = 24;
 
-  /** It looks at all machines, so not in each pass. */
+  /**
+   * Minimum time between two passes: each one examines all machines, so it does not follow every
+   * placement pass.
+   */
   private static final long INTERVAL_MICROS = 200_000;
 
   private final ClusterState clusterState;
   private long nextAt;
 
-  /** The preemption of one term. */
+  /** Creates the preemption of one term. */
   public Preemption(ClusterState clusterState) {
     this.clusterState = clusterState;
   }
 
-  /** Stops tasks of lower priority for what the last placement pass could not place. */
+  /**
+   * Stops tasks of lower priority to free capacity for tasks that the last placement pass could not
+   * place.
+   */
   public void preempt(List<UnplacedTasks> unplaced, long nowMicros) {
     if (unplaced.isEmpty() || nowMicros < nextAt) {
       return;
@@ -57,7 +63,7 @@
     }
   }
 
-  /** The lowest priority that has tasks on machines, or null. */
+  /** Returns the lowest priority that has bound tasks, or null if no task is bound. */
   private Priority lowestBoundPriority() {
     Priority lowest = null;
     for (Job job : clusterState.jobs().values()) {
@@ -68,14 +74,20 @@
     return lowest;
   }
 
-  /** The search for victims, with the room that each machine has once those found are stopped. */
+  /**
+   * The search for victims. Tracks the free capacity that each machine has once the victims found
+   * so far are gone.
+   */
   private final class VictimSearch {
     private final long nowMicros;
     private final Priority lowest = lowestBoundPriority();
     private final Map<Machine, FreeCapacity> freeCapacities = new HashMap<>();
     private final Set<Task> victims = new LinkedHashSet<>();
 
-    /** What found no room will find none for another task with the same requirements either. */
+    /**
+     * Equivalence keys of tasks for which no capacity could be freed; another task with the same
+     * key would fail as well.
+     */
     private final Set<String> unplaceable = new HashSet<>();
 
     VictimSearch(long nowMicros) {
@@ -85,7 +97,7 @@
     Set<Task> victimsFor(List<UnplacedTasks> unplaced) {
       for (UnplacedTasks item : unplaced) {
         if (mayPreempt(item.job().spec())) {
-          makeRoom(item);
+          reserveCapacity(item);
         }
       }
       return victims;
@@ -97,21 +109,23 @@
       return independent && lowest != null && spec.priority().above(lowest);
     }
 
-    private void makeRoom(UnplacedTasks item) {
+    private void reserveCapacity(UnplacedTasks item) {
       String equivalenceKey = SortFirstFit.equivalenceKey(item.job().spec());
       if (unplaceable.contains(equivalenceKey)) {
         return;
       }
       for (int i = 0; i < item.tasks() && victims.size() < MAX_VICTIMS_PER_PASS; i++) {
-        if (!makeRoomForTask(item.job())) {
+        if (!reserveCapacityForTask(item.job())) {
           unplaceable.add(equivalenceKey);
           return;
         }
       }
     }
 
-    /** Sets room for one task aside, choosing victims where it needs them. */
-    private boolean makeRoomForTask(Job job) {
+    /**
+     * Reserves capacity for one task, choosing victims if necessary; false if there are not enough.
+     */
+    private boolean reserveCapacityForTask(Job job) {
       JobSpec spec = job.spec();
       Predicate<Machine> eligible = eligibleMachines(job);
       List<Machine> candidates = new ArrayList<>();
@@ -131,11 +145,14 @@
       return candidates.stream().anyMatch(machine -> chooseVictims(machine, spec));
     }
 
-    /** Machines that placement would pass over must not lose tasks for nothing, pass after pass. */
+    /**
+     * Returns a filter for the machines that placement would consider for the job. On any other
+     * machine, tasks would be stopped to no effect, and again in every pass.
+     */
     private Predicate<Machine> eligibleMachines(Job job) {
       TaskName next = new TaskName(job.id(), Math.max(0, job.nextPending()));
-      // On on-demand machines such work also leaves room for services, which stopping tasks does
-      // not make.
+      // On on-demand machines such tasks must also leave headroom for services, and preemption does
+      // not create any.
       boolean spotOnly = ServiceHeadroom.appliesTo(job.spec());
       Predicate<Machine> allowed = MachineFilter.forJob(job, nowMicros);
       return machine ->
@@ -145,7 +162,10 @@
               && !machine.directCommands().hasStartedTask(next);
     }
 
-    /** Chooses the fewest, latest started tasks of lower priority that make room, or none. */
+    /**
+     * Chooses as few tasks of lower priority as free enough capacity, last bound first; chooses
+     * none and returns false if all of them are not enough.
+     */
     private boolean chooseVictims(Machine machine, JobSpec spec) {
       FreeCapacity freed = freeCapacities.get(machine).copy();
       List<Task> chosen = new ArrayList<>();
@@ -162,7 +182,10 @@
       return false;
     }
 
-    /** The machine's tasks of lower priority that are not stopped yet, latest started first. */
+    /**
+     * Returns the machine's tasks of lower priority that are not being stopped yet, last bound
+     * first.
+     */
     private List<Task> preemptible(Machine machine, Priority priority) {
       List<Task> tasks = new ArrayList<>();
       for (Task task : machine.tasks()) {
@@ -177,7 +200,7 @@
     }
   }
 
-  /** What the machine has free once the tasks that are being stopped are gone. */
+  /** Returns the free capacity of the machine once the tasks that are being stopped are gone. */
   private static FreeCapacity capacityAfterStops(Machine machine) {
     FreeCapacity free = FreeCapacity.free(machine);
     for (Task task : machine.tasks()) {
--- a/src/main/java/org/dewreach/scheduling/ServiceHeadroom.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceHeadroom.java
@@ -6,11 +6,11 @@
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobSpec;
 
-/** The room on on-demand machines that one placement pass keeps for services to come. */
+/** The CPUs of on-demand machines that one placement pass keeps free for future services. */
 final class ServiceHeadroom {
   /**
-   * A job that has waited for its first task for this long gets that from the room kept for
-   * services. A default of this project.
+   * A job that has waited this long for its first task may place it in the headroom kept for
+   * services.
    */
   private static final long EXEMPT_AFTER_MICROS = 60_000_000;
 
@@ -19,22 +19,25 @@
   private double freeCpus;
   private boolean freeCpusRead;
 
-  /** Keeps so many CPUs free. */
+  /** Creates the headroom of one placement pass, which keeps this many CPUs free. */
   ServiceHeadroom(ClusterState clusterState, double reservedCpus) {
     this.clusterState = clusterState;
     this.reservedCpus = reservedCpus;
   }
 
-  /** True for work that leaves room for services on on-demand machines: it may run on spot ones. */
+  /**
+   * True for jobs that leave headroom for services on on-demand machines, because they may run on
+   * spot machines.
+   */
   static boolean appliesTo(JobSpec spec) {
     return spec.jobKind() != JobKind.SERVICE && spec.spot();
   }
 
   /**
-   * True for a job that is let into the room kept for services.
+   * True if the job may use the headroom kept for services.
    *
-   * <p>Guards against a small job that waits without end beside that room, where the cloud has no
-   * machine for it.
+   * <p>Guards against a small job that waits forever although it fits into the headroom, because
+   * the cloud has no machine for it.
    */
   static boolean isExempt(Job job, long wallMicros) {
     return appliesTo(job.spec())
@@ -43,20 +46,20 @@
         && wallMicros - job.acceptedWallMicros() > EXEMPT_AFTER_MICROS;
   }
 
-  /** The jobs of the queue are told in its order, before each is placed. */
+  /** Called for each job of the queue, in its order, before the job is placed. */
   void beforePlacing(JobSpec spec) {
     if (!freeCpusRead && spec.spot()) {
-      // Services come first in the queue, so what they take is gone from this already.
+      // Services come first in the queue, so the capacity that they use is already subtracted here.
       freeCpus = clusterState.freeCpus(false);
       freeCpusRead = true;
     }
   }
 
   /**
-   * Takes room for one task on the machine, unless that room is kept for services.
+   * Allocates on-demand CPUs for one task on the machine, unless they are kept for services.
    *
-   * @param exempt true if it may be taken all the same
-   * @return false if it is not taken
+   * @param exempt true if the task may use the headroom
+   * @return false if the task must not be placed on the machine
    */
   boolean tryAllocate(Machine machine, JobSpec spec, boolean exempt) {
     if (machine.spot() || !appliesTo(spec)) {
--- a/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
@@ -12,14 +12,14 @@
 
 /**
  * Moves services off cordoned machines that would otherwise be kept for one or two of them. Each
- * move costs about a second of a replica's time, so only a small share of all replicas' time is
- * spent.
+ * move costs about one second of a replica's time, so moves are limited to a small share of the
+ * time of all replicas.
  */
 public final class ServiceMigrator {
-  /** Moves that may be saved up. */
+  /** The number of unused moves that may accumulate. */
   private static final double MAX_ACCUMULATED_MOVES = 2;
 
-  /** A service that began lately is not moved. A default of this project. */
+  /** A service that has run for less than this is not moved. */
   private static final long MIN_RUN_BEFORE_MOVE_MICROS = 45_000_000;
 
   private static final double MICROS_PER_SECOND = 1e6;
@@ -29,18 +29,21 @@
   private final long roundIntervalMicros;
   private double moveBudget;
 
-  /** A migrator of one term, which is called at this interval. */
+  /** Creates the migrator of one term; {@link #migrate} is called at the given interval. */
   public ServiceMigrator(ClusterState clusterState, Tuning tuning, long roundIntervalMicros) {
     this.clusterState = clusterState;
     this.tuning = tuning;
     this.roundIntervalMicros = roundIntervalMicros;
   }
 
-  /** Stops services to be placed elsewhere, as far as the budget goes. Called once a round. */
+  /**
+   * Stops services so that they are placed on other machines, as far as the move budget allows.
+   * Called once per round.
+   */
   public void migrate(long nowMicros) {
-    double earned =
+    double earnedMoves =
         countServiceReplicas() * tuning.movedShare() * roundIntervalMicros / MICROS_PER_SECOND;
-    moveBudget = Math.min(MAX_ACCUMULATED_MOVES, moveBudget + earned);
+    moveBudget = Math.min(MAX_ACCUMULATED_MOVES, moveBudget + earnedMoves);
     clusterState.sortedMachines().invalidateIndex();
     for (Machine machine : clusterState.machines().values()) {
       if (moveBudget < 1) {
@@ -49,10 +52,10 @@
       if (!machine.cordoned() || machine.phase() != MachinePhase.UP) {
         continue;
       }
-      Task movable = onlyMovableService(machine, nowMicros);
+      Task movable = findMovableService(machine, nowMicros);
       if (movable != null) {
         moveBudget -= 1;
-        clusterState.stop(movable, "moved, so that its machine can be returned", nowMicros);
+        clusterState.stop(movable, "moved to release its machine", nowMicros);
         clusterState.requestPlacement();
       }
     }
@@ -68,16 +71,19 @@
     return replicas;
   }
 
-  /** A service of a machine that has nothing else, and that could start at once elsewhere. */
-  private Task onlyMovableService(Machine machine, long nowMicros) {
-    Task found = null;
+  /**
+   * Returns a service of the machine if it runs only movable services and this one could start
+   * immediately on another machine; otherwise null.
+   */
+  private Task findMovableService(Machine machine, long nowMicros) {
+    Task candidate = null;
     for (Task task : machine.tasks()) {
       if (!isMovableService(task, nowMicros)) {
         return null;
       }
-      found = task;
+      candidate = task;
     }
-    return found != null && canStartElsewhereImmediately(found.spec()) ? found : null;
+    return candidate != null && canStartElsewhereImmediately(candidate.spec()) ? candidate : null;
   }
 
   private static boolean isMovableService(Task task, long nowMicros) {
--- a/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -19,29 +19,26 @@
 
 /**
  * Moves tasks with checkpoints off cordoned machines that would otherwise be kept for a few long
- * ones. A move costs saving a checkpoint and a start, so it is made only for tasks with far more
- * than that left to run.
+ * tasks. A move costs the time to save a checkpoint and to start the task again, so only tasks with
+ * far more than that left to run are moved.
  */
 public final class TaskConsolidator {
   private static final Logger LOG = LoggerFactory.getLogger(TaskConsolidator.class);
 
-  /** From placement to running, without an image fetch. A default of this project. */
+  /** Expected time from placement to running, without an image fetch. */
   private static final long TASK_START_MICROS = 4_000_000;
 
-  /**
-   * A task is moved if it has this many times the cost of a move left to run. A default of this
-   * project.
-   */
+  /** A task is moved only if its remaining run time exceeds this many times the cost of a move. */
   private static final int MIN_REMAINING_TO_MOVE_COST_RATIO = 10;
 
   private final ClusterState clusterState;
 
-  /** A consolidator of one term. */
+  /** Creates the consolidator of one term. */
   public TaskConsolidator(ClusterState clusterState) {
     this.clusterState = clusterState;
   }
 
-  /** Stops at most one task of each cordoned machine; the next passes place it again. */
+  /** Stops at most one task of each cordoned machine; later placement passes place it again. */
   public void consolidate(long nowMicros) {
     clusterState.sortedMachines().invalidateIndex();
     Set<Machine> targets = new HashSet<>();
@@ -53,14 +50,16 @@
       Machine target = findTarget(movable, targets);
       if (target != null) {
         targets.add(target);
-        clusterState.stop(
-            movable, "moved with its progress, so that its machine can be returned", nowMicros);
+        clusterState.stop(movable, "moved with its checkpoint to release its machine", nowMicros);
         clusterState.requestPlacement();
       }
     }
   }
 
-  /** Cordoned machines, fewest tasks first: so the moves free the most machines. */
+  /**
+   * Returns the cordoned machines, fewest tasks first, so that the moves empty as many machines as
+   * possible.
+   */
   private List<Machine> cordonedEmptiestFirst() {
     List<Machine> cordoned = new ArrayList<>();
     for (Machine machine : clusterState.machines().values()) {
@@ -72,11 +71,13 @@
     return cordoned;
   }
 
-  /** A task worth moving, of a machine that has only such tasks and services; or null. */
+  /**
+   * Returns a task worth moving if the machine runs only such tasks and services; otherwise null.
+   */
   private static Task movableTask(Machine machine, long nowMicros) {
     Task found = null;
     for (Task task : machine.tasks()) {
-      if (worthMoving(task, nowMicros)) {
+      if (isWorthMoving(task, nowMicros)) {
         found = task;
       } else if (task.spec().jobKind() != JobKind.SERVICE) {
         return null;
@@ -85,28 +86,35 @@
     return found;
   }
 
-  private static boolean worthMoving(Task task, long nowMicros) {
+  private static boolean isWorthMoving(Task task, long nowMicros) {
     JobSpec spec = task.spec();
-    long ran = nowMicros - task.startedAt();
+    long ranMicros = nowMicros - task.startedAt();
     return task.phase() == TaskPhase.RUNNING
         && spec.jobKind() == JobKind.ARRAY
         && spec.checkpointIntervalMicros() > 0
-        && spec.expectedMicros() - ran
+        && spec.expectedMicros() - ranMicros
             > MIN_REMAINING_TO_MOVE_COST_RATIO
                 * (spec.checkpointDurationMicros() + TASK_START_MICROS);
   }
 
-  /** Where the task could start at once, or null. */
-  private Machine findTarget(Task task, Set<Machine> taken) {
+  /**
+   * Returns a machine on which the task could start immediately, after uncordoning one if
+   * necessary; null if there is none.
+   */
+  private Machine findTarget(Task task, Set<Machine> usedTargets) {
     JobSpec spec = task.spec();
     Machine machine =
         clusterState
             .sortedMachines()
-            .firstFit(spec, other -> !taken.contains(other) && canStartImmediately(spec, other));
+            .firstFit(
+                spec, other -> !usedTargets.contains(other) && canStartImmediately(spec, other));
     return machine != null ? machine : uncordonOneFor(task);
   }
 
-  /** On on-demand machines, work that leaves room for services may find none when it is placed. */
+  /**
+   * True if the task could start on the machine immediately. Excludes on-demand machines for tasks
+   * that leave headroom for services, because placement may reject them there.
+   */
   private static boolean canStartImmediately(JobSpec spec, Machine machine) {
     return SortFirstFit.permitted(spec, machine)
         && machine.fetchMicros(spec) == 0
@@ -114,10 +122,11 @@
   }
 
   /**
-   * Uncordons the fullest of the cordoned machines on which the task could start at once.
+   * Uncordons the fullest cordoned machine on which the task could start immediately, and returns
+   * it; null if there is none.
    *
-   * <p>Guards against all machines being cordoned side by side while demand falls, each kept for a
-   * few tasks that have no room anywhere else.
+   * <p>Guards against all machines being cordoned at the same time while demand falls, each kept
+   * for a few tasks that fit on no other machine.
    */
   private Machine uncordonOneFor(Task task) {
     JobSpec spec = task.spec();
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -16,15 +16,18 @@
 import org.dewreach.wire.JobKind;
 import org.dewreach.wire.JobSpec;
 
-/** Walks the queue and places what fits. A job that does not fit does not stop those behind it. */
+/**
+ * Places pending tasks in the order of the queue. A job that does not fit does not block the jobs
+ * behind it.
+ */
 public final class TaskPlacer {
   /**
-   * A task of a job that fails repeatedly is given this long to fail before the next is started. A
-   * default of this project.
+   * A task of a job that fails repeatedly is observed for this long before the next task is
+   * started.
    */
   private static final long PROBE_MICROS = 30_000_000;
 
-  /** Bounds the work of one pass; what is left is placed in the next. */
+  /** Bounds the work of one pass; the remaining tasks are placed in the next pass. */
   private static final int MAX_TASKS_PER_PASS = 400;
 
   private final ClusterState clusterState;
@@ -33,11 +36,11 @@
   private final Map<String, Long> startWithinMicrosByClass = new HashMap<>();
 
   /**
-   * A placer of one term.
+   * Creates the placer of one term.
    *
-   * @param objectives of which those on starting are regarded
-   * @param tuning overrides these
-   * @param wallOffsetMicros what to add to the time of events for the time of day
+   * @param objectives the objectives, of which only those of kind START_WITHIN are used
+   * @param tuning overrides the start times of the objectives
+   * @param wallOffsetMicros offset from event time to wall-clock time
    */
   public TaskPlacer(
       ClusterState clusterState,
@@ -57,24 +60,26 @@
   }
 
   /**
-   * Makes one placement pass, and tells what fitted nowhere.
+   * Runs one placement pass, and returns the tasks that could not be placed.
    *
-   * @param allTasksKnown false for jobs of which tasks may run unseen, as long as some machine of
-   *     an earlier term is not reconciled: of these nothing is started, and all of it counts
-   * @param bootMicros time that a new machine takes; room is kept for services that come meanwhile
+   * @param allTasksKnown false for jobs whose tasks may be running on a machine of an earlier term
+   *     that is not reconciled yet: none of their tasks is started, and all their pending tasks
+   *     count against the quota
+   * @param bootMicros the time that a new machine takes to become usable; headroom is kept for the
+   *     services that arrive in the meantime
    */
   public List<UnplacedTasks> placeTasks(
       long nowMicros, Predicate<Job> allTasksKnown, long bootMicros) {
-    Map<Job, Integer> unseen = reserveQuotaOfUnreconciledJobs(allTasksKnown);
+    Map<Job, Integer> unreconciled = reserveQuotaOfUnreconciledJobs(allTasksKnown);
     List<Job> queue =
         queueOrder.order(
             clusterState.jobs().values(),
-            job -> job.startable() && job.pending() > 0 && !unseen.containsKey(job),
+            job -> job.startable() && job.pending() > 0 && !unreconciled.containsKey(job),
             nowMicros + wallOffsetMicros);
     clusterState.sortedMachines().invalidateIndex();
     Pass pass = new Pass(nowMicros, bootMicros);
     queue.forEach(pass::place);
-    unseen.forEach((job, tasks) -> clusterState.quotas().add(job.spec(), -tasks));
+    unreconciled.forEach((job, tasks) -> clusterState.quotas().add(job.spec(), -tasks));
     if (pass.isFull()) {
       clusterState.requestPlacement();
     }
@@ -82,23 +87,24 @@
   }
 
   private Map<Job, Integer> reserveQuotaOfUnreconciledJobs(Predicate<Job> allTasksKnown) {
-    Map<Job, Integer> unseen = new HashMap<>();
+    Map<Job, Integer> unreconciled = new HashMap<>();
     for (Job job : clusterState.jobs().values()) {
       int pending = allTasksKnown.test(job) ? 0 : job.pending();
       if (pending > 0) {
         clusterState.quotas().add(job.spec(), pending);
-        unseen.put(job, pending);
+        unreconciled.put(job, pending);
       }
     }
-    return unseen;
+    return unreconciled;
   }
 
   /**
-   * True while a task that was bound lately shows whether the job still fails.
+   * True while a recently bound task is observed to see whether the job still fails.
    *
    * <p>Guards against a job that fails everywhere, but only after a while: given one task in each
-   * pass, it held ever more room until the first of them failed. And against an array of long tasks
-   * that met two faulty machines: its other tasks do not wait until one of them has completed.
+   * pass, it held more and more capacity until the first of them failed. Also guards against an
+   * array job of long tasks that is blocked after failures on two faulty machines: because the
+   * observation time is limited, its other tasks do not wait until one of them has completed.
    */
   private static boolean hasProbeTask(Job job, long nowMicros) {
     return job.backoff().failsRepeatedly()
@@ -106,7 +112,9 @@
             .anyMatch(task -> nowMicros - task.boundAt() < PROBE_MICROS);
   }
 
-  /** What one pass has placed so far, and what it could not place. */
+  /**
+   * One placement pass: the number of tasks placed so far, and the tasks that could not be placed.
+   */
   private final class Pass {
     private final long nowMicros;
     private final long wallMicros;
@@ -138,7 +146,7 @@
       }
       int started = isFull() ? 0 : tryToPlace(job, withinQuota);
       placed += started;
-      // Nothing is rented, and nobody stopped, for a job that fails everywhere.
+      // No machine is rented, and no task preempted, for a job that fails everywhere.
       if (started < withinQuota && !job.backoff().failsRepeatedly()) {
         unplaced.add(new UnplacedTasks(job, withinQuota - started));
       }
@@ -160,7 +168,7 @@
       return started;
     }
 
-    /** Jobs with the same key fit on the same machines. */
+    /** Returns a key that is equal for jobs that fit on the same machines. */
     private String equivalenceKey(Job job, boolean exempt) {
       JobSpec spec = job.spec();
       boolean gang = spec.jobKind() == JobKind.GANG;
@@ -171,14 +179,17 @@
       return SortFirstFit.equivalenceKey(spec) + ServiceHeadroom.appliesTo(spec);
     }
 
-    /** How many tasks of the job to place in this pass. */
+    /** Returns the maximum number of tasks of the job to place in this pass. */
     private int taskLimit(Job job, int withinQuota) {
-      boolean single = job.backoff().failsRepeatedly() || QueueOrder.isStarved(job, wallMicros);
-      // Guards against replicas that need each other's zone and lost it late: never one alone.
-      if (single && !JobPlacement.isAllOrNothing(job)) {
+      boolean oneTaskOnly =
+          job.backoff().failsRepeatedly() || QueueOrder.isStarved(job, wallMicros);
+      // Guards against a service whose replicas must share a zone and that loses all of them long
+      // after its acceptance: it then counts as starved, but a limit of one task would keep it from
+      // ever being placed.
+      if (oneTaskOnly && !JobPlacement.isAllOrNothing(job)) {
         return 1;
       }
-      // A gang larger than a pass has to be placed in one all the same.
+      // A gang must be placed within one pass, even if it is larger than the limit of a pass.
       boolean gang = job.spec().jobKind() == JobKind.GANG;
       return gang ? withinQuota : Math.min(withinQuota, MAX_TASKS_PER_PASS - placed);
     }
--- a/src/main/java/org/dewreach/scheduling/UnplacedTasks.java
+++ b/src/main/java/org/dewreach/scheduling/UnplacedTasks.java
@@ -3,9 +3,9 @@
 import org.dewreach.model.Job;
 
 /**
- * Tasks of a job that fitted nowhere in a placement pass.
+ * Tasks of a job that a placement pass could not place.
  *
- * @param job the job
- * @param tasks how many of its tasks its team's quota would let start now
+ * @param job their job
+ * @param tasks the number of unplaced tasks that the quota of the job's team allows to start now
  */
 public record UnplacedTasks(Job job, int tasks) {}
--- a/src/test/java/org/dewreach/autoscaling/RefusalBackoffTest.java
+++ b/src/test/java/org/dewreach/autoscaling/RefusalBackoffTest.java
@@ -7,7 +7,7 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** For how long a pool without machines is left out: {@link RefusalBackoff}. */
+/** For how long a pool is excluded after a refusal: {@link RefusalBackoff}. */
 class RefusalBackoffTest {
   private static final long S = 1_000_000;
 
@@ -47,7 +47,7 @@
   @Test
   void aRefusalHoldsForOnePoolWhateverItsPrice() {
     refusals.onRefused(pool(), 0);
-    assertFalse(refusals.available(pool(2, "a", false), S), "prices move");
+    assertFalse(refusals.available(pool(2, "a", false), S), "prices change");
     assertTrue(refusals.available(pool(1, "b", false), S));
     assertTrue(refusals.available(pool(1, "a", true), S));
   }
--- a/src/test/java/org/dewreach/autoscaling/ScaleOutExecutorTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScaleOutExecutorTest.java
@@ -24,7 +24,7 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of rental requests: {@link ScaleOutExecutor}. */
+/** How the outcomes of rental requests are handled: {@link ScaleOutExecutor}. */
 class ScaleOutExecutorTest {
   private static final long S = 1_000_000;
   private static final Settings SETTINGS = SettingsFixture.oneNode();
@@ -64,9 +64,9 @@
   void aRequestWithoutAResponseIsRetriedUnderTheSameName() {
     List<Effect.Call> first = round(S);
     assertEquals(1, first.size());
-    assertEquals(List.of(), round(2 * S), "it is in flight, and its machine is counted on");
+    assertEquals(List.of(), round(2 * S), "the request is in flight, and its machine is expected");
     cloud.reply(first.get(0), 0, null);
-    assertEquals(List.of(), round(S), "not at once");
+    assertEquals(List.of(), round(S), "not before the retry delay has passed");
     List<Effect.Call> second = round(3 * S);
     assertEquals(1, second.size());
     assertEquals(name(first.get(0)), name(second.get(0)));
--- a/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
@@ -13,14 +13,14 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** What is rented for waiting tasks: {@link ScalingPlanner}. */
+/** Which machines are rented for unplaced tasks: {@link ScalingPlanner}. */
 class ScalingPlannerTest {
   private static final long AMPLE_SLACK = Long.MAX_VALUE / 4;
 
-  /** Holds two tasks; the cheaper of the two types, in both zones. */
+  /** Holds two tasks; the cheaper of the two types, on offer in both zones. */
   private static final MachineType CHEAP_TYPE = type("box", 8, 1, "a", "b");
 
-  /** As large, dearer, in zone b alone. */
+  /** Equally large but more expensive; on offer only in zone b. */
   private static final MachineType EXPENSIVE_TYPE = type("crate", 8, 3, "b");
 
   private final ScalingPlanner planner = new ScalingPlanner();
@@ -29,7 +29,7 @@
     return new MachineType(name, cpus, 0, 32, 50, 1, price, price / 3, 20_000_000, List.of(zones));
   }
 
-  /** A job of tasks that take half a machine each and run on ordinary machines only. */
+  /** Returns a job whose tasks need half a machine each and run only on on-demand machines. */
   private static JobSpec job(
       String id, int tasks, String zone, boolean sameZone, boolean spreadZones) {
     return JobSpecBuilder.array(id)
@@ -58,7 +58,7 @@
     return new MachinePool(type, zone, false);
   }
 
-  /** Machines asked for, by zone. */
+  /** Returns the number of machines to be rented in each zone. */
   private Map<String, Integer> plan(
       List<CapacityRequirement> requirements, List<Machine> machines, MachineType... catalog) {
     Map<String, Integer> byZone = new HashMap<>();
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Guard: the zone of the bound tasks in {@code SharedZoneSelector.select}. Zone a has the cheaper
-   * machines, which the job cannot use.
+   * Guards the choice of the bound tasks' zone in {@code SharedZoneSelector.select}: zone a has the
+   * cheaper machines, but the job cannot use them.
    */
   @Test
   void sameZoneTasksGetMachinesInTheZoneOfTheBoundTasks() {
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Guard: {@code CapacityPlan.copyOf} and {@code ZoneAllowance.only}. The machines to come in two
-   * zones have room for all six tasks, those of one zone have not.
+   * Guards {@code CapacityPlan.copyOf} and {@code ZoneAllowance.only}: the expected machines of
+   * both zones together have capacity for all six tasks, those of one zone do not.
    */
   @Test
   void expectedMachinesInSeveralZonesAreNotCombined() {
@@ -96,7 +96,7 @@
         Map.of("b", 1), plan(List.of(requirement(sameZoneJob("req-1", 6))), machines, CHEAP_TYPE));
   }
 
-  /** Guard: the job's id in {@code CapacityRequirement.groupKey}. */
+  /** Guards the job's id in {@code CapacityRequirement.groupKey}. */
   @Test
   void sameZoneJobsArePlannedSeparately() {
     CapacityRequirement inA =
@@ -107,7 +107,8 @@
   }
 
   /**
-   * Guard: the tasks left over decide in {@code SharedZoneSelector.select}, not the price alone.
+   * Guards the comparison in {@code SharedZoneSelector.select}: the number of tasks left over
+   * decides before the price.
    */
   @Test
   void noMachinesAreRentedInAZoneThatCannotHoldTheJob() {
@@ -120,8 +121,8 @@
   }
 
   /**
-   * Guard: {@code SharedZoneSelector.countTasksFittingNow}. Machines that came for it wait with it
-   * for the rest.
+   * Guards {@code SharedZoneSelector.countTasksFittingNow}: a machine that was rented for the job
+   * waits with it for the remaining ones.
    */
   @Test
   void aSameZoneJobPrefersTheZoneWhereSomeOfItsMachinesAreUp() {
@@ -135,14 +136,14 @@
         plan(List.of(requirement(sameZoneJob("req-1", 4))), List.of(up), CHEAP_TYPE));
   }
 
-  /** Guard: {@code ZoneAllowance.atMostHalf}; the cheaper machines are all in zone a. */
+  /** Guards {@code ZoneAllowance.atMostHalf}: all of the cheaper machines are in zone a. */
   @Test
   void aSpreadJobIsPlannedWithAtMostHalfOfItsTasksPerZone() {
     MachineType onlyInA = type("box", 8, 1, "a");
-    JobSpec nine = job("req-1", 9, null, false, true);
+    JobSpec nineTasks = job("req-1", 9, null, false, true);
     assertEquals(
         Map.of("a", 3, "b", 2),
-        plan(List.of(requirement(nine)), List.of(), onlyInA, EXPENSIVE_TYPE));
+        plan(List.of(requirement(nineTasks)), List.of(), onlyInA, EXPENSIVE_TYPE));
     List<Machine> machines =
         List.of(
             booting("m1", onlyInA, "a"),
@@ -151,12 +152,15 @@
             booting("m4", onlyInA, "a"),
             booting("m5", onlyInA, "a"));
     assertEquals(
-        Map.of("b", 2), plan(List.of(requirement(nine)), machines, onlyInA, EXPENSIVE_TYPE));
-    CapacityRequirement bound = new CapacityRequirement(nine, 5, AMPLE_SLACK, Map.of("a", 4));
+        Map.of("b", 2), plan(List.of(requirement(nineTasks)), machines, onlyInA, EXPENSIVE_TYPE));
+    CapacityRequirement bound = new CapacityRequirement(nineTasks, 5, AMPLE_SLACK, Map.of("a", 4));
     assertEquals(Map.of("a", 1, "b", 2), plan(List.of(bound), List.of(), onlyInA, EXPENSIVE_TYPE));
   }
 
-  /** A job of one task has no other to share a zone with, and goes where it is cheapest. */
+  /**
+   * A same-zone job of one task has no other task to share a zone with, so it is planned where it
+   * is cheapest.
+   */
   @Test
   void jobsWithoutZoneRulesUseTheCheapestAllowedZone() {
     assertEquals(
@@ -169,12 +173,12 @@
         List.of(booting("m1", CHEAP_TYPE, "a"), booting("m2", CHEAP_TYPE, "b"));
     JobSpec anywhere = job("req-1", 4, null, false, false);
     assertEquals(Map.of(), plan(List.of(requirement(anywhere)), machines, CHEAP_TYPE));
-    List<CapacityRequirement> ones =
+    List<CapacityRequirement> singleTasks =
         List.of(requirement(sameZoneJob("req-1", 1)), requirement(sameZoneJob("req-2", 1)));
-    assertEquals(Map.of(), plan(ones, List.of(booting("m1", CHEAP_TYPE, "a")), CHEAP_TYPE));
+    assertEquals(Map.of(), plan(singleTasks, List.of(booting("m1", CHEAP_TYPE, "a")), CHEAP_TYPE));
   }
 
-  /** Guards against requests above the cloud's limit, and against planning without end. */
+  /** Guards against requests above the cloud's limit, and against unbounded planning. */
   @Test
   void theLargestJobIsLimitedToOneRequestPerPool() {
     JobSpec spec = JobSpecBuilder.array("req-1").tasks(100_000).build();
--- a/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
+++ b/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The walk over the index gives exactly the machine that the plain walk along the list gives. */
+/** The search with the index returns the same machine as a linear scan of the list. */
 class FreeCapacityIndexTest {
   private static final List<MachineType> TYPES =
       List.of(
@@ -29,7 +29,10 @@
           ClusterFixture.type("n", 16, 32, 0),
           ClusterFixture.type("s", 8, 32, 1));
 
-  /** The paper's walk with our tie-breaks, written out without any index. */
+  /**
+   * The scan of the SortFirstFit paper with the tie-breaks of {@link SortFirstFit}, without any
+   * index.
+   */
   private static Machine linearScan(
       SortFirstFit list, JobSpec spec, Predicate<Machine> allowed, boolean spot) {
     Machine best = null;
@@ -126,8 +129,9 @@
         }
         default -> {
           JobSpec spec = randomSpec(random, step);
-          int parity = random.nextInt(6);
-          Predicate<Machine> allowed = machine -> parity > 0 || machine.name().hashCode() % 3 != 0;
+          int filterDraw = random.nextInt(6);
+          Predicate<Machine> allowed =
+              machine -> filterDraw > 0 || machine.name().hashCode() % 3 != 0;
           Machine found = list.firstFit(spec, allowed);
           assertEquals(expectedMachine(list, spec, allowed), found, "step " + step);
           if (found != null) {
--- a/src/test/java/org/dewreach/placement/QueueOrderTest.java
+++ b/src/test/java/org/dewreach/placement/QueueOrderTest.java
@@ -47,22 +47,21 @@
     Job old = job("req-1", "none", Priority.NORMAL, 5, -1, 0);
     Job young = job("req-2", "none", Priority.NORMAL, 5, -1, 1);
     Job guaranteed = job("req-3", "red", Priority.NORMAL, 5, -1, 2);
-    Job urgent = job("req-4", "none", Priority.HIGH, 5, -1, 3);
+    Job highPriority = job("req-4", "none", Priority.HIGH, 5, -1, 3);
     assertEquals(
-        List.of(urgent, guaranteed, old, young),
-        ordered(List.of(young, old, guaranteed, urgent), 5 * S));
+        List.of(highPriority, guaranteed, old, young),
+        ordered(List.of(young, old, guaranteed, highPriority), 5 * S));
   }
 
-  /** Guards against a burst making every job late by a little. */
+  /** Guards against a burst of jobs that makes every job slightly late. */
   @Test
   void jobsThatCanMeetTheirTargetGoFirst() {
-    Job lost = job("req-1", "none", Priority.NORMAL, 1, 20, 0);
+    Job late = job("req-1", "none", Priority.NORMAL, 1, 20, 0);
     Job large = job("req-2", "none", Priority.NORMAL, 50, 200, 1);
     Job small = job("req-3", "none", Priority.NORMAL, 5, 200, 2);
-    Job pressing = job("req-4", "none", Priority.NORMAL, 60, 80, 3);
+    Job urgent = job("req-4", "none", Priority.NORMAL, 60, 80, 3);
     assertEquals(
-        List.of(pressing, small, large, lost),
-        ordered(List.of(lost, large, small, pressing), 60 * S));
+        List.of(urgent, small, large, late), ordered(List.of(late, large, small, urgent), 60 * S));
   }
 
   @Test
@@ -72,26 +71,26 @@
     assertEquals(Set.of(first), order.guaranteed(List.of(second, first)));
   }
 
-  /** Guards against a large or late job that always has newer, smaller ones before it. */
+  /** Guards against starvation of a large or late job behind newer, smaller ones. */
   @Test
   void everySecondOrderingGoesByAgeOnceAJobHasWaitedLong() {
     Job old = job("req-1", "none", Priority.NORMAL, 500, 900, -30);
     old.markDone(0);
-    Job begun = job("req-2", "none", Priority.NORMAL, 500, 900, -50);
-    begun.markDone(0);
+    Job started = job("req-2", "none", Priority.NORMAL, 500, 900, -50);
+    started.markDone(0);
     Job small = job("req-3", "red", Priority.NORMAL, 1, 200, 129);
-    Job urgent = job("req-4", "none", Priority.HIGH, 1, -1, 129);
-    List<Job> jobs = List.of(small, begun, old, urgent);
-    int turns = 0;
+    Job highPriority = job("req-4", "none", Priority.HIGH, 1, -1, 129);
+    List<Job> jobs = List.of(small, started, old, highPriority);
+    int orderingsByAge = 0;
     for (int pass = 0; pass < 30; pass++) {
       List<Job> now = ordered(jobs, 130 * S);
-      assertEquals(urgent, now.get(0), "priority comes first all the same");
-      turns += now.equals(List.of(urgent, begun, old, small)) ? 1 : 0;
+      assertEquals(highPriority, now.get(0), "priority still comes first");
+      orderingsByAge += now.equals(List.of(highPriority, started, old, small)) ? 1 : 0;
     }
-    assertEquals(15, turns);
+    assertEquals(15, orderingsByAge);
   }
 
-  /** Guards against a job that is never begun at all. */
+  /** Guards against a job that never gets its first task. */
   @Test
   void aStarvedJobComesFirst() {
     Job old = job("req-1", "none", Priority.NORMAL, 500, 900, 0);
--- a/src/test/java/org/dewreach/placement/QuotasTest.java
+++ b/src/test/java/org/dewreach/placement/QuotasTest.java
@@ -36,7 +36,7 @@
     assertEquals(1, quotas.startableTasks(LARGE, 100));
   }
 
-  /** Guards against a task that is kept out by a rounding error. */
+  /** Guards against a rounding error that makes a task exceed the quota. */
   @Test
   void sumsOfFractionsAreRoundedInFavourOfTheTask() {
     JobSpec tenth = JobSpecBuilder.array("req-3").cpus(0.1).build();
--- a/src/test/java/org/dewreach/placement/SortFirstFitTest.java
+++ b/src/test/java/org/dewreach/placement/SortFirstFitTest.java
@@ -11,7 +11,7 @@
 import org.dewreach.wire.JobSpec;
 import org.junit.jupiter.api.Test;
 
-/** Which machine the list gives to a task: {@link SortFirstFit}. */
+/** Which machine is chosen for a task: {@link SortFirstFit}. */
 class SortFirstFitTest {
   private static Machine machine(String name, double cpus, double memory, double gpus) {
     return ClusterFixture.newUpMachine(name, ClusterFixture.type("t", cpus, memory, gpus), false);
@@ -25,12 +25,13 @@
   void largestCpuFirstThenMemoryThenName() {
     SortFirstFit list = new SortFirstFit();
     Machine small = machine("a", 8, 64, 0);
-    Machine bigLow = machine("b", 16, 32, 0);
-    Machine bigHigh2 = machine("d", 16, 64, 0);
-    Machine bigHigh1 = machine("c", 16, 64, 0);
-    List.of(small, bigLow, bigHigh2, bigHigh1).forEach(list::add);
-    assertEquals(List.of(bigHigh1, bigHigh2, bigLow, small), list.machines());
-    assertEquals(bigHigh1, list.firstFit(task(1, 1, 0), m -> true));
+    Machine largeLowMemory = machine("b", 16, 32, 0);
+    Machine largeHighMemory2 = machine("d", 16, 64, 0);
+    Machine largeHighMemory1 = machine("c", 16, 64, 0);
+    List.of(small, largeLowMemory, largeHighMemory2, largeHighMemory1).forEach(list::add);
+    assertEquals(
+        List.of(largeHighMemory1, largeHighMemory2, largeLowMemory, small), list.machines());
+    assertEquals(largeHighMemory1, list.firstFit(task(1, 1, 0), m -> true));
   }
 
   @Test
@@ -48,11 +49,11 @@
   @Test
   void drainingMachinesAreSkipped() {
     SortFirstFit list = new SortFirstFit();
-    Machine big = machine("a", 32, 64, 0);
+    Machine large = machine("a", 32, 64, 0);
     Machine small = machine("b", 8, 64, 0);
-    list.add(big);
+    list.add(large);
     list.add(small);
-    big.become(MachinePhase.DRAINING, 1);
+    large.become(MachinePhase.DRAINING, 1);
     assertEquals(small, list.firstFit(task(1, 1, 0), m -> true));
   }
 }
--- a/src/test/java/org/dewreach/scheduling/PreemptionTest.java
+++ b/src/test/java/org/dewreach/scheduling/PreemptionTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which tasks are stopped for work of higher priority: {@link Preemption}. */
+/** Which tasks are stopped for tasks of higher priority: {@link Preemption}. */
 class PreemptionTest {
   private final ClusterFixture cluster = new ClusterFixture(100, 100);
   private final Preemption preemption = new Preemption(cluster.state());
@@ -22,7 +22,7 @@
       cluster.submitted(JobSpecBuilder.array("req-1").priority(Priority.LOW).tasks(4).build());
   private Machine machine;
 
-  /** A machine that four tasks of low priority fill. */
+  /** Fills a machine with four tasks of low priority. */
   @BeforeEach
   void fillMachine() {
     machine =
@@ -56,7 +56,10 @@
     assertEquals(List.of(), stopped());
   }
 
-  /** Guards against stopping tasks again and again for one need, while the first are stopping. */
+  /**
+   * Guards against stopping more and more tasks for the same need while the first ones are still
+   * stopping.
+   */
   @Test
   void capacityBeingFreedIsCounted() {
     preemptFor(JobSpecBuilder.array("req-2"), 1, 10 * S);
@@ -76,7 +79,10 @@
     assertEquals(List.of(), stopped());
   }
 
-  /** What must go together might find only half of its room and stop tasks for nothing. */
+  /**
+   * Guards against stopping tasks to no effect: tasks that depend on each other might get only half
+   * of the capacity that they need.
+   */
   @Test
   void jobsWithZoneRulesPreemptNothing() {
     preemptFor(JobSpecBuilder.array("req-2").sameZone(true), 2, 10 * S);
--- a/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
@@ -14,7 +14,7 @@
 import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Which tasks leave cordoned machines: {@link TaskConsolidator}. */
+/** Which tasks are moved off cordoned machines: {@link TaskConsolidator}. */
 class TaskConsolidatorTest {
   private static final long CHECKPOINT_INTERVAL = 30 * S;
   private static final long LONG_RUN = 300 * S;
@@ -33,7 +33,7 @@
     return task(id, machine, CHECKPOINT_INTERVAL, LONG_RUN);
   }
 
-  private Task task(String id, Machine machine, long checkpoints, long expected) {
+  private Task task(String id, Machine machine, long checkpointInterval, long expected) {
     Job job =
         cluster.submitted(
             JobSpecBuilder.array(id)
@@ -41,14 +41,14 @@
                 .priority(Priority.LOW)
                 .image("img", 0)
                 .expectedMicros(expected)
-                .checkpoints(checkpoints, 3 * S)
+                .checkpoints(checkpointInterval, 3 * S)
                 .build());
     Task task = cluster.bind(job, 0, machine, TaskPhase.ASSIGNED, 0);
     task.become(TaskPhase.RUNNING, 0);
     return task;
   }
 
-  /** Guards against machines kept for one long task each: without the move none is returned. */
+  /** Guards against machines kept for one long task each: without the move none is released. */
   @Test
   void aTaskWithCheckpointsMovesOffACordonedMachine() {
     machine("m0", true, false);
@@ -57,18 +57,23 @@
     assertEquals(TaskPhase.STOPPING, task.phase());
   }
 
-  /** Guards against work that is lost by a move, or costs more to move than it has left. */
+  /**
+   * Guards against moves that lose the progress of a task, or that cost more than the task has left
+   * to run.
+   */
   @Test
   void aTaskWithoutCheckpointsOrNearItsEndStays() {
     machine("m0", true, false);
-    Task loses = task("req-1", machine("m1", true, true), 0, LONG_RUN);
-    Task endsSoon = task("req-2", machine("m2", true, true), CHECKPOINT_INTERVAL, 60 * S);
+    Task withoutCheckpoints = task("req-1", machine("m1", true, true), 0, LONG_RUN);
+    Task nearItsEnd = task("req-2", machine("m2", true, true), CHECKPOINT_INTERVAL, 60 * S);
     consolidator.consolidate(S);
-    assertEquals(TaskPhase.RUNNING, loses.phase());
-    assertEquals(TaskPhase.RUNNING, endsSoon.phase());
+    assertEquals(TaskPhase.RUNNING, withoutCheckpoints.phase());
+    assertEquals(TaskPhase.RUNNING, nearItsEnd.phase());
   }
 
-  /** Guards against a task that is stopped and then kept out by the room for services. */
+  /**
+   * Guards against a task that is stopped and then rejected because of the headroom for services.
+   */
   @Test
   void spotTasksAreNotMovedToOnDemandMachines() {
     machine("m0", false, false);
@@ -78,8 +83,8 @@
   }
 
   /**
-   * Guards against machines that are all cordoned side by side: without {@code uncordonOneFor}
-   * nothing moves here.
+   * Guards against machines that are all cordoned at the same time: without {@code uncordonOneFor}
+   * no task is moved here.
    */
   @Test
   void theFullestCordonedMachineIsUncordonedForTheOthersTasks() {
@@ -89,11 +94,11 @@
     Task alone = checkpointingTask("req-3", machine("m1", true, true));
     consolidator.consolidate(S);
     assertEquals(TaskPhase.STOPPING, alone.phase());
-    assertTrue(fuller.schedulable(), "it is where the task goes");
+    assertTrue(fuller.schedulable(), "it is the target of the move");
     assertTrue(fuller.tasks().stream().allMatch(task -> task.phase() == TaskPhase.RUNNING));
   }
 
-  /** Guards against two machines that are kept for each other's task, or neither is. */
+  /** Guards against uncordoning both machines for each other's task, or neither of them. */
   @Test
   void ofTwoEquallyFullCordonedMachinesOneIsUncordoned() {
     Machine one = machine("m1", true, true);
@@ -102,10 +107,15 @@
     Task second = checkpointingTask("req-2", other);
     consolidator.consolidate(S);
     assertTrue(one.cordoned() != other.cordoned());
-    assertTrue(first.phase() != second.phase(), "only the task of the other one is moved");
+    assertTrue(
+        first.phase() != second.phase(),
+        "only the task of the machine that stays cordoned is moved");
   }
 
-  /** Guards against moves that free no machine: without the order the fuller one loses a task. */
+  /**
+   * Guards against moves that empty no machine: without the order by number of tasks, the fuller
+   * machine loses a task.
+   */
   @Test
   void theEmptiestMachineIsEmptiedFirst() {
     Machine target = machine("m0", true, false);
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -20,7 +20,7 @@
 import org.dewreach.wire.TaskName;
 import org.junit.jupiter.api.Test;
 
-/** What one pass places: {@link TaskPlacer}. */
+/** Which tasks one placement pass places: {@link TaskPlacer}. */
 class TaskPlacerTest {
   private static final MachineType BOX = ClusterFixture.type("box", 16, 64, 0);
   private static final Map<String, Settings.Team> TEAMS = ClusterFixture.teams(4, 10);
@@ -43,22 +43,27 @@
   }
 
   /**
-   * Guards against starting what may run on a machine that sends no heartbeats, and against
-   * exceeding the quota.
+   * Guards against starting tasks that may already run on a machine that sends no heartbeats, and
+   * against exceeding the quota.
    */
   @Test
   void unreconciledJobsAreNotStartedAndCountAgainstTheQuota() {
     box("m1", true);
-    Job unseen = loaded("req-1", 7);
-    Job seen = loaded("req-2", 6);
-    placer.placeTasks(S, job -> job != unseen, 5 * S);
-    assertEquals(0, unseen.bound().size());
-    assertEquals(3, seen.bound().size(), "10 CPUs at most, of which 7 may be in use unseen");
+    Job unreconciled = loaded("req-1", 7);
+    Job reconciled = loaded("req-2", 6);
+    placer.placeTasks(S, job -> job != unreconciled, 5 * S);
+    assertEquals(0, unreconciled.bound().size());
+    assertEquals(
+        3,
+        reconciled.bound().size(),
+        "the quota is 10 CPUs, of which unreconciled tasks may use 7");
     placer.placeTasks(2 * S, job -> true, 5 * S);
-    assertEquals(10, unseen.bound().size() + seen.bound().size());
+    assertEquals(10, unreconciled.bound().size() + reconciled.bound().size());
   }
 
-  /** Guards against a job that others always go before: it gets a first task after a while. */
+  /**
+   * Guards against a job that always has others ahead of it: it gets a first task after a while.
+   */
   @Test
   void aStarvedJobGetsItsFirstTask() {
     box("m1", true);
@@ -68,11 +73,12 @@
     }
     placer.placeTasks(200 * S, job -> true, 5 * S);
     assertTrue(large.hasBound());
-    assertEquals(1, large.bound().size(), "the others of this pass begin too");
+    assertEquals(1, large.bound().size(), "the other jobs of this pass start too");
   }
 
   /**
-   * Guards against a task that may not return to a machine and keeps all like it away from there.
+   * Guards against a task that may not return to a machine and blocks all equivalent tasks from
+   * that machine.
    */
   @Test
   void aTaskExcludedFromAMachineDoesNotBlockOtherTasks() {
@@ -85,7 +91,7 @@
     assertTrue(clusterState.jobs().get("req-2").hasBound());
   }
 
-  /** Guards against a job that waits for ever beside room that is kept for services. */
+  /** Guards against a job that waits forever although it fits into the headroom for services. */
   @Test
   void aLongWaitingJobGetsItsFirstTaskFromTheServiceHeadroom() {
     box("m1", false);
@@ -97,10 +103,13 @@
     placer.placeTasks(30 * S, each -> true, 60 * S);
     assertEquals(0, job.bound().size());
     placer.placeTasks(61 * S, each -> true, 60 * S);
-    assertEquals(1, job.bound().size(), "a first task, no more");
+    assertEquals(1, job.bound().size(), "only the first task");
   }
 
-  /** Guards against replicas that need each other's zone, lost when they are old, for ever. */
+  /**
+   * Guards against replicas that must share a zone and are never replaced once the service loses
+   * them long after its acceptance.
+   */
   @Test
   void sameZoneReplicasAreReplacedTogether() {
     box("m1", false);
@@ -110,7 +119,9 @@
     assertEquals(3, service.bound().size());
   }
 
-  /** Guards against a job that waits beside the only machine, where a task of it failed once. */
+  /**
+   * Guards against a job that waits forever because a task of it failed once on the only machine.
+   */
   @Test
   void aJobMayReturnToAMachineAfterItsFailureBackoff() {
     box("m1", true);
@@ -122,18 +133,20 @@
     assertEquals(1, job.bound().size());
   }
 
-  /** Guards against a job that fails everywhere holding room, or having machines rented for it. */
+  /**
+   * Guards against a job that fails everywhere but holds capacity or has machines rented for it.
+   */
   @Test
   void aRepeatedlyFailingJobRunsOneTaskAtATime() {
     box("m1", true);
     Job job = submitted("req-1", 50);
     job.backoff().recordFailure("m8", S);
     placer.placeTasks(2 * S, each -> true, 5 * S);
-    assertEquals(10, job.bound().size(), "one machine says little");
+    assertEquals(10, job.bound().size(), "failures on one machine do not limit the job");
     List.copyOf(job.bound().values()).forEach(task -> clusterState.unbind(task, "test", 3 * S));
     job.backoff().recordFailure("m9", 3 * S);
     assertEquals(List.of(), placer.placeTasks(4 * S, each -> true, 5 * S));
-    assertEquals(0, job.bound().size(), "it rests");
+    assertEquals(0, job.bound().size(), "the job backs off");
     assertEquals(List.of(), placer.placeTasks(6 * S, each -> true, 5 * S));
     assertEquals(1, job.bound().size());
     // Guards against one more task in each pass while the first has not failed yet.
@@ -141,10 +154,13 @@
     assertEquals(1, job.bound().size(), "one at a time");
     clusterState.markDone(job, 7);
     placer.placeTasks(7 * S, each -> true, 5 * S);
-    assertEquals(10, job.bound().size(), "it got somewhere");
+    assertEquals(10, job.bound().size(), "a completed task ends the limit");
   }
 
-  /** Guards against long tasks that wait for each other, since two faulty machines were met. */
+  /**
+   * Guards against long tasks that run one after the other because the job failed on two faulty
+   * machines.
+   */
   @Test
   void aProbeTaskThatKeepsRunningLetsAFailingJobStartTheNext() {
     box("m1", true);
@@ -154,8 +170,8 @@
     placer.placeTasks(5 * S, each -> true, 5 * S);
     assertEquals(1, job.bound().size());
     placer.placeTasks(34 * S, each -> true, 5 * S);
-    assertEquals(1, job.bound().size(), "it may still fail");
+    assertEquals(1, job.bound().size(), "the probe task may still fail");
     placer.placeTasks(36 * S, each -> true, 5 * S);
-    assertEquals(2, job.bound().size(), "it runs on");
+    assertEquals(2, job.bound().size(), "the probe task keeps running");
   }
 }
