--- a/src/main/java/org/dewreach/placement/QueueOrder.java
+++ b/src/main/java/org/dewreach/placement/QueueOrder.java
@@ -160,7 +160,7 @@
   public static boolean isStarved(Job job, long wallMicros) {
     return wallMicros - job.acceptedWallMicros() > STARVATION_THRESHOLD_MICROS
         && job.doneCount() == 0
-        && !job.hasBound();
+        && !job.hasBoundTasks();
   }
 
   private SortKey sortKey(Job job, Band band, long wallMicros) {
@@ -169,7 +169,7 @@
     if (target < 0) {
       return new SortKey(job, band, Timeliness.ON_TIME, 0);
     }
-    double work = (double) job.pending() * spec.cpus() * spec.expectedMicros();
+    double work = (double) job.pendingCount() * spec.cpus() * spec.expectedMicros();
     return new SortKey(job, band, timeliness(job, target, wallMicros), work);
   }
 
--- a/src/main/java/org/dewreach/scheduling/JobPlacement.java
+++ b/src/main/java/org/dewreach/scheduling/JobPlacement.java
@@ -62,7 +62,7 @@
   static boolean isAllOrNothing(Job job) {
     JobSpec spec = job.spec();
     return spec.jobKind() == JobKind.GANG
-        || spec.sameZone() && spec.jobKind() == JobKind.SERVICE && job.bound().isEmpty();
+        || spec.sameZone() && spec.jobKind() == JobKind.SERVICE && job.boundTasks().isEmpty();
   }
 
   /**
@@ -77,9 +77,9 @@
    * Places at most {@code maxTasks} of the pending tasks, and returns the number of those placed.
    */
   int place(int maxTasks) {
-    int pending = job.pending();
+    int pending = job.pendingCount();
     boolean allOrNothing = isAllOrNothing(job);
-    boolean alreadyRuns = gang && !job.bound().isEmpty();
+    boolean alreadyRuns = gang && !job.boundTasks().isEmpty();
     if (alreadyRuns || allOrNothing && maxTasks < pending) {
       return 0;
     }
@@ -104,8 +104,8 @@
     if (!spec.sameZone() || spec.tasks() == 1) {
       return Collections.singletonList(null);
     }
-    if (!job.bound().isEmpty()) {
-      return List.of(job.bound().values().iterator().next().machine().zone());
+    if (!job.boundTasks().isEmpty()) {
+      return List.of(job.boundTasks().values().iterator().next().machine().zone());
     }
     List<String> zones = new ArrayList<>();
     for (Machine machine : clusterState.sortedMachines().machines()) {
@@ -156,7 +156,7 @@
     }
     if (spec.spreadZones()) {
       int maxTasksPerZone = (spec.tasks() + 1) / 2;
-      allowed = allowed.and(machine -> job.boundInZone(machine.zone()) < maxTasksPerZone);
+      allowed = allowed.and(machine -> job.boundCountInZone(machine.zone()) < maxTasksPerZone);
     }
     return allowed;
   }
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -74,7 +74,7 @@
     List<Job> queue =
         queueOrder.order(
             clusterState.jobs().values(),
-            job -> job.startable() && job.pending() > 0 && !unreconciled.containsKey(job),
+            job -> job.startable() && job.pendingCount() > 0 && !unreconciled.containsKey(job),
             nowMicros + wallOffsetMicros);
     clusterState.sortedMachines().invalidateIndex();
     Pass pass = new Pass(nowMicros, bootMicros);
@@ -89,7 +89,7 @@
   private Map<Job, Integer> reserveQuotaOfUnreconciledJobs(Predicate<Job> allTasksKnown) {
     Map<Job, Integer> unreconciled = new HashMap<>();
     for (Job job : clusterState.jobs().values()) {
-      int pending = allTasksKnown.test(job) ? 0 : job.pending();
+      int pending = allTasksKnown.test(job) ? 0 : job.pendingCount();
       if (pending > 0) {
         clusterState.quotas().add(job.spec(), pending);
         unreconciled.put(job, pending);
@@ -108,7 +108,7 @@
    */
   private static boolean hasProbeTask(Job job, long nowMicros) {
     return job.backoff().failsRepeatedly()
-        && job.bound().values().stream()
+        && job.boundTasks().values().stream()
             .anyMatch(task -> nowMicros - task.boundAt() < PROBE_MICROS);
   }
 
@@ -140,7 +140,7 @@
       if (job.backoff().notBefore() > nowMicros || hasProbeTask(job, nowMicros)) {
         return;
       }
-      int withinQuota = clusterState.quotas().startableTasks(job.spec(), job.pending());
+      int withinQuota = clusterState.quotas().startableTasks(job.spec(), job.pendingCount());
       if (withinQuota == 0) {
         return;
       }
--- a/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
@@ -129,7 +129,7 @@
     Machine up = booting("m1", CHEAP_TYPE, "b");
     up.become(MachinePhase.UNCONFIRMED, 500_000);
     up.become(MachinePhase.UP, 500_000);
-    up.recorded(true);
+    up.commandable(true);
     assertTrue(up.schedulable());
     assertEquals(
         Map.of("b", 2),
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -52,13 +52,13 @@
     Job unreconciled = loaded("req-1", 7);
     Job reconciled = loaded("req-2", 6);
     placer.placeTasks(S, job -> job != unreconciled, 5 * S);
-    assertEquals(0, unreconciled.bound().size());
+    assertEquals(0, unreconciled.boundTasks().size());
     assertEquals(
         3,
-        reconciled.bound().size(),
+        reconciled.boundTasks().size(),
         "the quota is 10 CPUs, of which unreconciled tasks may use 7");
     placer.placeTasks(2 * S, job -> true, 5 * S);
-    assertEquals(10, unreconciled.bound().size() + reconciled.bound().size());
+    assertEquals(10, unreconciled.boundTasks().size() + reconciled.boundTasks().size());
   }
 
   /**
@@ -72,8 +72,8 @@
       submitted("req-1" + i, 1);
     }
     placer.placeTasks(200 * S, job -> true, 5 * S);
-    assertTrue(large.hasBound());
-    assertEquals(1, large.bound().size(), "the other jobs of this pass start too");
+    assertTrue(large.hasBoundTasks());
+    assertEquals(1, large.boundTasks().size(), "the other jobs of this pass start too");
   }
 
   /**
@@ -87,8 +87,8 @@
     submitted("req-2", 1);
     machine.directCommands().recordStart(new TaskName("req-1", 0), 7);
     placer.placeTasks(S, job -> true, 5 * S);
-    assertEquals(Set.of(1, 2), Set.copyOf(first.bound().keySet()));
-    assertTrue(clusterState.jobs().get("req-2").hasBound());
+    assertEquals(Set.of(1, 2), Set.copyOf(first.boundTasks().keySet()));
+    assertTrue(clusterState.jobs().get("req-2").hasBoundTasks());
   }
 
   /** Guards against a job that waits forever although it fits into the headroom for services. */
@@ -101,9 +101,9 @@
     }
     Job job = submitted("req-1", 4);
     placer.placeTasks(30 * S, each -> true, 60 * S);
-    assertEquals(0, job.bound().size());
+    assertEquals(0, job.boundTasks().size());
     placer.placeTasks(61 * S, each -> true, 60 * S);
-    assertEquals(1, job.bound().size(), "only the first task");
+    assertEquals(1, job.boundTasks().size(), "only the first task");
   }
 
   /**
@@ -116,7 +116,7 @@
     Job service =
         cluster.submitted(JobSpecBuilder.service("req-9").tasks(3).sameZone(true).build());
     placer.placeTasks(700 * S, each -> true, 5 * S);
-    assertEquals(3, service.bound().size());
+    assertEquals(3, service.boundTasks().size());
   }
 
   /**
@@ -128,9 +128,9 @@
     Job job = submitted("req-1", 1);
     job.backoff().recordFailure("m1", S);
     placer.placeTasks(30 * S, each -> true, 5 * S);
-    assertEquals(0, job.bound().size());
+    assertEquals(0, job.boundTasks().size());
     placer.placeTasks(62 * S, each -> true, 5 * S);
-    assertEquals(1, job.bound().size());
+    assertEquals(1, job.boundTasks().size());
   }
 
   /**
@@ -142,19 +142,20 @@
     Job job = submitted("req-1", 50);
     job.backoff().recordFailure("m8", S);
     placer.placeTasks(2 * S, each -> true, 5 * S);
-    assertEquals(10, job.bound().size(), "failures on one machine do not limit the job");
-    List.copyOf(job.bound().values()).forEach(task -> clusterState.unbind(task, "test", 3 * S));
+    assertEquals(10, job.boundTasks().size(), "failures on one machine do not limit the job");
+    List.copyOf(job.boundTasks().values())
+        .forEach(task -> clusterState.unbind(task, "test", 3 * S));
     job.backoff().recordFailure("m9", 3 * S);
     assertEquals(List.of(), placer.placeTasks(4 * S, each -> true, 5 * S));
-    assertEquals(0, job.bound().size(), "the job backs off");
+    assertEquals(0, job.boundTasks().size(), "the job backs off");
     assertEquals(List.of(), placer.placeTasks(6 * S, each -> true, 5 * S));
-    assertEquals(1, job.bound().size());
+    assertEquals(1, job.boundTasks().size());
     // Guards against one more task in each pass while the first has not failed yet.
     assertEquals(List.of(), placer.placeTasks(6_500_000, each -> true, 5 * S));
-    assertEquals(1, job.bound().size(), "one at a time");
+    assertEquals(1, job.boundTasks().size(), "one at a time");
     clusterState.markDone(job, 7);
     placer.placeTasks(7 * S, each -> true, 5 * S);
-    assertEquals(10, job.bound().size(), "a completed task ends the limit");
+    assertEquals(10, job.boundTasks().size(), "a completed task ends the limit");
   }
 
   /**
@@ -168,10 +169,10 @@
     job.backoff().recordFailure("m8", S);
     job.backoff().recordFailure("m9", S);
     placer.placeTasks(5 * S, each -> true, 5 * S);
-    assertEquals(1, job.bound().size());
+    assertEquals(1, job.boundTasks().size());
     placer.placeTasks(34 * S, each -> true, 5 * S);
-    assertEquals(1, job.bound().size(), "the probe task may still fail");
+    assertEquals(1, job.boundTasks().size(), "the probe task may still fail");
     placer.placeTasks(36 * S, each -> true, 5 * S);
-    assertEquals(2, job.bound().size(), "the probe task keeps running");
+    assertEquals(2, job.boundTasks().size(), "the probe task keeps running");
   }
 }
