--- a/src/main/java/org/dewreach/autoscaling/CapacityPlan.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityPlan.java
@@ -14,7 +14,9 @@
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MachineType;
 
-/** The machines that one plan counts on, and those that it adds to them. */
+/**
+ * One plan: the machines that are expected already, and those that are to be rented in addition.
+ */
 final class CapacityPlan {
   /**
    * A machine is overdue if its boot takes longer than twice the boot time of its type plus this
--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Returns the typical time until a machine that is rented now can run tasks, for the type with
-   * the longest boot time.
+   * Returns the typical time until a machine that is rented now can run tasks, based on the type
+   * with the longest boot time.
    */
   public long typicalBootMicros() {
     long longest = 0;
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -22,7 +22,7 @@
  */
 public final class TaskPlacer {
   /**
-   * A task of a job that fails repeatedly is observed for this long before the next task is
+   * If a job fails repeatedly, each of its tasks is observed for this long before the next one is
    * started.
    */
   private static final long PROBE_MICROS = 30_000_000;
