--- a/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
@@ -18,32 +18,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends starts and stops to workers at once, instead of waiting for their next heartbeat.
+ * Sends starts and stops to workers immediately instead of in the response to their next heartbeat.
  *
- * <p>Such a command may arrive minutes late, or twice. Two things make that harmless. A start
- * without an answer is repeated in heartbeat responses until the worker reports the attempt, so the
- * late copy finds the attempt known and has no effect. And an attempt that was ever started
+ * <p>Such a command may arrive minutes late, or twice. Two rules make that harmless. First, a start
+ * that got no reply is repeated in heartbeat responses until the worker reports the attempt, so the
+ * late copy finds the attempt known and has no effect. Second, an attempt that was ever started
  * directly is not removed from its worker while the incarnation lasts: a copy that arrives after
  * its exit finds it known as well. Nor is the task placed on that machine again in the incarnation,
- * since a new attempt could take the place of the old one there. So that heartbeats stay small,
- * only so many attempts of an incarnation are started directly; the others wait for the heartbeat.
+ * since a new attempt could replace the old one there. To keep heartbeats small, the number of
+ * attempts that are started directly in an incarnation is limited; the others wait for the
+ * heartbeat.
  */
 public final class DirectCommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(DirectCommandSender.class);
 
-  /** Direct starts of services in one incarnation. A default of this project. */
+  /**
+   * Services are started directly until an incarnation has had this many direct starts, of any
+   * kind.
+   */
   private static final int MAX_SERVICE_STARTS = 80;
 
-  /** Direct starts of all other tasks in one incarnation. A default of this project. */
+  /**
+   * All other tasks are started directly until an incarnation has had this many direct starts, of
+   * any kind.
+   */
   private static final int MAX_OTHER_STARTS = 40;
 
-  /** No further command to a machine for this long after one that it did not answer. */
+  /** No further command is sent to a machine for this long after one that got no reply. */
   private static final long UNANSWERED_BACKOFF_MICROS = WorkerClient.TIMEOUT_MICROS;
 
-  /** Takes the state of a worker that answered a command. */
+  /** Receives the state of a worker that replied to a command. */
   @FunctionalInterface
   public interface ReplyListener {
-    /** The machine answered with this state, in the form of a heartbeat. */
+    /** Called with the state that the machine replied with, in the form of a heartbeat. */
     void onDirectReply(Machine machine, Heartbeat heartbeat, long nowMicros);
   }
 
@@ -56,10 +63,10 @@
   private boolean closed;
 
   /**
-   * A sender of one term, which has sent nothing yet.
+   * Creates a sender for one term.
    *
-   * @param maxInFlight commands on their way at once; what exceeds it waits, for a moment or for
-   *     the machine's next heartbeat
+   * @param maxInFlight the maximum number of commands in flight; further ones wait, for a moment or
+   *     for the machine's next heartbeat
    */
   public DirectCommandSender(
       long term,
@@ -74,14 +81,15 @@
     this.maxInFlight = maxInFlight;
   }
 
-  /** The term is over: answers that still come are ignored. */
+  /** Ends the term: later replies are ignored. */
   public void close() {
     closed = true;
   }
 
-  /** Sends what the cluster state assigned or stopped since the last time. */
+  /** Sends the starts and stops that the cluster state has added since the last call. */
   public void sendPending(long nowMicros) {
-    // Only machines with something new: looking at all of them in each pass cost more than placing.
+    // Visits only machines with new commands: visiting all machines in each pass cost more than
+    // placement.
     Iterator<Machine> machines = clusterState.machinesToCommand().iterator();
     while (machines.hasNext() && inFlight < maxInFlight) {
       Machine machine = machines.next();
@@ -130,7 +138,10 @@
         < (service ? MAX_SERVICE_STARTS : MAX_OTHER_STARTS);
   }
 
-  /** A task that saves checkpoints is left to the heartbeat response, which gives it the time. */
+  /**
+   * True if the stop may be sent directly. A task with checkpoints is left to the heartbeat
+   * response, which gives it the time to save one.
+   */
   private static boolean mayStop(Task task) {
     return task.phase() == TaskPhase.STOPPING
         && !task.stopSentDirectly()
@@ -153,15 +164,15 @@
     }
     machine.directCommands().inFlight(false);
     inFlight--;
-    boolean answered = !(reply instanceof WorkerReply.Failed);
+    boolean replied = !(reply instanceof WorkerReply.Failed);
     for (Task task : started) {
-      task.directStart(answered ? DirectStart.ANSWERED : DirectStart.LOST);
+      task.directStart(replied ? DirectStart.ANSWERED : DirectStart.LOST);
     }
     if (reply instanceof WorkerReply.State state) {
       listener.onDirectReply(machine, state.heartbeat(), nowMicros);
     } else if (reply instanceof WorkerReply.Malformed malformed) {
       LOG.info(
-          "direct command answer malformed: machine={} cause=\"{}\"",
+          "direct command reply malformed: machine={} cause=\"{}\"",
           machine.name(),
           malformed.cause());
     } else if (reply instanceof WorkerReply.Failed failed) {
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -17,7 +17,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Receives workers' heartbeats: finds their machines, and sorts out late and repeated ones. */
+/**
+ * Receives workers' heartbeats: looks up their machines, and separates out late and repeated
+ * heartbeats.
+ */
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
@@ -33,9 +36,9 @@
   private final HeartbeatReconciler reconciler;
 
   /**
-   * A handler of one term.
+   * Creates a handler for one term.
    *
-   * @param closed tells whether the term is over, which a write may find out at any time
+   * @param closed returns true once the term is over, which a write may detect at any time
    */
   public HeartbeatHandler(
       long term,
@@ -58,7 +61,7 @@
     this.reconciler = new HeartbeatReconciler(term, clusterState);
   }
 
-  /** Takes in a heartbeat and answers it; the caller has made sure that this term may do so. */
+  /** Processes a heartbeat and responds to it; the caller has ensured that this term may do so. */
   public void onHeartbeat(long requestId, Heartbeat heartbeat, long nowMicros) {
     Machine machine = clusterState.machines().get(heartbeat.machine());
     if (machine == null) {
@@ -78,15 +81,17 @@
     recordExits(heartbeat, nowMicros);
   }
 
-  /** It was held up on its way since before the lease of that incarnation expired. */
+  /**
+   * True if the heartbeat was delayed on its way since before the lease of its incarnation expired.
+   */
   private static boolean isFromExpiredIncarnation(Machine machine, Heartbeat heartbeat) {
     return machine.phase() == MachinePhase.LOST
         && heartbeat.incarnation() <= machine.heartbeats().incarnation();
   }
 
   /**
-   * Answers a heartbeat that was held up on its way, or passed by the answer to a direct command:
-   * nothing in it is news.
+   * Responds to a heartbeat that was delayed on its way, or overtaken by the reply to a direct
+   * command. It contains nothing new.
    */
   private void onStaleHeartbeat(
       long requestId, Machine machine, Heartbeat heartbeat, long nowMicros) {
@@ -94,12 +99,12 @@
       restartProbe.probe(machine);
     }
     if (fleet.isSilent(machine, nowMicros)) {
-      // Only copies are left of it, or its worker restarted with an old sequence number: an answer
-      // would keep that alive without end.
+      // Only late copies of its heartbeats arrive, or its worker restarted with an old sequence
+      // number: a response would keep such a worker alive forever.
       reject(requestId);
       return;
     }
-    // The worker may still wait for the answer.
+    // The worker may still be waiting for the response.
     respond(requestId, machine, HeartbeatResponse.withoutCommands(term), nowMicros);
   }
 
@@ -109,14 +114,14 @@
 
   private void respond(
       long requestId, Machine machine, HeartbeatResponse response, long nowMicros) {
-    // The worker's lease runs from this answer at the latest.
+    // The worker's lease starts with this response at the latest.
     machine.heartbeats().recordLeaseRenewal(nowMicros);
     outbox.respond(requestId, HttpStatus.OK, response.toNode());
   }
 
   /**
-   * Takes in the state with which a worker answered a direct command. That renews no lease, and no
-   * commands go back.
+   * Processes the state with which a worker replied to a direct command. This renews no lease, and
+   * no commands are sent back.
    */
   public void onDirectReply(Machine machine, Heartbeat heartbeat, long nowMicros) {
     if (machine.phase() == MachinePhase.GONE
@@ -125,15 +130,16 @@
       return;
     }
     if (heartbeat.incarnation() > machine.heartbeats().incarnation()) {
-      // Guards against taking the lease of this incarnation for expired with that of the one
-      // before: it began without any answer of ours, at the latest now.
+      // Guards against taking the lease of this incarnation for expired together with that of the
+      // previous one: the incarnation began without any response from this leader, at the latest
+      // now.
       machine.heartbeats().recordLeaseRenewal(nowMicros);
     }
     reconciler.onDirectReply(machine, heartbeat, nowMicros);
     recordExits(heartbeat, nowMicros);
   }
 
-  /** Writes the records of the jobs whose tasks have exited, as far as that is due. */
+  /** Writes the records of the jobs whose tasks have exited, where a write is due. */
   private void recordExits(Heartbeat heartbeat, long nowMicros) {
     for (Heartbeat.TaskStatus task : heartbeat.tasks()) {
       Job job = clusterState.jobs().get(task.name().jobId());
@@ -147,9 +153,10 @@
   }
 
   /**
-   * Adds a machine that nobody expected: it was rented late, or the cloud does not list it yet.
+   * Adds a machine that is not in the cluster state: it was rented late, or the cloud does not list
+   * it yet.
    *
-   * @return null if its type is unknown, or the machine is known to be gone
+   * @return null if its type is unknown, or the machine is known to have been released
    */
   private Machine addUnexpectedMachine(Heartbeat heartbeat, long nowMicros) {
     MachineType type = catalog.type(heartbeat.type());
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
@@ -13,11 +13,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the cluster state with a worker's heartbeat, and answers with what has to change.
+ * Reconciles the cluster state with a worker's heartbeat, and responds with the commands that are
+ * needed.
  *
  * <p>A worker has one heartbeat in flight and drops a response after 4 s, so its next heartbeat
- * tells for certain whether the commands of a response were carried out. {@link
- * DirectCommandSender} says what holds for those sent directly.
+ * shows with certainty whether the commands of a response were executed. {@link
+ * DirectCommandSender} describes what holds for commands sent directly.
  */
 final class HeartbeatReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
@@ -36,7 +37,10 @@
     this.tasks = new TaskReconciler(clusterState);
   }
 
-  /** Takes in a heartbeat that is newer than the last one of its machine, and answers it. */
+  /**
+   * Processes a heartbeat that is newer than the last report of its machine, and returns the
+   * response.
+   */
   HeartbeatResponse onHeartbeat(Machine machine, Heartbeat heartbeat, long nowMicros) {
     boolean first = machine.heartbeats().incarnation() < 0;
     boolean newIncarnation = beginsNewIncarnation(machine, heartbeat);
@@ -54,9 +58,9 @@
     return new HeartbeatResponse(term, sent);
   }
 
-  /** Takes in the answer to a direct command, if it is newer than what the machine told before. */
+  /** Processes the reply to a direct command that is newer than the last report of its machine. */
   void onDirectReply(Machine machine, Heartbeat heartbeat, long nowMicros) {
-    // What it calls for is left to the response to the next heartbeat.
+    // Commands that it requires are left to the response to the next heartbeat.
     reconcile(recordReport(machine, heartbeat, ReportSource.DIRECT_REPLY, nowMicros));
   }
 
@@ -65,12 +69,12 @@
         && heartbeat.incarnation() > machine.heartbeats().incarnation();
   }
 
-  /** Updates what is known of the machine itself, and judges what the heartbeat proves. */
+  /** Updates the state of the machine itself, and determines what the report proves. */
   private WorkerReport recordReport(
       Machine machine, Heartbeat heartbeat, ReportSource source, long nowMicros) {
     if (beginsNewIncarnation(machine, heartbeat)) {
       clusterState.unbindAll(
-          machine, "its worker began incarnation " + heartbeat.incarnation(), nowMicros);
+          machine, "worker began incarnation " + heartbeat.incarnation(), nowMicros);
     }
     machine.recordSequence(heartbeat.incarnation(), heartbeat.sequence());
     if (source == ReportSource.HEARTBEAT) {
@@ -100,7 +104,7 @@
         }
       }
       case UP, DRAINING, TERMINATING, GONE -> {
-        // stays what it is
+        // not changed by a heartbeat
       }
     }
   }
--- a/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
+++ b/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
@@ -5,21 +5,22 @@
 import org.dewreach.wire.Heartbeat;
 
 /**
- * Heartbeats that came while it is being decided who leads.
+ * Holds heartbeats that arrive while it is undecided which controller leads.
  *
- * <p>A worker that is refused tries the next node a second later; after the end of all controllers
- * that took it past the end of its lease. A moment later it can be answered, or redirected.
+ * <p>A worker whose heartbeat is rejected tries the next controller a second later; after a failure
+ * of all controllers, that delayed workers past their lease expiry. A moment later the heartbeat
+ * can be answered, or redirected.
  */
 public final class PendingHeartbeats {
-  /** Well within the 4 s that a worker waits. A default of this project. */
+  /** Well within the 4 s that a worker waits for a response. */
   private static final long MAX_WAIT_MICROS = 1_500_000;
 
   private record Pending(long requestId, Heartbeat heartbeat, long sinceMicros) {}
 
-  /** Answers a heartbeat. */
+  /** Responds to a heartbeat. */
   @FunctionalInterface
   public interface Responder {
-    /** Answers the request with which the heartbeat came. */
+    /** Responds to the request that carried the heartbeat. */
     void respond(long requestId, Heartbeat heartbeat);
   }
 
@@ -27,10 +28,10 @@
   private final Deque<Pending> pending = new ArrayDeque<>();
 
   /**
-   * An empty queue.
+   * Creates an empty queue.
    *
-   * @param capacity heartbeats at once; a connection carries one at a time, so no more than
-   *     connections
+   * @param capacity the maximum number of heartbeats held; a connection carries one at a time, so
+   *     the number of connections suffices
    */
   public PendingHeartbeats(int capacity) {
     this.capacity = capacity;
@@ -41,20 +42,20 @@
     return pending.size() >= capacity;
   }
 
-  /** True if no heartbeat waits. */
+  /** True if no heartbeat is held. */
   public boolean isEmpty() {
     return pending.isEmpty();
   }
 
-  /** Adds a heartbeat to those that wait. */
+  /** Holds a heartbeat until {@link #respondToDue} responds to it. */
   public void add(long requestId, Heartbeat heartbeat, long nowMicros) {
     pending.add(new Pending(requestId, heartbeat, nowMicros));
   }
 
   /**
-   * Answers what need not or must not wait any longer.
+   * Responds to the heartbeats that need not, or must not, wait any longer.
    *
-   * @param undecided true if it is still not known who leads
+   * @param undecided true if it is still undecided which controller leads
    */
   public void respondToDue(boolean undecided, long nowMicros, Responder responder) {
     while (!pending.isEmpty()
--- a/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
+++ b/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
@@ -8,16 +8,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * Attributes the failures of tasks to their job or to their machine, and quarantines the latter.
- */
+/** Attributes task failures to the job or to the machine, and quarantines faulty machines. */
 final class QuarantinePolicy {
   private static final Logger LOG = LoggerFactory.getLogger(QuarantinePolicy.class);
 
-  /** A machine on which tasks of this many jobs failed in a row is not given more. */
+  /** A machine is quarantined after tasks of this many jobs have failed there in a row. */
   private static final int MAX_FAILED_JOBS = 2;
 
-  /** Nor one on which this many tasks failed in a row of a job that completes them elsewhere. */
+  /**
+   * A machine is also quarantined after this many tasks have failed there in a row if they belong
+   * to a job that completes tasks elsewhere.
+   */
   private static final int MAX_FAILURES = 3;
 
   private final ClusterState clusterState;
@@ -26,12 +27,12 @@
     this.clusterState = clusterState;
   }
 
-  /** A task completed on the machine: what failed there before says nothing about it. */
+  /** Records that a task completed on the machine: earlier failures there no longer count. */
   void onTaskSucceeded(Machine machine) {
     machine.failures().recordSuccess();
   }
 
-  /** A task of the job failed on the machine. */
+  /** Records that a task of the job failed on the machine. */
   void onTaskFailed(Machine machine, Job job, long nowMicros) {
     job.backoff().recordFailure(machine.name(), nowMicros);
     if (job.backoff().failsRepeatedly()) {
@@ -48,23 +49,27 @@
     }
   }
 
-  /** One job's failures tell as much only where its other tasks have completed elsewhere. */
+  /**
+   * True if the machine's failures show that it is faulty. Failures of one job show it only if
+   * other tasks of that job have completed elsewhere.
+   */
   private static boolean isFaulty(Machine machine, Job job) {
     return machine.failures().jobs().size() >= MAX_FAILED_JOBS
         || machine.failures().failureCount() >= MAX_FAILURES && job.doneCount() > 0;
   }
 
   /**
-   * A job that fails wherever it goes says nothing about the machines.
+   * Clears the failures of a job from its machines: a job that fails everywhere says nothing about
+   * them.
    *
-   * <p>Guards against healthy machines that are quarantined, and rented again, because two jobs
-   * with a mistake met there.
+   * <p>Guards against healthy machines that are quarantined, and replaced by newly rented ones,
+   * because two jobs with an error of their own ran there.
    */
   private void clearFailuresOfJob(Job job, long nowMicros) {
     for (String name : job.backoff().avoidedMachines(nowMicros)) {
       Machine machine = clusterState.machines().get(name);
-      boolean blamed = machine != null && machine.failures().jobs().remove(job.id());
-      if (blamed && machine.quarantined() && !isFaulty(machine, job)) {
+      boolean removed = machine != null && machine.failures().jobs().remove(job.id());
+      if (removed && machine.quarantined() && !isFaulty(machine, job)) {
         LOG.info("machine quarantine ended: machine={} failing_job={}", name, job.id());
         machine.failures().endQuarantine();
         stopDraining(machine, nowMicros);
@@ -74,10 +79,10 @@
   }
 
   /**
-   * A machine that only drains because it was quarantined takes tasks again.
+   * Makes a machine available for tasks again if it drains only because it was quarantined.
    *
-   * <p>Guards against a machine that is cleared once {@link MachineDrainer} has begun to drain it:
-   * it was given nothing, and never returned, until the term ended.
+   * <p>Guards against a machine whose quarantine ends after {@link MachineDrainer} has begun to
+   * drain it: it received no tasks, and was never released, until the term ended.
    */
   private void stopDraining(Machine machine, long nowMicros) {
     if (machine.phase() == MachinePhase.DRAINING && machine.reclaimAt() < 0) {
--- a/src/main/java/org/dewreach/heartbeat/ReportFreshness.java
+++ b/src/main/java/org/dewreach/heartbeat/ReportFreshness.java
@@ -1,16 +1,17 @@
 package org.dewreach.heartbeat;
 
-/** What a heartbeat proves about the present state of its machine. */
+/** Whether a report shows the current state of its machine. */
 enum ReportFreshness {
   /**
-   * It shows the present state: the worker has seen the fencing token of this term, or was never
-   * commanded before, so that no command of an earlier term can still change what it shows.
+   * The report shows the current state: the worker has seen the fencing token of this term, or
+   * never received a command, so no command of an earlier term can still change what the report
+   * shows.
    */
   CURRENT,
   /**
-   * It may be a late copy, from seconds to minutes old, of a machine that is gone or does other
-   * things now. Nothing is concluded from it but what holds for ever: a task has completed, an
-   * earlier incarnation is over.
+   * The report may be a late copy, from seconds to minutes old, of a machine that is gone or has
+   * changed since. Only permanent facts are concluded from it: a task has completed, an earlier
+   * incarnation has ended.
    */
   POSSIBLY_STALE
 }
--- a/src/main/java/org/dewreach/heartbeat/ResponseLossDetector.java
+++ b/src/main/java/org/dewreach/heartbeat/ResponseLossDetector.java
@@ -8,10 +8,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds machines whose heartbeats arrive while our responses and commands do not reach them.
+ * Detects machines whose heartbeats arrive while responses and commands do not reach them.
  *
- * <p>Guards against tasks placed where they never start, beside others that die with the machine's
- * lease.
+ * <p>Guards against placing tasks where they never start, beside others that end when the machine's
+ * lease expires.
  */
 final class ResponseLossDetector {
   private static final Logger LOG = LoggerFactory.getLogger(ResponseLossDetector.class);
@@ -25,10 +25,10 @@
   }
 
   /**
-   * Judges by a heartbeat whether the response to the heartbeat before it arrived.
+   * Determines from a heartbeat whether the response to the previous heartbeat arrived.
    *
    * @param newIncarnation true if the worker's lease expired since then
-   * @param previousHeartbeatMicros when the heartbeat before it came
+   * @param previousHeartbeatMicros when the previous heartbeat arrived
    */
   void onHeartbeat(WorkerReport report, boolean newIncarnation, long previousHeartbeatMicros) {
     Machine machine = report.machine();
@@ -51,7 +51,10 @@
     return missing ? "LOST" : "ARRIVING";
   }
 
-  /** A start sent since the previous heartbeat may have passed this one on its way. */
+  /**
+   * True if a start is missing from the report although it should have arrived. A start sent since
+   * the previous heartbeat does not count: it may have crossed this heartbeat on its way.
+   */
   private static boolean startNotReported(WorkerReport report, long previousHeartbeatMicros) {
     for (Task task : report.machine().tasks()) {
       if (task.phase() == TaskPhase.STARTING
--- a/src/main/java/org/dewreach/heartbeat/RestartProbe.java
+++ b/src/main/java/org/dewreach/heartbeat/RestartProbe.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Finds out whether a worker restarted under the same name and lost what it knew. */
+/** Detects whether a worker restarted under the same name and lost its state. */
 final class RestartProbe {
   private static final Logger LOG = LoggerFactory.getLogger(RestartProbe.class);
 
@@ -15,9 +15,9 @@
   private final BooleanSupplier closed;
 
   /**
-   * A probe of one term.
+   * Creates a probe for one term.
    *
-   * @param closed tells whether the term is over
+   * @param closed returns true once the term is over
    */
   RestartProbe(WorkerClient workers, BooleanSupplier closed) {
     this.workers = workers;
@@ -25,11 +25,12 @@
   }
 
   /**
-   * Asks a machine for its sequence number, after a heartbeat that shows an older one and no token.
+   * Requests a machine's sequence number, after a heartbeat with an older one and no token.
    *
    * <p>Such a heartbeat is a late copy of the machine's first, or the first of a worker that
-   * restarted under the same name. The latter would carry out a late copy of a direct start once
-   * more; so what was bound there stays bound until the machine is returned, which is done at once.
+   * restarted under the same name. The latter would execute a late copy of a direct start again; so
+   * the tasks that were bound there stay bound until the machine is released, which is done at
+   * once.
    */
   void probe(Machine machine) {
     if (machine.heartbeats().restartCheck() != RestartCheck.NONE) {
@@ -49,7 +50,7 @@
       boolean older = isOlder(state.heartbeat(), incarnation, sequence);
       machine.heartbeats().restartCheck(older ? RestartCheck.CONFIRMED : RestartCheck.NONE);
     } else {
-      // The machine stays under suspicion, and is not asked again in this term.
+      // The machine stays suspect, and is not probed again in this term.
       LOG.info("restart probe failed: machine={} reply={}", machine.name(), reply);
     }
   }
--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -15,23 +15,26 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reconciles the tasks that a heartbeat reports with those that the cluster state binds there. */
+/**
+ * Reconciles the tasks in a worker's report with the tasks that the cluster state binds to its
+ * machine.
+ */
 final class TaskReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
 
-  /** What a stop may take beyond the time that saving takes. */
+  /** The time that a stop may take beyond the time to save a checkpoint. */
   private static final long STOP_GRACE_MARGIN_MICROS = 5_000_000;
 
-  /** A replica that has run for this long works there. A default of this project. */
+  /** A replica that has run for this long counts as a success. */
   private static final long REPLICA_HEALTHY_AFTER_MICROS = 30_000_000;
 
   /**
-   * Pause after a worker refused a task because another attempt of it runs there: that one is
-   * stopped with the next heartbeats. A default of this project.
+   * The backoff after a worker rejected a task because another attempt of it runs there; that
+   * attempt is stopped with the next heartbeats.
    */
   private static final long ATTEMPT_CONFLICT_BACKOFF_MICROS = 10_000_000;
 
-  /** Pause of a job whose image does not exist. */
+  /** The backoff of a job whose image does not exist. */
   private static final long MISSING_IMAGE_BACKOFF_MICROS = 2_000_000;
 
   private final ClusterState clusterState;
@@ -42,7 +45,7 @@
     this.quarantine = new QuarantinePolicy(clusterState);
   }
 
-  /** Updates the cluster state, and collects the commands that the heartbeat calls for. */
+  /** Updates the cluster state, and collects the commands that the report requires. */
   CommandBatch reconcile(WorkerReport report) {
     CommandBatch commands = new CommandBatch();
     for (TaskStatus reported : report.heartbeat().tasks()) {
@@ -60,13 +63,16 @@
     return commands;
   }
 
-  /** The bound task that the worker reports, or null if another attempt or none is bound there. */
+  /**
+   * Returns the bound task that the worker reports, or null if another attempt or none is bound
+   * there.
+   */
   private static Task boundAttempt(Machine machine, TaskStatus reported) {
     Task task = machine.task(reported.name());
     return task != null && task.attempt() == reported.attempt() ? task : null;
   }
 
-  // What the worker reports.
+  // Tasks in the worker's report
 
   private void reconcileExited(WorkerReport report, TaskStatus reported, CommandBatch commands) {
     Machine machine = report.machine();
@@ -76,7 +82,7 @@
     if (task != null) {
       onExit(machine, task, reported.cause(), report.nowMicros());
     } else if (reported.cause() == Cause.DONE && job != null) {
-      // Known from an earlier term, or from an attempt that was taken for gone.
+      // The attempt is from an earlier term, or was assumed to be gone.
       clusterState.markDone(job, name.index());
     }
     if (!mustStayReported(machine, job, reported)) {
@@ -84,7 +90,10 @@
     }
   }
 
-  /** A result stays in the heartbeats until it is durable, so that no leader can miss it. */
+  /**
+   * True if the worker has to keep reporting the attempt. A result is reported until it is durable,
+   * so that no leader can miss it.
+   */
   private static boolean mustStayReported(Machine machine, Job job, TaskStatus reported) {
     if (machine.directCommands().hasStartedAttempt(reported.attempt())) {
       return true;
@@ -112,7 +121,7 @@
           job.backoff().avoidMachine(machine.name(), nowMicros + ATTEMPT_CONFLICT_BACKOFF_MICROS);
       case NO_SUCH -> job.backoff().delayUntil(nowMicros + MISSING_IMAGE_BACKOFF_MICROS);
       case STOPPED, NONE -> {
-        // it goes back to the queue
+        // the task is queued again
       }
     }
   }
@@ -127,8 +136,8 @@
     }
     Job job = clusterState.jobs().get(name.jobId());
     if (!report.isCurrent()) {
-      // A task bound by a late copy would be stopped where it really runs. But an attempt of a
-      // cancelled job is not wanted, however old the heartbeat is.
+      // Binding a task by a late copy would stop it on the machine where it really runs. An attempt
+      // of a cancelled job is stopped, however old the heartbeat is.
       if (job != null && job.phase() == JobPhase.CANCELLED) {
         commands.stop(name, reported.attempt(), 0);
       }
@@ -171,33 +180,33 @@
     task.become(phase(state), nowMicros);
     boolean replicaRuns = state == TaskState.RUNNING && task.spec().jobKind() == JobKind.SERVICE;
     if (replicaRuns && nowMicros - task.startedAt() > REPLICA_HEALTHY_AFTER_MICROS) {
-      // A service never completes: that it runs for a while says as much.
+      // A service never completes, so running for a while counts as a success.
       task.job().backoff().recordSuccess();
     }
   }
 
-  // What the cluster state binds.
+  // Tasks bound in the cluster state
 
-  /** What a task that is bound here needs, after a heartbeat that shows the present state. */
+  /** Updates a task that is bound here, after a report that shows the current state. */
   private void reconcileBound(WorkerReport report, Task task, CommandBatch commands) {
     long nowMicros = report.nowMicros();
     Job job = task.job();
-    boolean wanted = job.phase() == JobPhase.ACTIVE && !job.done().get(task.index());
-    if (!wanted && task.phase() != TaskPhase.STOPPING) {
-      clusterState.stop(task, "not wanted any more", nowMicros);
+    boolean needed = job.phase() == JobPhase.ACTIVE && !job.done().get(task.index());
+    if (!needed && task.phase() != TaskPhase.STOPPING) {
+      clusterState.stop(task, "no longer needed", nowMicros);
     }
     boolean reported = report.reports(task.name());
     switch (task.phase()) {
       case ASSIGNED -> commands.start(task);
       case STARTING -> {
-        // The response with the start was dropped: this heartbeat was sent after that.
+        // The response with the start was dropped: this heartbeat was sent afterwards.
         if (!reported) {
           commands.start(task);
         }
       }
       case PULLING, RUNNING -> {
         if (!reported && !task.directStartUnresolved()) {
-          clusterState.unbind(task, "not reported any more", nowMicros);
+          clusterState.unbind(task, "no longer reported", nowMicros);
         }
       }
       case STOPPING -> reconcileStopping(report, task, commands);
@@ -213,8 +222,8 @@
     } else if (task.directStartUnresolved()) {
       commands.startAndStop(task);
     } else if (report.source() == ReportSource.HEARTBEAT) {
-      // The answer to a direct command proves nothing here: the response with the start may still
-      // be on its way. Only the next heartbeat was sent after that was carried out or dropped.
+      // The reply to a direct command proves nothing here: the response with the start may still be
+      // on its way. Only the next heartbeat is sent after that response was processed or dropped.
       clusterState.unbind(task, "stopped before it started", report.nowMicros());
     }
   }
--- a/src/main/java/org/dewreach/heartbeat/WorkerClient.java
+++ b/src/main/java/org/dewreach/heartbeat/WorkerClient.java
@@ -5,15 +5,15 @@
 import org.dewreach.port.Target;
 import org.dewreach.wire.DirectCommandRequest;
 
-/** Calls to workers, with typed requests and replies. */
+/** Sends requests to workers, with typed requests and replies. */
 final class WorkerClient {
-  /** How long a worker's answer is waited for. */
+  /** The time to wait for a worker's reply. */
   static final long TIMEOUT_MICROS = 2_500_000;
 
-  /** Takes what came of a call. */
+  /** Handles the outcome of a request. */
   @FunctionalInterface
   interface ReplyHandler {
-    /** Called once per call. */
+    /** Called exactly once per request. */
     void onReply(long nowMicros, WorkerReply reply);
   }
 
@@ -24,7 +24,7 @@
   }
 
   /**
-   * Sends commands at once. The worker refuses those of an earlier term, and those for another
+   * Sends commands immediately. The worker rejects those of an earlier term, and those for another
    * incarnation.
    */
   void send(Machine machine, DirectCommandRequest request, ReplyHandler handler) {
@@ -38,7 +38,7 @@
             handler.onReply(now, WorkerCodec.commandReply(machine.name(), status, body)));
   }
 
-  /** Asks a worker for its present state. */
+  /** Requests the current state of a worker. */
   void readState(Machine machine, ReplyHandler handler) {
     outbox.call(
         new Target.Worker(machine.address()),
--- a/src/main/java/org/dewreach/heartbeat/WorkerCodec.java
+++ b/src/main/java/org/dewreach/heartbeat/WorkerCodec.java
@@ -5,26 +5,26 @@
 import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.MalformedException;
 
-/** The paths of the workers' API, and the decoding of its answers. */
+/** The paths of the worker API, and the decoding of its replies. */
 final class WorkerCodec {
-  /** Where a worker takes direct commands. */
+  /** The path at which a worker accepts direct commands. */
   static final String COMMANDS_PATH = "/do";
 
-  /** Where a worker tells its state. */
+  /** The path at which a worker returns its state. */
   static final String STATE_PATH = "/status";
 
   private WorkerCodec() {}
 
   /**
-   * The answer to direct commands. A worker tells its state whether it carries them out or refuses
+   * Decodes the reply to direct commands. A worker returns its state whether it executes or rejects
    * them.
    */
   static WorkerReply commandReply(String machine, int status, JsonNode body) {
-    boolean answered = status == HttpStatus.OK || status == HttpStatus.CONFLICT;
-    return answered ? state(machine, body) : new WorkerReply.Failed(status);
+    boolean replied = status == HttpStatus.OK || status == HttpStatus.CONFLICT;
+    return replied ? state(machine, body) : new WorkerReply.Failed(status);
   }
 
-  /** The answer to the question for the worker's state. */
+  /** Decodes the reply to a request for the worker's state. */
   static WorkerReply stateReply(String machine, int status, JsonNode body) {
     return status == HttpStatus.OK ? state(machine, body) : new WorkerReply.Failed(status);
   }
--- a/src/main/java/org/dewreach/heartbeat/WorkerReply.java
+++ b/src/main/java/org/dewreach/heartbeat/WorkerReply.java
@@ -2,26 +2,26 @@
 
 import org.dewreach.wire.Heartbeat;
 
-/** What came of a call to a worker. */
+/** The outcome of a request to a worker. */
 sealed interface WorkerReply {
   /**
-   * The worker answered with its state.
+   * The worker replied with its state.
    *
-   * @param heartbeat its state, in the form of a heartbeat
+   * @param heartbeat the state, in the form of a heartbeat
    */
   record State(Heartbeat heartbeat) implements WorkerReply {}
 
   /**
-   * Something answered, but not with the state of that worker.
+   * A reply arrived, but it is not the state of that worker.
    *
-   * @param cause what is wrong with the answer
+   * @param cause what is wrong with the reply
    */
   record Malformed(String cause) implements WorkerReply {}
 
   /**
-   * No answer came, or one that is none of the protocol's.
+   * No reply arrived, or one with a status that the protocol does not define.
    *
-   * @param status the HTTP status, or 0 if no response came
+   * @param status the HTTP status, or 0 if no response arrived
    */
   record Failed(int status) implements WorkerReply {}
 }
--- a/src/main/java/org/dewreach/heartbeat/WorkerReport.java
+++ b/src/main/java/org/dewreach/heartbeat/WorkerReport.java
@@ -7,14 +7,14 @@
 import org.dewreach.wire.TaskName;
 
 /**
- * A heartbeat, with what may be concluded from it.
+ * A worker's report of its state, with what may be concluded from it.
  *
  * @param machine the machine that sent it
- * @param heartbeat what it reports
+ * @param heartbeat the reported state
  * @param source how it reached the leader
- * @param freshness what it proves about the machine's present state
- * @param reportedTasks the names of the tasks that it reports
- * @param nowMicros when it came
+ * @param freshness whether it shows the machine's current state
+ * @param reportedTasks the names of the tasks that it contains
+ * @param nowMicros when it arrived
  */
 record WorkerReport(
     Machine machine,
@@ -24,7 +24,7 @@
     Set<TaskName> reportedTasks,
     long nowMicros) {
 
-  /** Judges a heartbeat as the leader of the term. */
+  /** Classifies a report as the leader of the given term. */
   static WorkerReport of(
       Machine machine, Heartbeat heartbeat, ReportSource source, long term, long nowMicros) {
     Set<TaskName> reportedTasks = new HashSet<>();
@@ -39,8 +39,9 @@
   }
 
   /**
-   * Commands of earlier terms may still arrive until the worker has seen our fencing token, unless
-   * none were ever sent to it.
+   * Returns whether a report with the given token shows the current state. Commands of earlier
+   * terms may still arrive until the worker has seen the fencing token of this term, unless none
+   * were ever sent to it.
    */
   private static ReportFreshness freshness(Machine machine, long token, long term) {
     boolean neverCommanded =
@@ -50,12 +51,12 @@
         : ReportFreshness.POSSIBLY_STALE;
   }
 
-  /** True if it shows the machine's present state. */
+  /** True if the report shows the machine's current state. */
   boolean isCurrent() {
     return freshness == ReportFreshness.CURRENT;
   }
 
-  /** True if it reports the task, in whatever state. */
+  /** True if the report contains the task, in any state. */
   boolean reports(TaskName task) {
     return reportedTasks.contains(task);
   }
--- a/src/main/java/org/dewreach/membership/CloudReconciler.java
+++ b/src/main/java/org/dewreach/membership/CloudReconciler.java
@@ -19,27 +19,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Compares the cloud's list of machines with the cluster state: adds machines that are unknown here
- * and releases those that have failed or are listed no more.
+ * Compares the cloud's list of machines with the cluster state: adds machines that the cluster
+ * state lacks, and releases those that have failed or are no longer listed.
  *
- * <p>A machine that the cloud took away would otherwise be waited for until its worker's lease has
- * expired, and each new leader counts that anew. What the list says holds for every leader at once.
- * It is not taken for proof: the machine is released, and its tasks are placed elsewhere once the
- * cloud has confirmed that or the lease has expired.
+ * <p>Without the list, a machine that the cloud removed would be kept until its worker's lease
+ * expires, which each new leader measures anew. The list holds for every leader at once. It is not
+ * accepted as proof: the machine is released, and its tasks are placed elsewhere once the cloud has
+ * confirmed the release or the lease has expired.
  */
 final class CloudReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(CloudReconciler.class);
 
   /**
-   * A large fleet takes several calls of a small rate to list; heartbeats tell most of it. A
-   * default of this project.
+   * Listing a large fleet takes several calls of a low call rate, and heartbeats already report
+   * most of the fleet.
    */
   private static final long MIN_LISTING_INTERVAL_MICROS = 5_000_000;
 
-  /** The list may describe a time this many times its lag ago, read the most cautious way. */
+  /** The list may be up to this many times its lag old, by the most cautious reading of the lag. */
   private static final int MAX_LAG_FACTOR = 3;
 
-  /** For delays, and for what the times of day of two controllers may differ by. */
+  /** Covers delays and the difference between the wall clocks of two controllers. */
   private static final long LIST_AGE_MARGIN_MICROS = 2_000_000;
 
   private final ClusterState clusterState;
@@ -51,7 +51,9 @@
   private final long intervalMicros;
   private final long maxListAgeMicros;
 
-  /** Machines that are gone, as the last pages that cover them tell. */
+  /**
+   * Known machines that the latest pages covering their names omit although they should be listed.
+   */
   private final Set<String> unlisted = new HashSet<>();
 
   private long listedAt = -1;
@@ -59,7 +61,7 @@
   private long nextListingAt;
   private boolean closed;
 
-  /** A reconciler of one term. */
+  /** Creates a reconciler for one term. */
   CloudReconciler(
       ClusterState clusterState,
       MachineRegistry registry,
@@ -79,12 +81,14 @@
     this.maxListAgeMicros = MAX_LAG_FACTOR * lagMicros + LIST_AGE_MARGIN_MICROS;
   }
 
-  /** Ignores all later answers of the cloud. */
+  /** Ignores all later responses of the cloud. */
   void close() {
     closed = true;
   }
 
-  /** Begins to read the list when it is due, and releases what it lacked and is still silent. */
+  /**
+   * Releases unlisted machines that are still silent, and starts to read the list if that is due.
+   */
   void reconcile(long nowMicros) {
     releaseUnlisted(nowMicros);
     if (requestInFlight || nowMicros < nextListingAt || !cloud.mayCall(nowMicros)) {
@@ -94,12 +98,12 @@
     requestPage(null, nowMicros);
   }
 
-  /** When the list was last read to its end, or -1. */
+  /** The time at which the list was last read to its end, or -1. */
   long listedAt() {
     return listedAt;
   }
 
-  /** How many known machines the list lacked although it should have them. */
+  /** The number of known machines that the list omits although it should contain them. */
   int unlistedMachines() {
     return unlisted.size();
   }
@@ -109,7 +113,7 @@
     cloud.listMachines(
         nowMicros,
         afterMachine,
-        (answeredAt, result) -> onPage(afterMachine, nowMicros, result, answeredAt));
+        (respondedAt, result) -> onPage(afterMachine, nowMicros, result, respondedAt));
   }
 
   private void onPage(
@@ -150,7 +154,10 @@
     }
   }
 
-  /** True if the oldest list that the cloud may answer with had the machine, unless it was gone. */
+  /**
+   * True if even the oldest list that the cloud may return would contain the machine, unless it is
+   * gone.
+   */
   private boolean shouldBeListed(Machine machine, long requestedAt) {
     return machine.knownSince() < requestedAt - maxListAgeMicros;
   }
@@ -159,7 +166,7 @@
     unlisted.retainAll(clusterState.machines().keySet());
     for (String name : unlisted) {
       Machine machine = clusterState.machines().get(name);
-      // One that sends heartbeats is kept, whatever the list says.
+      // A machine that sends heartbeats is kept, even if it is not listed.
       if (machine.phase() != MachinePhase.TERMINATING
           && failureDetector.missedHeartbeat(machine, nowMicros)) {
         scaleIn.markForRelease(machine, "no longer listed", nowMicros);
--- a/src/main/java/org/dewreach/membership/FailureDetector.java
+++ b/src/main/java/org/dewreach/membership/FailureDetector.java
@@ -12,21 +12,27 @@
 import org.dewreach.model.RestartCheck;
 
 /**
- * Tells from heartbeats and leases which machines are silent, lost or out of reach. It only looks;
- * {@link MachineHealthMonitor} acts.
+ * Detects from heartbeats and leases which machines are silent, lost or unreachable. It only
+ * reports them; {@link MachineHealthMonitor} acts.
  */
 final class FailureDetector {
-  /** A lost machine may come back for this long. A default of this project. */
+  /** A lost machine may come back until this long after its last heartbeat. */
   static final long LOST_MACHINE_TIMEOUT_MICROS = 75_000_000;
 
   private static final int QUARTERS = 4;
 
-  /** A machine is silent after this many quarters of its heartbeat interval, or later. */
+  /**
+   * A machine is silent after this many quarters of its heartbeat interval, or after {@link
+   * #SILENT_AFTER_LEASE_PERCENT} if that is later.
+   */
   private static final int SILENT_AFTER_HEARTBEAT_QUARTERS = 13;
 
   private static final int PERCENT = 100;
 
-  /** A machine is silent after this part of its lease, or later. */
+  /**
+   * A machine is silent after this percentage of its lease, or after {@link
+   * #SILENT_AFTER_HEARTBEAT_QUARTERS} if that is later.
+   */
   private static final int SILENT_AFTER_LEASE_PERCENT = 45;
 
   private static final long OVERDUE_MARGIN_MICROS = 500_000;
@@ -36,7 +42,7 @@
 
   private static final long LEASE_MARGIN_MICROS = 300_000;
 
-  /** A machine may take this many times its type's boot time to come up. */
+  /** A boot times out after this many times the machine type's boot time, plus a margin. */
   private static final int BOOT_TIMEOUT_FACTOR = 3;
 
   private static final long BOOT_TIMEOUT_MARGIN_MICROS = 30_000_000;
@@ -45,24 +51,26 @@
   private final Settings.Workers settings;
   private long authoritySince;
 
-  /** A detector of one term, which has authority from now on. */
+  /** Creates a detector for one term, which has authority from now on. */
   FailureDetector(LeaseDelegations delegations, Settings.Workers settings, long nowMicros) {
     this.delegations = delegations;
     this.settings = settings;
     this.authoritySince = nowMicros;
   }
 
-  /** From now on, and not before, this leader alone answers workers. */
+  /**
+   * Called when this leader becomes the only controller that responds to workers, and not earlier.
+   */
   void onAuthorityGained(long nowMicros) {
     authoritySince = nowMicros;
   }
 
-  /** For how long this leader alone has answered workers. */
+  /** Returns how long this leader has been the only controller that responds to workers. */
   long sinceAuthorityMicros(long nowMicros) {
     return nowMicros - authoritySince;
   }
 
-  /** True if no heartbeat has come from the machine for far longer than the interval. */
+  /** True if no heartbeat of the machine has arrived for far longer than the interval. */
   boolean isSilent(Machine machine, long nowMicros) {
     long silentAfter =
         Math.max(
@@ -71,19 +79,22 @@
     return sinceHeartbeatMicros(machine, nowMicros) > silentAfter;
   }
 
-  /** True if the machine's last heartbeats have not come in time. */
+  /** True if the machine's last heartbeats have not arrived in time. */
   private boolean isOverdue(Machine machine, long nowMicros) {
     return sinceHeartbeatMicros(machine, nowMicros) > overdueAfterMicros();
   }
 
-  /** True if a heartbeat has not come, with one failed attempt at another controller before it. */
+  /**
+   * True if an expected heartbeat has not arrived, allowing for one failed attempt at another
+   * controller before it.
+   */
   boolean missedHeartbeat(Machine machine, long nowMicros) {
     long expectedWithin =
         WorkerTiming.maxHeartbeatIntervalMicros(settings) + WorkerTiming.RETRY_PAUSE_MICROS;
     return sinceHeartbeatMicros(machine, nowMicros) > expectedWithin;
   }
 
-  /** Time after which a heartbeat is overdue. */
+  /** Returns the time since the last heartbeat after which the next one is overdue. */
   long overdueAfterMicros() {
     return 2 * settings.reportMicros() + OVERDUE_MARGIN_MICROS;
   }
@@ -93,21 +104,22 @@
   }
 
   /**
-   * True if the worker's lease has surely expired, so that it has killed all its tasks, or if it
+   * True if the worker's lease has certainly expired, so that it has killed all its tasks, or if it
    * never had any.
    */
   boolean leaseExpired(Machine machine, long nowMicros) {
     if (machine.heartbeats().restartCheck() != RestartCheck.NONE) {
-      // A worker that restarted has a lease of its own, and takes late copies of our starts.
+      // A restarted worker has a lease of its own, and accepts late copies of starts that were sent
+      // to its predecessor.
       return false;
     }
-    long from = Math.max(authoritySince, machine.heartbeats().lastLeaseRenewal());
-    from = Math.max(from, delegations.renewedUntil(machine.zone(), nowMicros));
+    long leaseStart = Math.max(authoritySince, machine.heartbeats().lastLeaseRenewal());
+    leaseStart = Math.max(leaseStart, delegations.renewedUntil(machine.zone(), nowMicros));
     long lease = settings.leaseMicros();
-    return nowMicros > from + lease + lease / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MICROS;
+    return nowMicros > leaseStart + lease + lease / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MICROS;
   }
 
-  /** Looks at all machines. */
+  /** Determines the condition of every machine. */
   FleetHealth assess(Collection<Machine> machines, long nowMicros) {
     Map<MachineCondition, List<Machine>> byCondition = new EnumMap<>(MachineCondition.class);
     List<Machine> overdue = new ArrayList<>();
--- a/src/main/java/org/dewreach/membership/FleetHealth.java
+++ b/src/main/java/org/dewreach/membership/FleetHealth.java
@@ -5,31 +5,34 @@
 import org.dewreach.model.Machine;
 
 /**
- * What one pass over the fleet found.
+ * The result of one pass over the fleet.
  *
  * @param byCondition the machines in each condition
- * @param overdue the machines whose heartbeat is overdue; also those that are not silent yet
- * @param reachable how many machines send heartbeats in time and take answers
+ * @param overdue the machines whose heartbeat is overdue, including those that are not silent yet
+ * @param reachable the number of machines that send heartbeats in time and receive responses
  */
 record FleetHealth(
     Map<MachineCondition, List<Machine>> byCondition, List<Machine> overdue, int reachable) {
 
-  /** What is known before the first pass. */
+  /** The health before the first pass. */
   static final FleetHealth EMPTY = new FleetHealth(Map.of(), List.of(), 0);
 
-  /** So many machines do not fall silent at once, unless it is us. A default of this project. */
+  /**
+   * The smallest number of unreachable machines that indicates a partition: so many machines do not
+   * fall silent at once through faults of their own.
+   */
   private static final int MIN_UNREACHABLE_FOR_PARTITION = 3;
 
-  /** This many unreachable machines for one that is reachable show a partition. */
+  /** The number of unreachable machines per reachable one that indicates a partition. */
   private static final int UNREACHABLE_PER_REACHABLE_FOR_PARTITION = 3;
 
-  /** So many unreachable machines are few, however many are reachable. */
+  /** Up to this many unreachable machines are few, regardless of how many are reachable. */
   private static final int FEW_UNREACHABLE_MIN_LIMIT = 2;
 
-  /** Of a large fleet, one unreachable machine for this many that are reachable is few. */
+  /** In a large fleet, one unreachable machine per this many reachable ones is few. */
   private static final int REACHABLE_PER_TOLERATED_UNREACHABLE = 3;
 
-  /** The machines in a condition. */
+  /** Returns the machines in a condition. */
   List<Machine> in(MachineCondition condition) {
     return byCondition.getOrDefault(condition, List.of());
   }
@@ -38,23 +41,24 @@
     return in(condition).size();
   }
 
-  /** How many machines are not heard in time, or do not take answers. */
+  /** Returns the number of machines whose heartbeat is overdue or that do not receive responses. */
   private int unreachable() {
     return overdue.size() + count(MachineCondition.MISSES_REPLIES);
   }
 
-  /** How many machines' leases are over without a heartbeat since. */
+  /** Returns the number of machines whose lease expired without a heartbeat since. */
   int lostCount() {
     return count(MachineCondition.LOST) + count(MachineCondition.LOST_TIMED_OUT);
   }
 
   /**
-   * True if so few machines are unreachable that the fault is theirs.
+   * True if so few machines are unreachable that the fault is likely theirs.
    *
-   * <p>When many fall silent at once it is rather us who are cut off: wait for the leases then. The
-   * first of many to cross the limit are told by the others, which have been overdue for a while.
-   * The lost ones count too: else, once some of a cut zone's leases are over, the rest of its
-   * machines look like few and are released, a moment before the zone is back.
+   * <p>If many fall silent at once, this controller is more likely partitioned, and their leases
+   * have to expire first. Overdue machines count, so that the first of many to become silent is not
+   * taken for a single failure: the others have been overdue for a while by then. Lost machines
+   * count too: otherwise, once some leases of a partitioned zone have expired, the rest of its
+   * machines look like few and are released just before the zone is back.
    */
   boolean fewUnreachable() {
     int limit =
@@ -63,18 +67,19 @@
   }
 
   /**
-   * True if nearly all are unreachable. Machines that have just come up may be heard all the same.
+   * True if nearly all machines are unreachable. Machines that have just come up may still be
+   * reachable.
    */
   boolean nearlyAllUnreachable() {
     return exceedsPartitionThreshold(unreachable());
   }
 
-  /** As {@link #nearlyAllUnreachable}, with those whose leases are over by now. */
+  /** As {@link #nearlyAllUnreachable}, including machines whose lease has expired by now. */
   boolean nearlyAllUnreachableOrLost() {
     return exceedsPartitionThreshold(unreachable() + lostCount());
   }
 
-  /** True if most of the unreachable machines are heard and only do not take answers. */
+  /** True if most of the unreachable machines send heartbeats and only do not receive responses. */
   boolean mostlyMissesReplies() {
     return count(MachineCondition.MISSES_REPLIES) > overdue.size();
   }
--- a/src/main/java/org/dewreach/membership/FleetManager.java
+++ b/src/main/java/org/dewreach/membership/FleetManager.java
@@ -18,8 +18,8 @@
 import org.dewreach.state.MachineTypeCatalog;
 
 /**
- * Runs what keeps the fleet healthy and of the right size, one round per second: health checks,
- * drains, scale in, scale out and reconciliation with the cloud.
+ * Keeps the fleet healthy and at the right size, in one round per second: health checks, drains,
+ * scale in, scale out and reconciliation with the cloud.
  */
 public final class FleetManager {
   private static final long ROUND_INTERVAL_MICROS = 1_000_000;
@@ -38,9 +38,9 @@
   private long nextRoundAt;
 
   /**
-   * A manager of one term.
+   * Creates a manager for one term.
    *
-   * @param wallOffsetMicros time of day less event time
+   * @param wallOffsetMicros time of day minus event time
    */
   public FleetManager(
       long term,
@@ -70,19 +70,21 @@
             clusterState, registry, cloud, catalog, settings, scaleIn, failureDetector);
   }
 
-  /** Ignores all later answers of the cloud. */
+  /** Ignores all later responses of the cloud. */
   public void close() {
     scaleIn.close();
     scaleOut.close();
     cloudReconciler.close();
   }
 
-  /** From now on, and not before, this leader alone answers workers. */
+  /**
+   * Called when this leader becomes the only controller that responds to workers, and not earlier.
+   */
   public void onAuthorityGained(long nowMicros) {
     failureDetector.onAuthorityGained(nowMicros);
   }
 
-  /** True if the worker's lease has surely expired, or if it never had any tasks. */
+  /** True if the worker's lease has certainly expired, or if it never had any tasks. */
   boolean leaseExpired(Machine machine, long nowMicros) {
     return failureDetector.leaseExpired(machine, nowMicros);
   }
@@ -90,7 +92,7 @@
   /**
    * Runs a round if one is due.
    *
-   * @param unplaced the tasks that found no place in the last placement pass
+   * @param unplaced the tasks that the last placement pass could not place
    * @param mayScale true if every machine of earlier terms is reconciled
    */
   public void tick(long nowMicros, List<UnplacedTasks> unplaced, boolean mayScale) {
@@ -101,7 +103,7 @@
     health = healthMonitor.checkMachines(nowMicros);
     drainer.drainMachines(nowMicros);
     if (mayScale) {
-      // Before all machines are reconciled, what looks idle may be needed in a moment.
+      // Until all machines are reconciled, a machine that looks idle may be needed shortly.
       scaleInPolicy.cordonSpareMachines(nowMicros, unplaced);
       serviceMigrator.migrate(nowMicros);
       consolidator.consolidate(nowMicros);
@@ -112,47 +114,50 @@
     cloudReconciler.reconcile(nowMicros);
   }
 
-  /** True if no heartbeat has come from the machine for far longer than the interval. */
+  /** True if no heartbeat of the machine has arrived for far longer than the interval. */
   public boolean isSilent(Machine machine, long nowMicros) {
     return failureDetector.isSilent(machine, nowMicros);
   }
 
-  /** What the last round found. */
+  /** Returns the result of the last round. */
   FleetHealth health() {
     return health;
   }
 
-  /** True if it is this node that has lost the workers, which another node may well have. */
+  /** True if this controller has lost the workers, which another controller may well reach. */
   boolean partitionedFromWorkers() {
     return partitionDetector.partitionedFromWorkers();
   }
 
-  /** True if a heartbeat of the machine has not come. */
+  /** True if an expected heartbeat of the machine has not arrived. */
   boolean missedHeartbeat(Machine machine, long nowMicros) {
     return failureDetector.missedHeartbeat(machine, nowMicros);
   }
 
-  /** Marks a machine to be released with the next request. */
+  /** Marks a machine for release with the next request to the cloud. */
   void markForRelease(Machine machine, String reason, long nowMicros) {
     scaleIn.markForRelease(machine, reason, nowMicros);
   }
 
-  /** True if the machine was released: it may still be listed, or heard of, for a while. */
+  /**
+   * True if the machine was released. The cloud may still list it, and late heartbeats of it may
+   * still arrive, for a while.
+   */
   public boolean isReleased(String name) {
     return scaleIn.isReleased(name);
   }
 
-  /** When the cloud's list of machines was last read to its end, or -1. */
+  /** The time at which the cloud's list of machines was last read to its end, or -1. */
   public long listedAt() {
     return cloudReconciler.listedAt();
   }
 
-  /** How many known machines the cloud's list lacked although it should have them. */
+  /** The number of known machines that the cloud's list omits although it should contain them. */
   public int unlistedMachines() {
     return cloudReconciler.unlistedMachines();
   }
 
-  /** Typical time until a machine rented now is of use. */
+  /** The typical time until a machine rented now is usable. */
   public long typicalBootMicros() {
     return scaleInPolicy.typicalBootMicros();
   }
--- a/src/main/java/org/dewreach/membership/HandoverPolicy.java
+++ b/src/main/java/org/dewreach/membership/HandoverPolicy.java
@@ -10,26 +10,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides whether a leader that hears hardly any worker gives up the lead.
+ * Decides whether a leader that can reach hardly any worker steps down.
  *
- * <p>Another controller may have the workers that this one has lost; then it had better lead. But a
- * fleet that is gone, or hangs as a whole, is heard nowhere. If every leader gave up then, each
- * before the workers' leases are over by its own count, nothing would be placed anew for as long as
- * the silence lasts. So a leader gives up at once only the first time, before the workers can have
- * turned to others; after that it asks the others, and leads on unless one of them hears workers.
+ * <p>Another controller may reach the workers that this one has lost; then that controller should
+ * lead. But a fleet that is gone, or hangs as a whole, sends heartbeats to no controller. If every
+ * leader then stepped down, each before the workers' leases had expired by its own measure, no task
+ * would be placed elsewhere for as long as the silence lasts. So a leader steps down at once only
+ * the first time, before the workers can have contacted other controllers. After that it queries
+ * the other controllers, and keeps leading unless one of them receives heartbeats.
  */
 public final class HandoverPolicy {
   private static final Logger LOG = LoggerFactory.getLogger(HandoverPolicy.class);
 
-  /** How a leader stands to the workers. */
+  /** The state of a leader's contact with the workers. */
   enum Phase {
-    /** Enough workers are heard and take answers. */
+    /** Enough workers send heartbeats and receive responses. */
     REACHING_WORKERS,
-    /** Hardly any is heard; it is not sure yet, or the workers may still be looking for us. */
+    /**
+     * Hardly any worker is reachable, but this is not confirmed yet, or the workers may still be
+     * looking for this leader.
+     */
     SUSPECTING_PARTITION,
-    /** Another controller hears them, or may hear them: it is to lead. */
+    /** Another controller receives their heartbeats, or may receive them: it should lead. */
     GIVING_UP_LEAD,
-    /** No other controller is known to hear them: handing over would help nobody. */
+    /** No other controller is known to receive their heartbeats: a handover would not help. */
     LEADING_ON
   }
 
@@ -40,7 +44,7 @@
   private Phase phase = Phase.REACHING_WORKERS;
   private long suspectedSince;
 
-  /** A policy of one term. */
+  /** Creates a policy for one term. */
   public HandoverPolicy(
       FleetManager fleet, PeerContacts peers, LeadHandovers handovers, Settings settings) {
     this.fleet = fleet;
@@ -49,7 +53,7 @@
     this.settings = settings;
   }
 
-  /** True if this node had better let another one lead. */
+  /** True if this controller should step down in favor of another one. */
   public boolean shouldStepDown(long nowMicros) {
     FleetHealth health = fleet.health();
     boolean suspect = health.nearlyAllUnreachableOrLost();
@@ -72,7 +76,7 @@
       return Phase.REACHING_WORKERS;
     }
     if (!health.nearlyAllUnreachable()) {
-      // Their leases are over: only what another one hears speaks for handing over now.
+      // Their leases have expired: only heartbeats at another controller justify a handover now.
       return report == PeerContacts.Report.HEARD_ELSEWHERE
           ? Phase.GIVING_UP_LEAD
           : Phase.LEADING_ON;
@@ -90,9 +94,11 @@
   }
 
   /**
-   * True if every other controller would hear the workers by now if it reached them, and does not.
+   * True if every other controller would have received the workers' heartbeats by now if it could
+   * reach them, and has not.
    *
-   * <p>Workers that are heard here and take no answers are heard elsewhere too: that tells nothing.
+   * <p>Not if most workers' heartbeats arrive here while they miss the responses: such workers
+   * contact other controllers too, so that is no evidence.
    */
   private boolean confirmedUnreachableFromAll(
       FleetHealth health, PeerContacts.Report report, long nowMicros) {
@@ -118,12 +124,15 @@
   }
 
   private static List<String> unreachableMachines(FleetHealth health) {
-    List<Machine> unheard = new ArrayList<>(health.overdue());
-    unheard.addAll(health.in(MachineCondition.LOST));
-    return unheard.stream().map(Machine::name).toList();
+    List<Machine> unreachable = new ArrayList<>(health.overdue());
+    unreachable.addAll(health.in(MachineCondition.LOST));
+    return unreachable.stream().map(Machine::name).toList();
   }
 
-  /** A worker that is led by a node out of its reach is heard by another this often, or oftener. */
+  /**
+   * Returns the longest interval at which a worker contacts another controller while its leader is
+   * out of reach.
+   */
   private long contactWindowMicros() {
     return 2 * settings.workers().reportMicros() + WorkerTiming.CONTROLLER_RETRY_MICROS;
   }
--- a/src/main/java/org/dewreach/membership/MachineCondition.java
+++ b/src/main/java/org/dewreach/membership/MachineCondition.java
@@ -1,23 +1,23 @@
 package org.dewreach.membership;
 
-/** What heartbeats and leases say about one machine. */
+/** The condition of one machine according to its heartbeats and its lease. */
 enum MachineCondition {
-  /** Its heartbeats arrive, and the answers to them arrive there. */
+  /** Its heartbeats arrive, and it receives the responses. */
   RESPONSIVE,
-  /** Its heartbeats arrive, but answers and commands do not reach it. */
+  /** Its heartbeats arrive, but responses and commands do not reach it. */
   MISSES_REPLIES,
-  /** No heartbeat has come for far longer than the interval. */
+  /** No heartbeat has arrived for far longer than the interval. */
   SILENT,
   /** Its worker has restarted with an old incarnation, or is silent while that is being checked. */
   RESTARTED,
-  /** Rented, and still given time to come up. */
+  /** Rented, and still within its boot timeout. */
   BOOTING,
-  /** Rented, and it has not come up in time. */
+  /** Rented, and it has not come up within its boot timeout. */
   BOOT_TIMED_OUT,
-  /** Its lease is over, and it may still come back. */
+  /** Its lease has expired, and it may still come back. */
   LOST,
-  /** Its lease is over, and it has not come back in time. */
+  /** Its lease has expired, and it has not come back in time. */
   LOST_TIMED_OUT,
-  /** It is being released already. */
+  /** It is being released, or is gone. */
   BEING_RELEASED
 }
--- a/src/main/java/org/dewreach/membership/MachineDrainer.java
+++ b/src/main/java/org/dewreach/membership/MachineDrainer.java
@@ -10,23 +10,23 @@
 import org.dewreach.state.ClusterState;
 import org.dewreach.wire.JobKind;
 
-/** Drains machines that the cloud reclaims or that are faulty, and releases them once empty. */
+/**
+ * Drains machines that the cloud reclaims or that are faulty, and releases them once they are
+ * empty.
+ */
 public final class MachineDrainer {
   /**
-   * Estimates are often wrong by half, so a task is stopped early only if it is this far off. A
-   * default of this project.
+   * Run time estimates are often wrong by half, so a task is stopped early only if its estimate
+   * exceeds the time left by this factor.
    */
   private static final double ESTIMATE_ERROR_FACTOR = 1.6;
 
-  /**
-   * A quarantined machine keeps its tasks for this long, in which the quarantine may end. A default
-   * of this project.
-   */
+  /** A quarantined machine keeps its tasks for this long, in which the quarantine may end. */
   private static final long QUARANTINE_GRACE_MICROS = 8_000_000;
 
   /**
-   * It keeps them for this long while a job that failed there is still tried elsewhere. A default
-   * of this project.
+   * A quarantined machine keeps its tasks for this long while a job that failed there is still
+   * retried elsewhere.
    */
   private static final long MAX_QUARANTINE_MICROS = 60_000_000;
 
@@ -34,14 +34,14 @@
   private final Settings settings;
   private final ScaleInExecutor scaleIn;
 
-  /** A drainer of one term. */
+  /** Creates a drainer for one term. */
   MachineDrainer(ClusterState clusterState, Settings settings, ScaleInExecutor scaleIn) {
     this.clusterState = clusterState;
     this.settings = settings;
     this.scaleIn = scaleIn;
   }
 
-  /** Drains all machines that are reclaimed or surely faulty, one step further. */
+  /** Advances the drain of all machines that are reclaimed or whose quarantine is confirmed. */
   void drainMachines(long nowMicros) {
     for (Machine machine : List.copyOf(clusterState.machines().values())) {
       if (machine.phase() == MachinePhase.TERMINATING) {
@@ -78,43 +78,46 @@
     }
   }
 
-  /** True if the task is better off elsewhere from now on. */
+  /** True if the task should be stopped now so that it can run elsewhere. */
   private boolean shouldStop(Task task, long reclaimAt, long nowMicros) {
     if (task.spec().jobKind() == JobKind.SERVICE) {
       return true;
     }
     if (task.spec().checkpointIntervalMicros() > 0) {
-      long lead = task.spec().checkpointDurationMicros() + 2 * settings.workers().reportMicros();
-      return nowMicros + lead > reclaimAt;
+      long stopLeadTime =
+          task.spec().checkpointDurationMicros() + 2 * settings.workers().reportMicros();
+      return nowMicros + stopLeadTime > reclaimAt;
     }
-    // What cannot save may still complete before the machine is taken. What surely will not had
-    // better begin anew elsewhere now than once it is lost.
+    // A task without checkpoints may still complete before the machine is reclaimed. One that
+    // certainly will not should restart elsewhere now rather than after it is lost.
     return cannotComplete(task, reclaimAt - nowMicros, nowMicros);
   }
 
   /**
-   * True if a machine is quarantined and has had time to be cleared by its jobs failing elsewhere
-   * too.
+   * True if a machine is quarantined and the quarantine has had time to end because the jobs fail
+   * elsewhere too.
    *
-   * <p>Guards against healthy machines released for jobs that take a while to fail: the second
-   * failure, which shows that it is the job, comes no sooner than the first one did.
+   * <p>Guards against releasing healthy machines because of jobs that take a while to fail: the
+   * second failure, which shows that the job is at fault, takes at least as long as the first one
+   * did.
    */
   private boolean quarantineConfirmed(Machine machine, long nowMicros) {
     if (!machine.quarantined()) {
       return false;
     }
-    boolean stillTriedElsewhere =
+    boolean retriedElsewhere =
         machine.failures().jobs().stream()
             .map(clusterState.jobs()::get)
             .anyMatch(job -> job != null && job.backoff().failedOnce());
     return nowMicros - machine.failures().quarantinedAt()
-        > (stillTriedElsewhere ? MAX_QUARANTINE_MICROS : QUARANTINE_GRACE_MICROS);
+        > (retriedElsewhere ? MAX_QUARANTINE_MICROS : QUARANTINE_GRACE_MICROS);
   }
 
-  /** True if a task has far more left to run, by its owner's estimate, than the time given. */
-  private static boolean cannotComplete(Task task, long leftMicros, long nowMicros) {
+  /** True if a task has far more left to run, by its owner's estimate, than the time available. */
+  private static boolean cannotComplete(Task task, long availableMicros, long nowMicros) {
     boolean running = task.phase() == TaskPhase.RUNNING;
-    long ran = running ? nowMicros - task.startedAt() : 0;
-    return task.spec().expectedMicros() - ran > ESTIMATE_ERROR_FACTOR * Math.max(0, leftMicros);
+    long elapsed = running ? nowMicros - task.startedAt() : 0;
+    return task.spec().expectedMicros() - elapsed
+        > ESTIMATE_ERROR_FACTOR * Math.max(0, availableMicros);
   }
 }
--- a/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
+++ b/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
@@ -8,11 +8,11 @@
 import org.dewreach.model.MachinePhase;
 import org.dewreach.state.ClusterState;
 
-/** Acts on machines that are silent, lost or out of reach: most are released in the end. */
+/** Handles machines that are silent, lost or unreachable; most of them are eventually released. */
 final class MachineHealthMonitor {
   /**
-   * Of a large fleet, one machine in this many may be released early in a recovery. A default of
-   * this project.
+   * One machine per this many responsive ones may be released early in a recovery, so a small fleet
+   * releases none.
    */
   private static final int RESPONSIVE_MACHINES_PER_STRAGGLER = 40;
 
@@ -21,7 +21,7 @@
   private final PartitionDetector partitionDetector;
   private final ScaleInExecutor scaleIn;
 
-  /** A monitor of one term. */
+  /** Creates a monitor for one term. */
   MachineHealthMonitor(
       ClusterState clusterState,
       FailureDetector detector,
@@ -33,18 +33,18 @@
     this.scaleIn = scaleIn;
   }
 
-  /** Looks at all machines, acts on what is found, and returns it. Called once a round. */
+  /** Assesses all machines, acts on the result and returns it. Called once per round. */
   FleetHealth checkMachines(long nowMicros) {
     FleetHealth health = detector.assess(clusterState.machines().values(), nowMicros);
     markForRelease(health.in(MachineCondition.RESTARTED), "worker restarted", nowMicros);
-    markForRelease(health.in(MachineCondition.BOOT_TIMED_OUT), "never came up", nowMicros);
-    markForRelease(health.in(MachineCondition.LOST_TIMED_OUT), "lost and not back", nowMicros);
-    // What is placed there now would be bound until it is known what became of it.
+    markForRelease(health.in(MachineCondition.BOOT_TIMED_OUT), "boot timed out", nowMicros);
+    markForRelease(health.in(MachineCondition.LOST_TIMED_OUT), "lost for too long", nowMicros);
+    // Tasks placed there now would stay bound until it is known what became of the machine.
     health.overdue().forEach(machine -> machine.heartbeats().markUnreachable());
     partitionDetector.onRound(health, detector.sinceAuthorityMicros(nowMicros));
     releaseStragglers(health, nowMicros);
     for (Machine machine : health.in(MachineCondition.BEING_RELEASED)) {
-      freeTasksOnceLeaseExpired(machine, nowMicros);
+      unbindTasksAfterLeaseExpiry(machine, nowMicros);
     }
     for (Machine machine : health.in(MachineCondition.SILENT)) {
       if (machine.phase() != MachinePhase.TERMINATING) {
@@ -52,9 +52,9 @@
       }
     }
     if (health.fewUnreachable()) {
-      // Nothing placed there starts, and its incarnation will end: the release is proof enough.
-      markForRelease(
-          health.in(MachineCondition.MISSES_REPLIES), "does not take answers", nowMicros);
+      // Tasks placed there never start, and the worker's incarnation will end; the release itself
+      // proves that its tasks are gone.
+      markForRelease(health.in(MachineCondition.MISSES_REPLIES), "misses responses", nowMicros);
     }
     return health;
   }
@@ -64,8 +64,8 @@
   }
 
   /**
-   * A machine that is silent is released if its silence is its own fault; otherwise its lease is
-   * waited for, after which its tasks can be placed elsewhere.
+   * Releases a silent machine if the fault is likely its own. Otherwise waits for its lease to
+   * expire, after which its tasks can be placed elsewhere.
    */
   private void handleSilentMachine(Machine machine, boolean fewUnreachable, long nowMicros) {
     boolean leaseExpired = detector.leaseExpired(machine, nowMicros);
@@ -82,37 +82,45 @@
   }
 
   /**
-   * Guards against tasks that wait for the cloud to confirm a release, as long as its interface is
-   * down: the end of the lease proves the same.
+   * Unbinds the tasks of a machine that is being released once its lease has expired.
+   *
+   * <p>Guards against tasks that wait for the cloud to confirm a release for as long as its API is
+   * down: the lease expiry proves the same.
    */
-  private void freeTasksOnceLeaseExpired(Machine machine, long nowMicros) {
+  private void unbindTasksAfterLeaseExpiry(Machine machine, long nowMicros) {
     if (!machine.tasks().isEmpty() && detector.leaseExpired(machine, nowMicros)) {
       clusterState.unbindAll(machine, "lease expired", nowMicros);
     }
   }
 
-  /** Guards against renting a whole zone anew that is back within a minute, images and all. */
+  /**
+   * Keeps the machine for a while instead of releasing it.
+   *
+   * <p>Guards against renting a whole zone again that is back within a minute, and pulling all its
+   * images again.
+   */
   private void markLost(Machine machine, long nowMicros) {
     clusterState.changePhase(machine, MachinePhase.LOST, "lease expired", nowMicros);
   }
 
   /**
-   * The last few machines that a new leader has not heard hold up all jobs that may run there, so
-   * they are released sooner: releasing them proves what their silence does not.
+   * Releases the last few machines that have sent no heartbeat to a new leader early. They block
+   * all jobs that may run there, and a release proves what silence does not: that their tasks are
+   * gone.
    */
   private void releaseStragglers(FleetHealth health, long nowMicros) {
     if (detector.sinceAuthorityMicros(nowMicros) < detector.overdueAfterMicros()) {
       return;
     }
-    List<Machine> unheard = new ArrayList<>();
+    List<Machine> withoutHeartbeat = new ArrayList<>();
     for (Machine machine : clusterState.machines().values()) {
       if (machine.phase() == MachinePhase.UNKNOWN) {
-        unheard.add(machine);
+        withoutHeartbeat.add(machine);
       }
     }
     int responsive = health.in(MachineCondition.RESPONSIVE).size();
-    if (unheard.size() <= responsive / RESPONSIVE_MACHINES_PER_STRAGGLER) {
-      markForRelease(unheard, "not heard in this term", nowMicros);
+    if (withoutHeartbeat.size() <= responsive / RESPONSIVE_MACHINES_PER_STRAGGLER) {
+      markForRelease(withoutHeartbeat, "no heartbeat in this term", nowMicros);
     }
   }
 }
--- a/src/main/java/org/dewreach/membership/PartitionDetector.java
+++ b/src/main/java/org/dewreach/membership/PartitionDetector.java
@@ -2,9 +2,12 @@
 
 import org.dewreach.config.Settings;
 
-/** Tells whether it is this node that is cut off from the workers, rather than they being down. */
+/**
+ * Detects that this controller is partitioned from the workers, as opposed to the workers being
+ * down.
+ */
 final class PartitionDetector {
-  /** This many rounds in a row have to show a partition. */
+  /** The number of consecutive rounds that have to indicate a partition. */
   private static final int MIN_CONSECUTIVE_ROUNDS = 2;
 
   private static final long DISCOVERY_MARGIN_MICROS = 1_000_000;
@@ -12,38 +15,38 @@
   private final Settings settings;
   private int consecutiveRounds;
 
-  /** A detector of one term. */
+  /** Creates a detector for one term. */
   PartitionDetector(Settings settings) {
     this.settings = settings;
   }
 
   /**
-   * Takes in what one round found.
+   * Records the result of one round.
    *
-   * @param authorityMicros for how long this node has answered workers
+   * @param sinceAuthorityMicros for how long this controller has responded to workers
    */
-  void onRound(FleetHealth health, long authorityMicros) {
+  void onRound(FleetHealth health, long sinceAuthorityMicros) {
     boolean partitioned =
-        health.nearlyAllUnreachable() && authorityMicros > leaderDiscoveryMicros();
+        health.nearlyAllUnreachable() && sinceAuthorityMicros > leaderDiscoveryMicros();
     consecutiveRounds = partitioned ? consecutiveRounds + 1 : 0;
   }
 
   /**
-   * True if hardly any of several workers is heard, or takes answers; another node may well have
-   * them.
+   * True if hardly any of several workers is reachable; another controller may well reach them.
    *
-   * <p>Twice in a row: a process that was held up sees its backlog of heartbeats in between.
+   * <p>One round is not enough: a process that was suspended handles its backlog of heartbeats
+   * before the next one.
    */
   boolean partitionedFromWorkers() {
     return consecutiveRounds >= MIN_CONSECUTIVE_ROUNDS;
   }
 
   /**
-   * Workers find a new leader within this time, also those that have to try all other nodes in
-   * vain.
+   * Returns the time within which workers find a new leader, including those that first try all
+   * other controllers in vain.
    *
-   * <p>Guards against the only leader outside a cut zone that gives up before its workers have
-   * found it: nobody led for ten seconds then, and nearly all leases ran out.
+   * <p>Guards against the only leader outside a partitioned zone stepping down before its workers
+   * have found it: when it did, no controller led for ten seconds, and nearly all leases expired.
    */
   private long leaderDiscoveryMicros() {
     return WorkerTiming.maxHeartbeatIntervalMicros(settings.workers())
--- a/src/main/java/org/dewreach/membership/RecoveryTracker.java
+++ b/src/main/java/org/dewreach/membership/RecoveryTracker.java
@@ -11,39 +11,40 @@
 import org.dewreach.placement.SortFirstFit;
 import org.dewreach.state.ClusterState;
 
-/** Tracks the machines on which tasks of earlier terms may run that this term does not know of. */
+/** Tracks the machines that may run tasks of earlier terms which are unknown to this term. */
 public final class RecoveryTracker {
-  /** How often the machines that are still to be reconciled are looked at. */
+  /** The interval between updates of the unreconciled machines. */
   private static final long UPDATE_INTERVAL_MICROS = 50_000;
 
   private final ClusterState clusterState;
   private final FleetManager fleet;
   private long nextUpdateAt;
 
-  /** Machines of earlier terms that are not reconciled, while this term recovers. */
+  /** The machines of earlier terms that are not reconciled yet, while this term recovers. */
   private final List<Machine> unreconciled = new ArrayList<>();
 
-  /** One of them of each pool: a job that may run on one may run on all of the pool. */
+  /** One unreconciled machine per pool: a job that may run on one may run on the whole pool. */
   private final Map<MachinePool, Machine> unreconciledByPool = new LinkedHashMap<>();
 
-  /** A tracker of one term. */
+  /** Creates a tracker for one term. */
   public RecoveryTracker(ClusterState clusterState, FleetManager fleet) {
     this.clusterState = clusterState;
     this.fleet = fleet;
   }
 
-  /** Begins with all machines of the cluster state as it was loaded. */
+  /** Starts with all machines of the cluster state as it was loaded. */
   public void start() {
     unreconciled.addAll(clusterState.machines().values());
   }
 
   /**
-   * Drops the machines of which it has become known what earlier terms left there; it stays known.
+   * Removes the machines that can no longer run unknown tasks of earlier terms. A removed machine
+   * is not added again.
    *
-   * <p>Guards against a pass over all machines for each event: while a thousand of them send
-   * heartbeats to a leader that has just started, that took half of its time.
+   * <p>Runs at intervals. Guards against a pass over all machines for each event: with a thousand
+   * machines sending heartbeats to a leader that had just started, that took half of its time.
    *
-   * @return true if it was found now that every machine is reconciled
+   * @return true if this update found that every machine is reconciled
    */
   public boolean update(long nowMicros) {
     if (nowMicros < nextUpdateAt) {
@@ -58,28 +59,28 @@
     return unreconciled.isEmpty();
   }
 
-  /** The machines of earlier terms that are not reconciled, as of the last update. */
+  /** Returns the machines of earlier terms that were not reconciled at the last update. */
   List<Machine> unreconciled() {
     return Collections.unmodifiableList(unreconciled);
   }
 
-  /** True if tasks of earlier terms may run on the machine that this term does not know of. */
+  /** True if the machine may run tasks of earlier terms that are unknown to this term. */
   private boolean mayRunUnknownTasks(Machine machine, long nowMicros) {
-    // One that is in no record was never given commands: only a late copy of a heartbeat may have
-    // told of it.
-    boolean open = machine.commandedByEarlierTerm() && !machine.reconciled();
+    // A machine without a record was never sent commands; it can only be known from a late copy of
+    // a heartbeat.
+    boolean mayHaveTasks = machine.commandedByEarlierTerm() && !machine.reconciled();
     return switch (machine.phase()) {
-      case UNKNOWN, UNCONFIRMED -> open;
-      case TERMINATING -> open && !fleet.leaseExpired(machine, nowMicros);
+      case UNKNOWN, UNCONFIRMED -> mayHaveTasks;
+      case TERMINATING -> mayHaveTasks && !fleet.leaseExpired(machine, nowMicros);
       case BOOTING, UP, LOST, DRAINING, GONE -> false;
     };
   }
 
   /**
-   * True if every task of the job that may run is known to this term. While some machines of
-   * earlier terms are not reconciled, that holds for jobs submitted in this term, and for those
-   * that were allowed on none of these machines: services need not wait for what became of spot
-   * machines.
+   * True if every task of the job that may be running is known to this term. While some machines of
+   * earlier terms are not reconciled, this holds for jobs submitted in this term and for jobs that
+   * were allowed on none of these machines. Services, for example, need not wait for spot machines
+   * to be reconciled.
    */
   public boolean allTasksKnown(Job job) {
     return job.submittedThisTerm()
--- a/src/main/java/org/dewreach/membership/StalledRecoveryResolver.java
+++ b/src/main/java/org/dewreach/membership/StalledRecoveryResolver.java
@@ -7,12 +7,13 @@
 import org.dewreach.state.RecoveryClock;
 
 /**
- * Ends a recovery that has been open for too long over several terms: the machines that hold it up
- * are released, which proves what their silence does not.
+ * Ends a recovery that has stayed open for too long over several terms: releases the machines that
+ * block it, which proves what their silence does not.
  *
- * <p>A machine that hangs or is cut off stays listed. Each leader waits for its lease from its own
- * beginning, so leaders that end again and again would wait for it without end. One that stays
- * never gets here: it gives such machines up by their leases.
+ * <p>A machine that hangs or is partitioned stays in the cloud's list. Each leader waits for its
+ * lease from the start of its own term, so a series of short terms would wait for it forever. A
+ * leader that stays for long enough never gets here: it releases such machines after their leases
+ * have expired.
  */
 public final class StalledRecoveryResolver {
   private static final long CHECK_INTERVAL_MICROS = 500_000;
@@ -23,20 +24,20 @@
   private final long maxOpenMicros;
   private long nextCheckAt;
 
-  /** For one term. */
+  /** Creates a resolver for one term. */
   public StalledRecoveryResolver(
       RecoveryTracker recovery, FleetManager fleet, RecoveryClock clock, Settings settings) {
     this.recovery = recovery;
     this.fleet = fleet;
     this.clock = clock;
-    // As long as one leader would have kept them.
+    // As long as a single leader would have kept them.
     this.maxOpenMicros =
         settings.workers().leaseMicros() + FailureDetector.LOST_MACHINE_TIMEOUT_MICROS;
   }
 
   /**
-   * Notes that the recovery is held up, if it is, and releases the machines that hold it up if that
-   * has lasted for too long.
+   * Records that the recovery is blocked, if it is, and releases the blocking machines if that has
+   * lasted for too long.
    *
    * @param recoveringSince when this term began to recover
    */
@@ -45,12 +46,12 @@
       return;
     }
     nextCheckAt = nowMicros + CHECK_INTERVAL_MICROS;
-    List<Machine> holders = silentBlockingMachines(nowMicros);
-    if (!holders.isEmpty()) {
+    List<Machine> blockingMachines = silentBlockingMachines(nowMicros);
+    if (!blockingMachines.isEmpty()) {
       clock.noteOpen(recoveringSince, nowMicros);
     }
     if (clock.openMicros(nowMicros) >= maxOpenMicros) {
-      holders.stream()
+      blockingMachines.stream()
           .filter(machine -> fleet.isSilent(machine, nowMicros))
           .forEach(
               machine -> fleet.markForRelease(machine, "not heard for several terms", nowMicros));
@@ -64,7 +65,10 @@
         .toList();
   }
 
-  /** The tracker's list may be a moment old: the cloud's answer may have come since. */
+  /**
+   * True if the machine is neither being released nor gone. The tracker's list may be slightly out
+   * of date: the cloud's response may have arrived since.
+   */
   private static boolean isAwaitingReconciliation(Machine machine) {
     return machine.phase() == MachinePhase.UNKNOWN || machine.phase() == MachinePhase.UNCONFIRMED;
   }
--- a/src/main/java/org/dewreach/membership/WorkerTiming.java
+++ b/src/main/java/org/dewreach/membership/WorkerTiming.java
@@ -2,22 +2,25 @@
 
 import org.dewreach.config.Settings;
 
-/** How long workers take at most for what they do by themselves, as their protocol has it. */
+/** Upper bounds on the durations of a worker's own actions, as specified by the worker protocol. */
 final class WorkerTiming {
-  /** A worker pauses this long before it tries another controller. */
+  /** The pause of a worker before it tries another controller. */
   static final long RETRY_PAUSE_MICROS = 1_000_000;
 
-  /** What a worker spends on a controller that does not answer, with the pause before the next. */
+  /**
+   * The time that a worker spends on a controller that does not respond: the response timeout of 4
+   * s and the pause before the next controller.
+   */
   static final long CONTROLLER_RETRY_MICROS = 4_000_000 + RETRY_PAUSE_MICROS;
 
-  /** Heartbeats come within this many quarters of their interval. */
+  /** The longest interval between two heartbeats, in quarters of the configured interval. */
   private static final int MAX_INTERVAL_QUARTERS = 5;
 
   private static final int QUARTERS = 4;
 
   private WorkerTiming() {}
 
-  /** The longest time from one heartbeat of a worker to its next. */
+  /** Returns the longest time from one heartbeat of a worker to its next. */
   static long maxHeartbeatIntervalMicros(Settings.Workers settings) {
     return settings.reportMicros() * MAX_INTERVAL_QUARTERS / QUARTERS;
   }
--- a/src/test/java/org/dewreach/heartbeat/DirectCommandSenderTest.java
+++ b/src/test/java/org/dewreach/heartbeat/DirectCommandSenderTest.java
@@ -28,7 +28,10 @@
 import org.dewreach.wire.WorkerCommand;
 import org.junit.jupiter.api.Test;
 
-/** Commands that are sent at once, and what their answers tell: {@link DirectCommandSender}. */
+/**
+ * Tests commands that are sent directly, and the handling of their replies: {@link
+ * DirectCommandSender}.
+ */
 class DirectCommandSenderTest {
   private static final MachineType LARGE = ClusterFixture.type("large", 200, 200, 0);
 
@@ -83,10 +86,13 @@
     WorkerCommand start = new WorkerCommand.Start(task.name(), task.attempt());
     assertEquals(new DirectCommandRequest(TERM, 3, List.of(start)).toNode(), calls.get(0).body());
     assertEquals(TaskPhase.STARTING, task.phase());
-    assertEquals(List.of(), send(2 * S), "it was sent");
+    assertEquals(List.of(), send(2 * S), "already sent");
   }
 
-  /** Both carry the worker's state: it refuses commands for another incarnation with a conflict. */
+  /**
+   * Replies with status 200 and 409 carry the worker's state: it rejects commands for another
+   * incarnation with a conflict.
+   */
   @Test
   void theStateInAResponseIsPassedToTheListener() {
     Machine machine = machine("m1");
@@ -98,13 +104,13 @@
     assertEquals(List.of(machine, machine), responders);
   }
 
-  /** Guards against a worker that answers at the address of a machine that is gone. */
+  /** Guards against a worker that replies at the address of a machine that is gone. */
   @Test
   void theStateOfAnotherMachineIsIgnored() {
     Task task = assigned(job("req-1", 1), 0, machine("m1"));
     reply(send(S).get(0), HttpStatus.OK, state("m2", 3, 6));
     assertEquals(List.of(), responders);
-    assertFalse(task.directStartUnresolved(), "some worker has taken it or refused it");
+    assertFalse(task.directStartUnresolved(), "some worker has accepted or rejected it");
   }
 
   @Test
@@ -130,7 +136,7 @@
     assertEquals(new Target.Worker("m2:1"), send(S).get(0).target());
   }
 
-  /** Guards against heartbeats that grow by each attempt that its worker must not forget. */
+  /** Guards against heartbeats that grow with each attempt that its worker must keep reporting. */
   @Test
   void directStartsPerIncarnationAreLimited() {
     Machine machine = machine("m1");
@@ -145,7 +151,8 @@
     for (int i = 0; i < 60; i++) {
       assigned(service, i, machine);
     }
-    assertEquals(40, send(S).get(0).body().path("orders").size(), "80, those before included");
+    assertEquals(
+        40, send(S).get(0).body().path("orders").size(), "limit of 80, including earlier starts");
   }
 
   /** A stop that leaves no time to save would cost the progress since the last checkpoint. */
@@ -175,7 +182,7 @@
     assertTrue(task.directStartUnresolved());
   }
 
-  /** A worker that restarted under its name shows a lower sequence number than before. */
+  /** A worker that restarted under the same name reports a lower sequence number than before. */
   @Test
   void aRestartIsConfirmedByALowerSequenceNumber() {
     Machine restarted = machine("m1");
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -28,7 +28,7 @@
 import org.dewreach.wire.WorkerCommand;
 import org.junit.jupiter.api.Test;
 
-/** What a heartbeat proves, and what it does not: {@link HeartbeatReconciler}. */
+/** Tests what is concluded from heartbeats, fresh and stale: {@link HeartbeatReconciler}. */
 class HeartbeatReconcilerTest {
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
 
@@ -51,7 +51,10 @@
     return new TaskStatus(new TaskName(job.id(), index), 7, state, cause);
   }
 
-  /** Guards against a copy that binds a task where it no longer is, so that it is stopped. */
+  /**
+   * Guards against a late copy that binds a task to a machine where it no longer runs, so that it
+   * is stopped where it does run.
+   */
   @Test
   void aHeartbeatWithATokenOfAnEarlierTermBindsNothing() {
     Machine machine = machine("m1", MachinePhase.UNKNOWN);
@@ -62,11 +65,11 @@
     assertFalse(machine.reconciled());
     reconciler.onHeartbeat(
         machine, heartbeat(machine, 1, 9, TERM, reported(0, TaskState.RUNNING, Cause.NONE)), 2 * S);
-    assertEquals(1, job.bound().size(), "now it is certain to be there");
+    assertEquals(1, job.bound().size(), "the report with the current token shows where it runs");
     assertEquals(MachinePhase.UP, machine.phase());
   }
 
-  /** What was completed stays completed, however old the report is. */
+  /** A completed task stays completed, however old the report is. */
   @Test
   void aHeartbeatWithATokenOfAnEarlierTermProvesCompletedTasks() {
     Machine machine = machine("m1", MachinePhase.UNKNOWN);
@@ -75,7 +78,7 @@
     assertTrue(job.done().get(2));
   }
 
-  /** Guards against a late copy: the first heartbeat of a machine that was returned long ago. */
+  /** Guards against a late copy of the first heartbeat of a machine that was released long ago. */
   @Test
   void anUnexpectedMachineIsSchedulableOnceItReportsTheCurrentToken() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
@@ -86,7 +89,7 @@
     assertTrue(machine.schedulable());
   }
 
-  /** Guards against placing tasks again and again where no command arrives. */
+  /** Guards against placing tasks repeatedly on a machine that receives no commands. */
   @Test
   void aMachineThatReceivesNoResponsesReceivesNoNewTasks() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
@@ -96,18 +99,19 @@
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 3, TERM), 4 * S);
     assertEquals(TaskPhase.STARTING, job.bound().get(0).phase());
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 4, TERM), 9 * S);
-    assertTrue(machine.schedulable(), "once may be chance");
+    assertTrue(machine.schedulable(), "a single missing start may be chance");
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 5, TERM), 14 * S);
     assertTrue(machine.heartbeats().missesReplies());
     assertFalse(machine.schedulable());
-    assertEquals(1, job.bound().size(), "the start may still come, so the task stays bound");
+    assertEquals(1, job.bound().size(), "the start may still arrive, so the task stays bound");
     reconciler.onHeartbeat(machine, heartbeat(machine, 2, 1, TERM), 20 * S);
-    assertEquals(0, job.bound().size(), "its incarnation is over, and all that was in it");
+    assertEquals(0, job.bound().size(), "its incarnation has ended, with all its tasks");
   }
 
   /**
-   * Guards against a task that runs twice, found with seed 1012 of the random days: the answer to a
-   * direct command passes the response with the start on its way, and lacks the task.
+   * Guards against a task that runs twice, found with seed 1012 of the random simulations: the
+   * reply to a direct command overtakes the heartbeat response that carries the start, and does not
+   * contain the task.
    */
   @Test
   void theResponseToADirectCommandDoesNotProveThatAStartWasLost() {
@@ -122,7 +126,7 @@
     assertEquals(0, job.bound().size(), "this heartbeat was sent after that response");
   }
 
-  /** A start sent since the previous heartbeat may have passed this one on its way. */
+  /** A start sent since the previous heartbeat may have crossed this heartbeat on its way. */
   @Test
   void aStartSentSinceThePreviousHeartbeatIsNotMissingYet() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
@@ -138,7 +142,7 @@
   }
 
   /**
-   * Guards against a response that outgrows its limit when a machine reports a thousand unknown
+   * Guards against a response that exceeds its size limit when a machine reports a thousand unknown
    * tasks.
    */
   @Test
@@ -163,7 +167,7 @@
     assertEquals(0, machine.tasks().size());
   }
 
-  /** All tasks that were started before the given one. */
+  /** Returns the statuses of all tasks that were started before the given one. */
   private TaskStatus[] started(int before) {
     TaskStatus[] shown = new TaskStatus[before];
     for (int i = 0; i < before; i++) {
@@ -177,7 +181,7 @@
     return shown;
   }
 
-  /** Guards against leases renewed by a new leader while what was cancelled runs on. */
+  /** Guards against a new leader that renews leases while tasks of a cancelled job keep running. */
   @Test
   void tasksOfACancelledJobAreStoppedFromTheFirstHeartbeatOn() {
     Machine machine = machine("m1", MachinePhase.UNKNOWN);
@@ -192,7 +196,10 @@
     assertEquals(0, job.bound().size(), "the heartbeat may be old: it binds nothing");
   }
 
-  /** Guards against a result that is lost with the leader while the end of its job is written. */
+  /**
+   * Guards against a result that is lost with the leader while the completion of its job is
+   * written.
+   */
   @Test
   void aResultStaysReportedUntilItIsDurable() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
@@ -211,7 +218,10 @@
         List.of(new WorkerCommand.Remove(new TaskName(job.id(), 3), 7)), response.commands());
   }
 
-  /** Guards against a machine that is kept by answers to commands while it reaches nobody. */
+  /**
+   * Guards against a machine that is kept because it replies to commands although its heartbeats
+   * reach no controller.
+   */
   @Test
   void theResponseToADirectCommandDoesNotCountAsAHeartbeat() {
     Machine machine = machine("m1", MachinePhase.BOOTING);
@@ -225,7 +235,7 @@
     assertTrue(machine.schedulable());
   }
 
-  /** Starts a task of the job there, which fails at once. */
+  /** Binds a task of the job to the machine and reports its failure. */
   private void fail(Job failing, Machine machine, long atMicros) {
     int index = failing.nextPending();
     long attempt = cluster.bind(failing, index, machine, TaskPhase.STARTING, atMicros).attempt();
@@ -235,9 +245,7 @@
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, next, TERM, failed), atMicros);
   }
 
-  /**
-   * Guards against healthy machines returned because of jobs that were submitted with a mistake.
-   */
+  /** Guards against healthy machines that are released because of jobs submitted with an error. */
   @Test
   void jobsThatFailEverywhereQuarantineNoMachine() {
     List<Machine> machines =
@@ -256,13 +264,12 @@
         assertFalse(each.quarantined(), each.name() + " in round " + round);
       }
     }
-    assertTrue(
-        job.backoff().notBefore() - 9 * 65 * S >= 60 * S, "it rests for as long as it ever does");
+    assertTrue(job.backoff().notBefore() - 9 * 65 * S >= 60 * S, "the longest backoff");
   }
 
   /**
-   * Red without {@code QuarantinePolicy.stopDraining}: the machine stayed DRAINING until the term
-   * ended.
+   * Guards against a machine that stays DRAINING until the term ends, which happened without {@code
+   * QuarantinePolicy.stopDraining}.
    */
   @Test
   void aMachineWhoseQuarantineEndsWhileItDrainsIsSchedulableAgain() {
@@ -278,7 +285,7 @@
     assertTrue(drained.schedulable());
   }
 
-  /** A machine that is to be reclaimed is given nothing, whatever becomes of the jobs. */
+  /** A machine that is to be reclaimed receives no tasks, regardless of the jobs. */
   @Test
   void aMachineToBeReclaimedKeepsDrainingAfterItsQuarantine() {
     Machine drained = machine("m1", MachinePhase.BOOTING);
@@ -292,7 +299,7 @@
     assertEquals(MachinePhase.DRAINING, drained.phase());
   }
 
-  /** Guards against a faulty machine that is kept since only one job failed there. */
+  /** Guards against a faulty machine that is kept because only one job failed there. */
   @Test
   void aMachineIsQuarantinedForFailuresOfAJobThatCompletesElsewhere() {
     Machine faulty = machine("m1", MachinePhase.BOOTING);
--- a/src/test/java/org/dewreach/membership/CloudReconcilerTest.java
+++ b/src/test/java/org/dewreach/membership/CloudReconcilerTest.java
@@ -23,7 +23,7 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** What follows from the cloud's list of machines: {@link CloudReconciler}. */
+/** Tests the reconciliation with the cloud's list of machines: {@link CloudReconciler}. */
 class CloudReconcilerTest {
   private static final long S = 1_000_000;
   private static final Settings SETTINGS = SettingsFixture.oneNode();
@@ -56,9 +56,9 @@
     return body;
   }
 
-  private static void add(ObjectNode page, String machine, String type, String standing) {
+  private static void add(ObjectNode page, String machine, String type, String state) {
     ObjectNode item = page.withArray("hosts").addObject().put("uid", machine).put("build", type);
-    item.put("site", "a").put("loaners", false).put("standing", standing).put("age_s", 20);
+    item.put("site", "a").put("loaners", false).put("standing", state).put("age_s", 20);
   }
 
   private long lastListingAt;
@@ -85,7 +85,7 @@
   void theListIsReadEachFiveSecondsAndNotTwiceAtOnce() {
     Effect.Call call = list(S);
     reconciler.reconcile(20 * S);
-    assertEquals(List.of(), cloud.calls(), "one is in flight");
+    assertEquals(List.of(), cloud.calls(), "a request is in flight");
     cloud.reply(2 * S, call, 503, null);
     reconciler.reconcile(6 * S - 1);
     assertEquals(List.of(), cloud.calls());
@@ -129,7 +129,10 @@
     list(6 * S);
   }
 
-  /** A machine that an earlier leader recorded at that time, not heard since. */
+  /**
+   * Adds a machine that an earlier leader recorded at that time and that has sent no heartbeat
+   * since.
+   */
   private Machine recorded(String name, long knownSince) {
     Machine machine = ClusterFixture.newMachine(name, TYPE, false, MachinePhase.UNKNOWN);
     machine.knownSince(knownSince);
@@ -155,12 +158,15 @@
     assertKept(listed);
   }
 
-  /** A list that lags by 3 s may describe a time 9 s ago; 2 s are for delays and clocks. */
+  /**
+   * A list with a lag of 3 s may describe a time 9 s ago; 2 s more allow for delays and clock
+   * differences.
+   */
   @Test
   void aMachineThatMayBeTooNewForTheListIsKept() {
     Machine old = recorded("vm-1", 9 * S - 1);
     Machine young = recorded("vm-2", 9 * S);
-    // The answer comes late: what counts is when the list was asked for.
+    // The response is delayed: the age counts from the time of the request.
     cloud.reply(24 * S, list(20 * S), 200, page(false));
     assertReleased(old);
     assertKept(young);
@@ -197,16 +203,16 @@
 
   @Test
   void anUnlistedMachineThatSendsHeartbeatsIsKept() {
-    Machine heard = cluster.add(ClusterFixture.newUpMachine("vm-1", TYPE, false));
+    Machine reachable = cluster.add(ClusterFixture.newUpMachine("vm-1", TYPE, false));
     Machine silent = cluster.add(ClusterFixture.newUpMachine("vm-2", TYPE, false));
-    heard.heartbeats().recordHeartbeat(19 * S);
+    reachable.heartbeats().recordHeartbeat(19 * S);
     silent.heartbeats().recordHeartbeat(12 * S);
     cloud.reply(20 * S, list(20 * S), 200, page(false));
     assertReleased(silent);
-    assertEquals(MachinePhase.UP, heard.phase());
+    assertEquals(MachinePhase.UP, reachable.phase());
   }
 
-  /** Its heartbeat may be on its way; the list need not be read again for it. */
+  /** A heartbeat may be on its way; the list is not read again after waiting for it. */
   @Test
   void aNewLeaderWaitsForOneHeartbeatFirst() {
     Machine gone = recorded("vm-1", -20 * S);
@@ -224,7 +230,7 @@
     cluster.bind(job, 0, gone, TaskPhase.RUNNING, 0);
     cloud.reply(20 * S, list(20 * S), 200, page(false));
     assertReleased(gone);
-    assertTrue(job.hasBound(), "the list alone proves nothing");
+    assertTrue(job.hasBound(), "the list alone is not proof");
     scaleIn.releaseMarked(20 * S);
     cloud.reply(20 * S, cloud.calls().get(0), 503, null);
     assertTrue(job.hasBound());
--- a/src/test/java/org/dewreach/membership/FailureDetectorTest.java
+++ b/src/test/java/org/dewreach/membership/FailureDetectorTest.java
@@ -16,11 +16,11 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** What heartbeats and leases say about machines: {@link FailureDetector}. */
+/** Tests the conditions of machines derived from heartbeats and leases: {@link FailureDetector}. */
 class FailureDetectorTest {
   private static final long S = 1_000_000;
 
-  /** Heartbeats come each second, leases last 10 s. */
+  /** The heartbeat interval is 1 s, leases last 10 s. */
   private static final Settings SETTINGS = SettingsFixture.twoNodes(10 * S);
 
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
@@ -78,7 +78,8 @@
     assertFalse(detector.leaseExpired(machine, 30_320_000));
     assertTrue(detector.leaseExpired(machine, 30_320_001));
     machine.heartbeats().restartCheck(RestartCheck.CHECKING);
-    assertFalse(detector.leaseExpired(machine, 60 * S), "a new worker has a lease of its own");
+    assertFalse(
+        detector.leaseExpired(machine, 60 * S), "a restarted worker has a lease of its own");
   }
 
   @Test
@@ -122,7 +123,7 @@
   @Test
   void unreachableMachinesAreFewUpToAThirdOfTheReachableOnes() {
     List<Machine> machines = machines("up", 12, 20 * S);
-    machines.addAll(machines("away", 4, 0));
+    machines.addAll(machines("unreachable", 4, 0));
     assertTrue(assess(machines, 21 * S).fewUnreachable());
     machines.addAll(machines("more", 1, 0));
     assertFalse(assess(machines, 21 * S).fewUnreachable());
@@ -131,7 +132,7 @@
   @Test
   void lostMachinesCountAmongTheUnreachable() {
     List<Machine> machines = machines("up", 12, 20 * S);
-    machines.addAll(machines("away", 4, 0));
+    machines.addAll(machines("unreachable", 4, 0));
     Machine lost = upMachine("lost", 0);
     lost.become(MachinePhase.LOST, 11 * S);
     machines.add(lost);
@@ -141,15 +142,16 @@
   @Test
   void aPartitionIsDetectedInTwoRoundsAfterTheLeaderDiscoveryTime() {
     PartitionDetector partition = new PartitionDetector(SETTINGS);
-    FleetHealth away = assess(machines("away", 3, 0), 20 * S);
-    assertTrue(away.nearlyAllUnreachable());
-    // One other node: 1.25 s for the last heartbeat, 5 s for the other node, 1 s margin.
-    partition.onRound(away, 7_250_000);
-    partition.onRound(away, 7_250_000);
+    FleetHealth unreachable = assess(machines("unreachable", 3, 0), 20 * S);
+    assertTrue(unreachable.nearlyAllUnreachable());
+    // One other controller: 1.25 s for the last heartbeat, 5 s for the other controller, 1 s
+    // margin.
+    partition.onRound(unreachable, 7_250_000);
+    partition.onRound(unreachable, 7_250_000);
     assertFalse(partition.partitionedFromWorkers(), "workers may still be looking for the leader");
-    partition.onRound(away, 7_250_001);
-    assertFalse(partition.partitionedFromWorkers(), "one round only");
-    partition.onRound(away, 8_250_001);
+    partition.onRound(unreachable, 7_250_001);
+    assertFalse(partition.partitionedFromWorkers(), "a single round is not enough");
+    partition.onRound(unreachable, 8_250_001);
     assertTrue(partition.partitionedFromWorkers());
     partition.onRound(assess(machines("up", 1, 20 * S), 21 * S), 9 * S);
     assertFalse(partition.partitionedFromWorkers());
@@ -157,8 +159,8 @@
 
   @Test
   void twoUnreachableMachinesAreNoPartition() {
-    assertFalse(assess(machines("away", 2, 0), 20 * S).nearlyAllUnreachable());
-    List<Machine> machines = machines("away", 5, 0);
+    assertFalse(assess(machines("unreachable", 2, 0), 20 * S).nearlyAllUnreachable());
+    List<Machine> machines = machines("unreachable", 5, 0);
     machines.addAll(machines("up", 2, 20 * S));
     assertFalse(assess(machines, 21 * S).nearlyAllUnreachable());
   }
--- a/src/test/java/org/dewreach/membership/FleetManagerTest.java
+++ b/src/test/java/org/dewreach/membership/FleetManagerTest.java
@@ -21,7 +21,7 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** When a machine that is taken for faulty is released. */
+/** Tests when a quarantined machine is released. */
 class FleetManagerTest {
   private static final long S = 1_000_000;
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
@@ -53,7 +53,7 @@
     return cluster.submitted(JobSpecBuilder.array(id).tasks(4).build());
   }
 
-  /** Each machine sends a heartbeat, and the fleet manager has its round, each second. */
+  /** Each second, all machines send a heartbeat and the fleet manager runs a round. */
   private void runRounds(long fromMicros, long untilMicros) {
     for (long at = fromMicros; at <= untilMicros; at += S) {
       long now = at;
@@ -71,8 +71,9 @@
   }
 
   /**
-   * Red without {@code MachineDrainer.MAX_QUARANTINE_MICROS}: a job whose tasks take 20 s to fail
-   * cannot have failed elsewhere within 8 s, and the healthy machine was released.
+   * Guards against releasing healthy machines, which happened without {@code
+   * MachineDrainer.MAX_QUARANTINE_MICROS}: a job whose tasks take 20 s to fail cannot have failed
+   * elsewhere within 8 s.
    */
   @Test
   void aQuarantinedMachineIsKeptWhileItsJobsAreRetriedElsewhere() {
@@ -83,7 +84,7 @@
     runRounds(2 * S, 58 * S);
     assertEquals(MachinePhase.UP, machine.phase());
     runRounds(59 * S, 65 * S);
-    assertEquals(MachinePhase.TERMINATING, machine.phase(), "not for ever");
+    assertEquals(MachinePhase.TERMINATING, machine.phase(), "not forever");
   }
 
   @Test
--- a/src/test/java/org/dewreach/membership/HandoverPolicyTest.java
+++ b/src/test/java/org/dewreach/membership/HandoverPolicyTest.java
@@ -25,14 +25,14 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** When a leader that hears hardly any worker gives up the lead: {@link HandoverPolicy}. */
+/** Tests when a leader that reaches hardly any worker steps down: {@link HandoverPolicy}. */
 class HandoverPolicyTest {
   private static final long S = 1_000_000;
   private static final long STEP = S / 4;
   private static final int MACHINES = 8;
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
 
-  /** Heartbeats come each second, leases last 40 s; there is one other controller. */
+  /** The heartbeat interval is 1 s, leases last 40 s; there is one other controller. */
   private static final Settings SETTINGS = SettingsFixture.twoNodes(40 * S);
 
   private final Outbox outbox = new Outbox();
@@ -54,7 +54,10 @@
   private final HandoverPolicy policy =
       new HandoverPolicy(fleet, new PeerContacts(outbox, SETTINGS), handovers, SETTINGS);
 
-  /** How many of the machines the other controller says it hears; it is silent if negative. */
+  /**
+   * The number of machines that the other controller reports as reachable; it does not respond if
+   * negative.
+   */
   private int reachableFromOther = -1;
 
   private long now;
@@ -67,7 +70,7 @@
     }
   }
 
-  /** Plays until the time given, or until the lead is given up; true if it was. */
+  /** Runs until the given time or until the leader steps down; returns true if it does. */
   private boolean stepsDownUntil(long untilMicros) {
     for (; now <= untilMicros; now += STEP) {
       fleet.tick(now, List.of(), false);
@@ -132,7 +135,7 @@
     machines(MachinePhase.UNKNOWN);
     assertTrue(stepsDownUntil(12 * S));
     handovers.recordHandover(now);
-    assertFalse(stepsDownUntil(40 * S), "the others had their turn");
+    assertFalse(stepsDownUntil(40 * S), "the other controllers had a chance to lead");
   }
 
   @Test
@@ -167,6 +170,6 @@
         return;
       }
     }
-    throw new AssertionError("led on, though another controller's answers may arrive");
+    throw new AssertionError("kept leading although another controller may reach the workers");
   }
 }
--- a/src/test/java/org/dewreach/membership/MachineHealthMonitorTest.java
+++ b/src/test/java/org/dewreach/membership/MachineHealthMonitorTest.java
@@ -19,11 +19,11 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** What is done about machines that are silent or lost: {@link MachineHealthMonitor}. */
+/** Tests how silent, overdue and lost machines are handled: {@link MachineHealthMonitor}. */
 class MachineHealthMonitorTest {
   private static final long S = 1_000_000;
 
-  /** Heartbeats come each second, leases last 10 s. */
+  /** The heartbeat interval is 1 s, leases last 10 s. */
   private static final Settings SETTINGS = SettingsFixture.oneNode();
 
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
@@ -62,13 +62,13 @@
   @Test
   void aSilentMachineIsReleasedWhileTheOthersAreReachable() {
     List<Machine> silent = upMachines("silent", 1);
-    List<Machine> heard = upMachines("heard", 5);
+    List<Machine> reachable = upMachines("reachable", 5);
     Job job = cluster.submitted(JobSpecBuilder.array("req-1").build());
     cluster.bind(job, 0, silent.get(0), TaskPhase.RUNNING, 0);
-    heartbeats(heard, 5 * S);
+    heartbeats(reachable, 5 * S);
     monitor.checkMachines(5 * S);
     assertPhase(MachinePhase.TERMINATING, silent);
-    assertPhase(MachinePhase.UP, heard);
+    assertPhase(MachinePhase.UP, reachable);
     assertTrue(job.hasBound(), "its task counts as running until the machine is gone");
   }
 
@@ -90,39 +90,39 @@
     assertTrue(job.hasBound());
     monitor.checkMachines(11 * S);
     assertPhase(MachinePhase.LOST, silent);
-    assertFalse(job.hasBound(), "its task was killed with the lease");
+    assertFalse(job.hasBound(), "the worker killed its task when the lease expired");
     monitor.checkMachines(76 * S);
     assertPhase(MachinePhase.TERMINATING, silent);
   }
 
   @Test
   void theLastMachinesWithoutAHeartbeatInANewTermAreReleasedEarly() {
-    List<Machine> heard = upMachines("heard", 40);
-    List<Machine> unheard =
+    List<Machine> reachable = upMachines("reachable", 40);
+    List<Machine> unknown =
         List.of(
-            cluster.add(ClusterFixture.newMachine("unheard", TYPE, false, MachinePhase.UNKNOWN)));
-    heartbeats(heard, 2 * S);
+            cluster.add(ClusterFixture.newMachine("unknown", TYPE, false, MachinePhase.UNKNOWN)));
+    heartbeats(reachable, 2 * S);
     monitor.checkMachines(2 * S);
-    assertPhase(MachinePhase.UNKNOWN, unheard);
-    heartbeats(heard, 3 * S);
+    assertPhase(MachinePhase.UNKNOWN, unknown);
+    heartbeats(reachable, 3 * S);
     monitor.checkMachines(3 * S);
-    assertPhase(MachinePhase.TERMINATING, unheard);
-    assertPhase(MachinePhase.UP, heard);
+    assertPhase(MachinePhase.TERMINATING, unknown);
+    assertPhase(MachinePhase.UP, reachable);
   }
 
   @Test
   void tasksOfAMachineThatIsBeingReleasedAreUnboundAfterLeaseExpiry() {
     List<Machine> silent = upMachines("silent", 1);
-    List<Machine> heard = upMachines("heard", 5);
+    List<Machine> reachable = upMachines("reachable", 5);
     Job job = cluster.submitted(JobSpecBuilder.array("req-1").build());
     cluster.bind(job, 0, silent.get(0), TaskPhase.RUNNING, 0);
-    heartbeats(heard, 10 * S);
+    heartbeats(reachable, 10 * S);
     monitor.checkMachines(10 * S);
     assertPhase(MachinePhase.TERMINATING, silent);
     assertTrue(job.hasBound());
-    heartbeats(heard, 11 * S);
+    heartbeats(reachable, 11 * S);
     monitor.checkMachines(11 * S);
     assertPhase(MachinePhase.TERMINATING, silent);
-    assertFalse(job.hasBound(), "whether or not the cloud confirms the release");
+    assertFalse(job.hasBound(), "whether or not the cloud has confirmed the release");
   }
 }
--- a/src/test/java/org/dewreach/membership/StalledRecoveryResolverTest.java
+++ b/src/test/java/org/dewreach/membership/StalledRecoveryResolverTest.java
@@ -24,14 +24,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which machines are released when a recovery stays open over terms: {@link
+ * Tests which machines are released when a recovery stays open over several terms: {@link
  * StalledRecoveryResolver}.
  */
 class StalledRecoveryResolverTest {
   private static final long S = 1_000_000;
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
 
-  /** Heartbeats come each second, leases last 10 s: a machine is silent after 4.5 s. */
+  /** The heartbeat interval is 1 s, leases last 10 s: a machine is silent after 4.5 s. */
   private static final Settings SETTINGS = SettingsFixture.twoNodes(10 * S);
 
   private final KeyValueStoreFixture fixture = new KeyValueStoreFixture();
@@ -65,7 +65,10 @@
     return cluster.add(ClusterFixture.newMachine(name, TYPE, false, MachinePhase.UNKNOWN));
   }
 
-  /** An earlier term noted 5 s ago that recovery has been open for this long. */
+  /**
+   * Simulates a record of an earlier term, written 5 s ago, that recovery has been open for this
+   * long.
+   */
   private void recordOpenFor(long micros) {
     clock.noteOpen(0, 0);
     JsonNode value = Codec.map().put("since", -micros).put("open", -5 * S);
@@ -77,16 +80,16 @@
   @Test
   void onlySilentMachinesThatBlockTheRecoveryAreReleased() {
     Machine silent = unknownMachine("silent");
-    Machine heard = unknownMachine("heard");
+    Machine reachable = unknownMachine("reachable");
     recovery.start();
     recovery.update(0);
     recordOpenFor(85 * S);
-    heard.heartbeats().recordHeartbeat(3 * S);
+    reachable.heartbeats().recordHeartbeat(3 * S);
     stalledRecovery.tick(0, 4_500_000);
     assertEquals(MachinePhase.UNKNOWN, silent.phase(), "not silent for long enough");
     stalledRecovery.tick(0, 5 * S);
     assertEquals(MachinePhase.TERMINATING, silent.phase());
-    assertEquals(MachinePhase.UNKNOWN, heard.phase());
+    assertEquals(MachinePhase.UNKNOWN, reachable.phase());
   }
 
   @Test
@@ -101,7 +104,10 @@
     assertEquals(MachinePhase.TERMINATING, silent.phase());
   }
 
-  /** Red when all that the tracker had at its last update was marked: the controller failed. */
+  /**
+   * Guards against a controller failure: the resolver marked all machines of the tracker's last
+   * update for release, including one that had gone since.
+   */
   @Test
   void aMachineRemovedSinceTheTrackersLastUpdateIsIgnored() {
     Machine gone = unknownMachine("gone");
