--- a/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
@@ -50,7 +50,7 @@
       responseLoss.onHeartbeat(report, newIncarnation, previousHeartbeatMicros);
     }
     CommandBatch commands = reconcile(report);
-    if (!machine.recorded()) {
+    if (!machine.commandable()) {
       return HeartbeatResponse.withoutCommands(term);
     }
     List<WorkerCommand> sent = commands.forResponse(report.freshness());
--- a/src/main/java/org/dewreach/heartbeat/ResponseLossDetector.java
+++ b/src/main/java/org/dewreach/heartbeat/ResponseLossDetector.java
@@ -35,14 +35,14 @@
     boolean tokenArrived = report.heartbeat().token() == term;
     boolean arrived =
         tokenArrived && !newIncarnation && !startNotReported(report, previousHeartbeatMicros);
-    boolean wasMissing = machine.heartbeats().missesReplies();
-    machine.heartbeats().recordReplyDelivery(arrived);
-    if (machine.heartbeats().missesReplies() != wasMissing) {
+    boolean wasMissing = machine.heartbeats().missesResponses();
+    machine.heartbeats().recordResponseDelivery(arrived);
+    if (machine.heartbeats().missesResponses() != wasMissing) {
       LOG.info(
           "machine response delivery changed: machine={} from={} to={}",
           machine.name(),
           deliveryState(wasMissing),
-          deliveryState(machine.heartbeats().missesReplies()));
+          deliveryState(machine.heartbeats().missesResponses()));
       clusterState.requestPlacement();
     }
   }
--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -101,7 +101,7 @@
     return reported.cause() == Cause.DONE
         && job != null
         && (job.mayStillComplete() || job.phase() == JobPhase.FINALIZING)
-        && !job.record().done().get(reported.name().index());
+        && !job.storedState().doneTasks().get(reported.name().index());
   }
 
   private void onExit(Machine machine, Task task, Cause cause, long nowMicros) {
@@ -143,7 +143,9 @@
       }
       return;
     }
-    if (job != null && !job.bound().containsKey(name.index()) && job.phase() != JobPhase.ENDED) {
+    if (job != null
+        && !job.boundTasks().containsKey(name.index())
+        && job.phase() != JobPhase.ENDED) {
       adopt(machine, job, reported, report.nowMicros());
     } else {
       LOG.info(
@@ -191,7 +193,7 @@
   private void reconcileBound(WorkerReport report, Task task, CommandBatch commands) {
     long nowMicros = report.nowMicros();
     Job job = task.job();
-    boolean needed = job.phase() == JobPhase.ACTIVE && !job.done().get(task.index());
+    boolean needed = job.phase() == JobPhase.ACTIVE && !job.doneTasks().get(task.index());
     if (!needed && task.phase() != TaskPhase.STOPPING) {
       clusterState.stop(task, "no longer needed", nowMicros);
     }
--- a/src/main/java/org/dewreach/membership/FailureDetector.java
+++ b/src/main/java/org/dewreach/membership/FailureDetector.java
@@ -146,7 +146,7 @@
             || machine.phase() == MachinePhase.DRAINING;
     return expected
         && condition != MachineCondition.RESTARTED
-        && !machine.heartbeats().missesReplies();
+        && !machine.heartbeats().missesResponses();
   }
 
   private MachineCondition condition(Machine machine, long nowMicros) {
@@ -173,8 +173,8 @@
     if (silent) {
       return MachineCondition.SILENT;
     }
-    return machine.heartbeats().missesReplies()
-        ? MachineCondition.MISSES_REPLIES
+    return machine.heartbeats().missesResponses()
+        ? MachineCondition.MISSES_RESPONSES
         : MachineCondition.RESPONSIVE;
   }
 
--- a/src/main/java/org/dewreach/membership/FleetHealth.java
+++ b/src/main/java/org/dewreach/membership/FleetHealth.java
@@ -43,7 +43,7 @@
 
   /** Returns the number of machines whose heartbeat is overdue or that do not receive responses. */
   private int unreachable() {
-    return overdue.size() + count(MachineCondition.MISSES_REPLIES);
+    return overdue.size() + count(MachineCondition.MISSES_RESPONSES);
   }
 
   /** Returns the number of machines whose lease expired without a heartbeat since. */
@@ -80,8 +80,8 @@
   }
 
   /** True if most of the unreachable machines send heartbeats and only do not receive responses. */
-  boolean mostlyMissesReplies() {
-    return count(MachineCondition.MISSES_REPLIES) > overdue.size();
+  boolean mostlyMissesResponses() {
+    return count(MachineCondition.MISSES_RESPONSES) > overdue.size();
   }
 
   private boolean exceedsPartitionThreshold(int machines) {
--- a/src/main/java/org/dewreach/membership/HandoverPolicy.java
+++ b/src/main/java/org/dewreach/membership/HandoverPolicy.java
@@ -103,7 +103,7 @@
   private boolean confirmedUnreachableFromAll(
       FleetHealth health, PeerContacts.Report report, long nowMicros) {
     return report == PeerContacts.Report.HEARD_NOWHERE
-        && !health.mostlyMissesReplies()
+        && !health.mostlyMissesResponses()
         && nowMicros - suspectedSince >= WorkerTiming.CONTROLLER_RETRY_MICROS;
   }
 
@@ -116,7 +116,7 @@
           next,
           health.reachable(),
           health.overdue().size(),
-          health.in(MachineCondition.MISSES_REPLIES).size(),
+          health.in(MachineCondition.MISSES_RESPONSES).size(),
           health.lostCount(),
           report);
       phase = next;
--- a/src/main/java/org/dewreach/membership/MachineCondition.java
+++ b/src/main/java/org/dewreach/membership/MachineCondition.java
@@ -5,7 +5,7 @@
   /** Its heartbeats arrive, and it receives the responses. */
   RESPONSIVE,
   /** Its heartbeats arrive, but responses and commands do not reach it. */
-  MISSES_REPLIES,
+  MISSES_RESPONSES,
   /** No heartbeat has arrived for far longer than the interval. */
   SILENT,
   /** Its worker has restarted with an old incarnation, or is silent while that is being checked. */
--- a/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
+++ b/src/main/java/org/dewreach/membership/MachineHealthMonitor.java
@@ -54,7 +54,7 @@
     if (health.fewUnreachable()) {
       // Tasks placed there never start, and the worker's incarnation will end; the release itself
       // proves that its tasks are gone.
-      markForRelease(health.in(MachineCondition.MISSES_REPLIES), "misses responses", nowMicros);
+      markForRelease(health.in(MachineCondition.MISSES_RESPONSES), "misses responses", nowMicros);
     }
     return health;
   }
--- a/src/main/java/org/dewreach/membership/RecoveryTracker.java
+++ b/src/main/java/org/dewreach/membership/RecoveryTracker.java
@@ -83,7 +83,7 @@
    * to be reconciled.
    */
   public boolean allTasksKnown(Job job) {
-    return job.submittedThisTerm()
+    return job.addedThisTerm()
         || unreconciledByPool.values().stream()
             .noneMatch(machine -> SortFirstFit.permitted(job.spec(), machine));
   }
--- a/src/main/java/org/dewreach/membership/StalledRecoveryResolver.java
+++ b/src/main/java/org/dewreach/membership/StalledRecoveryResolver.java
@@ -4,7 +4,7 @@
 import org.dewreach.config.Settings;
 import org.dewreach.model.Machine;
 import org.dewreach.model.MachinePhase;
-import org.dewreach.state.RecoveryClock;
+import org.dewreach.state.RecoveryDurationTracker;
 
 /**
  * Ends a recovery that has stayed open for too long over several terms: releases the machines that
@@ -20,16 +20,19 @@
 
   private final RecoveryTracker recovery;
   private final FleetManager fleet;
-  private final RecoveryClock clock;
+  private final RecoveryDurationTracker durationTracker;
   private final long maxOpenMicros;
   private long nextCheckAt;
 
   /** Creates a resolver for one term. */
   public StalledRecoveryResolver(
-      RecoveryTracker recovery, FleetManager fleet, RecoveryClock clock, Settings settings) {
+      RecoveryTracker recovery,
+      FleetManager fleet,
+      RecoveryDurationTracker durationTracker,
+      Settings settings) {
     this.recovery = recovery;
     this.fleet = fleet;
-    this.clock = clock;
+    this.durationTracker = durationTracker;
     // As long as a single leader would have kept them.
     this.maxOpenMicros =
         settings.workers().leaseMicros() + FailureDetector.LOST_MACHINE_TIMEOUT_MICROS;
@@ -48,9 +51,9 @@
     nextCheckAt = nowMicros + CHECK_INTERVAL_MICROS;
     List<Machine> blockingMachines = silentBlockingMachines(nowMicros);
     if (!blockingMachines.isEmpty()) {
-      clock.noteOpen(recoveringSince, nowMicros);
+      durationTracker.recordOpen(recoveringSince, nowMicros);
     }
-    if (clock.openMicros(nowMicros) >= maxOpenMicros) {
+    if (durationTracker.openMicros(nowMicros) >= maxOpenMicros) {
       blockingMachines.stream()
           .filter(machine -> fleet.isSilent(machine, nowMicros))
           .forEach(
--- a/src/test/java/org/dewreach/membership/FailureDetectorTest.java
+++ b/src/test/java/org/dewreach/membership/FailureDetectorTest.java
@@ -93,12 +93,12 @@
   }
 
   @Test
-  void aMachineThatMissesRepliesIsNeitherOverdueNorReachable() {
+  void aMachineThatMissesResponsesIsNeitherOverdueNorReachable() {
     Machine machine = upMachine("m1", 20 * S);
-    machine.heartbeats().recordReplyDelivery(false);
-    machine.heartbeats().recordReplyDelivery(false);
+    machine.heartbeats().recordResponseDelivery(false);
+    machine.heartbeats().recordResponseDelivery(false);
     FleetHealth health = assess(List.of(machine), 21 * S);
-    assertEquals(List.of(machine), health.in(MachineCondition.MISSES_REPLIES));
+    assertEquals(List.of(machine), health.in(MachineCondition.MISSES_RESPONSES));
     assertEquals(List.of(), health.overdue());
     assertEquals(0, health.reachable());
   }
--- a/src/test/java/org/dewreach/membership/StalledRecoveryResolverTest.java
+++ b/src/test/java/org/dewreach/membership/StalledRecoveryResolverTest.java
@@ -12,7 +12,7 @@
 import org.dewreach.model.MachinePhase;
 import org.dewreach.state.MachineRegistry;
 import org.dewreach.state.MachineTypeCatalog;
-import org.dewreach.state.RecoveryClock;
+import org.dewreach.state.RecoveryDurationTracker;
 import org.dewreach.store.CommitQueue;
 import org.dewreach.store.Keys;
 import org.dewreach.store.Precondition;
@@ -44,7 +44,8 @@
           24,
           new TokenBucket(100, 100),
           () -> {});
-  private final RecoveryClock clock = new RecoveryClock(fixture.store(), queue, 0);
+  private final RecoveryDurationTracker durationTracker =
+      new RecoveryDurationTracker(fixture.store(), queue, 0);
   private final FleetManager fleet =
       new FleetManager(
           ClusterFixture.TERM,
@@ -59,7 +60,7 @@
           0);
   private final RecoveryTracker recovery = new RecoveryTracker(cluster.state(), fleet);
   private final StalledRecoveryResolver stalledRecovery =
-      new StalledRecoveryResolver(recovery, fleet, clock, SETTINGS);
+      new StalledRecoveryResolver(recovery, fleet, durationTracker, SETTINGS);
 
   private Machine unknownMachine(String name) {
     return cluster.add(ClusterFixture.newMachine(name, TYPE, false, MachinePhase.UNKNOWN));
@@ -70,7 +71,7 @@
    * long.
    */
   private void recordOpenFor(long micros) {
-    clock.noteOpen(0, 0);
+    durationTracker.recordOpen(0, 0);
     JsonNode value = Codec.map().put("since", -micros).put("open", -5 * S);
     JsonNode entry =
         Codec.map().put("path", Keys.RECOVERY).put("stamp", 70).put("hold", 0).set("data", value);
