--- a/src/main/java/org/dewreach/controller/AuthorityCheckedResponder.java
+++ b/src/main/java/org/dewreach/controller/AuthorityCheckedResponder.java
@@ -5,14 +5,15 @@
 import org.dewreach.wire.UserResponse;
 
 /**
- * Relays a term's responses only while the term has authority; otherwise users are told to retry.
+ * Forwards a term's responses only while the term has authority; otherwise responds to retry.
  *
- * <p>Guards against outdated responses of a term whose authority ran out while it worked on them.
- * Rejections too: what the term looked up and did not find, a later one may have imported.
+ * <p>Guards against outdated responses of a term whose authority expired while it handled the
+ * request. This includes rejections: a job that the term looked up and did not find may have been
+ * imported by a later term.
  *
- * @param leadership tells who has authority
+ * @param leadership the source of the term's authority
  * @param asked the term that handles the request
- * @param target where the response goes
+ * @param target receives the response
  */
 record AuthorityCheckedResponder(
     Leadership leadership, LeadershipTerm handlingTerm, Responder target) implements Responder {
--- a/src/main/java/org/dewreach/controller/CancellationGate.java
+++ b/src/main/java/org/dewreach/controller/CancellationGate.java
@@ -8,8 +8,8 @@
 import org.dewreach.state.JobRecordWriter;
 
 /**
- * Balances cancellations and lease delegations: which cancellation may be confirmed while other
- * nodes may renew leases, and for how long others may renew leases in view of cancelled jobs.
+ * Coordinates cancellations and lease delegations: decides which cancellations may be confirmed
+ * while other controllers may renew leases, and limits delegations in view of cancelled jobs.
  */
 final class CancellationGate implements JobRecordWriter.CancellationCheck {
   private final ClusterState clusterState;
@@ -28,20 +28,23 @@
     this.recovery = recovery;
   }
 
-  /** For how long from now the leases of a zone's workers may be renewed without this leader. */
+  /**
+   * Returns for how long from now the leases of a zone's workers may be renewed without this
+   * leader.
+   */
   long delegableMicros(String zone, long nowMicros) {
     Settings.Workers workers = settings.workers();
     long delegatedMicros = workers.maxDelegationMicros();
     for (Job job : clusterState.jobs().values()) {
-      // The job's tasks must be gone in time even if no command reaches them any more: that bounds
-      // delegations once the cancellation is confirmed, and before, so that it can be confirmed
-      // soon.
+      // The job's tasks must end in time even if no command reaches them any more. This limits
+      // delegations once the cancellation is confirmed, and also before, so that it can be
+      // confirmed soon.
       long until =
           switch (job.phase()) {
             case CANCEL_REQUESTED -> job.cancelRequestedAt() + workers.maxDelegationMicros();
             case CANCEL_COMMITTING, CANCELLED ->
                 job.cancelledAt() + workers.cancellationBoundMicros();
-            // The tasks of a cancelled job are gone before it is finalized.
+            // The tasks of a cancelled job have ended before it is finalized.
             case PERSISTING, ACTIVE, FINALIZING, ENDED -> Long.MAX_VALUE;
           };
       if (until - nowMicros < delegatedMicros && mayRunIn(job, zone)) {
@@ -56,11 +59,11 @@
   }
 
   /**
-   * True if a cancellation that is confirmed now is kept, whoever renews leases meanwhile: no task
-   * starts any more, and those that run are gone in time.
+   * True if a cancellation that is confirmed now holds, whichever controller renews leases in the
+   * meantime: no further task starts, and running tasks end in time.
    *
-   * <p>Guards against a machine that continues after it hung, or receives a start late: a task
-   * would start there after the cancellation was confirmed to its user.
+   * <p>Guards against a machine that resumes after a hang or receives a start command late: a task
+   * would start there after the cancellation was confirmed to the user.
    */
   @Override
   public boolean tasksEndInTime(Job job, long nowMicros) {
--- a/src/main/java/org/dewreach/controller/Controller.java
+++ b/src/main/java/org/dewreach/controller/Controller.java
@@ -14,7 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: takes events, and returns the effects that they have. */
+/** One controller of the cluster: handles events and returns the effects to carry out. */
 public final class Controller {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
@@ -36,9 +36,10 @@
   private boolean ready;
 
   /**
-   * A controller.
+   * Creates a controller.
    *
-   * @param bootId a text that no other process has, also not an earlier one of this node
+   * @param bootId a text that is unique to this process, also among earlier processes of this
+   *     controller
    * @param wallOffsetMicros time of day minus event time
    */
   public Controller(
@@ -63,7 +64,7 @@
     return leadership.effectsValidUntil();
   }
 
-  /** Handles one event; the effects are to be carried out in order. */
+  /** Handles one event and returns its effects, which are to be carried out in order. */
   public List<Effect> handle(long nowMicros, Event event) {
     clock.advanceTo(nowMicros);
     if (nextSummaryAt == 0) {
@@ -78,7 +79,7 @@
     return outbox.drain();
   }
 
-  /** True if this node may act as leader. */
+  /** True if this controller has authority to act as leader. */
   public boolean leading() {
     return leadership.hasAuthority();
   }
@@ -96,8 +97,9 @@
   }
 
   private void onReadinessProbe(Event.Request request) {
-    // Once this node has known a way to serve, troubles of the others show in single responses: a
-    // readiness that flaps would take it out for longer than the trouble lasts.
+    // Stays ready after the first response of the key-value store: later faults of other components
+    // appear in single responses, and a flapping readiness would take this controller out of
+    // service for longer than the fault lasts.
     ready |= leadership.election().lastStoreResponseAt() >= 0;
     int status = ready ? HttpStatus.OK : HttpStatus.UNAVAILABLE;
     outbox.respond(request.requestId(), status, null);
--- a/src/main/java/org/dewreach/controller/ControllerServices.java
+++ b/src/main/java/org/dewreach/controller/ControllerServices.java
@@ -11,17 +11,18 @@
 import org.dewreach.store.KeyValueStore;
 
 /**
- * What the components of a node share for the life of the process, in whichever term.
+ * The services that the components of a controller share for the lifetime of the process, across
+ * terms.
  *
- * @param settings the node's settings
- * @param tuning the site's tuning
+ * @param settings the controller's settings
+ * @param tuning the operators' tuning
  * @param outbox collects effects
- * @param store the key-value store, over the general connections
- * @param cloud the cloud's machines
- * @param catalog the machine types
+ * @param store the key-value store, over the general connection pool
+ * @param cloud the client of the cloud
+ * @param catalog the machine type catalog
  * @param finalStates the final states known to be durable
- * @param lastHeartbeats when each worker last sent this node a heartbeat
- * @param handoverHistory when this node last gave up the lead for want of workers
+ * @param lastHeartbeats the time of the last heartbeat of each worker to this controller
+ * @param handoverHistory when this controller last handed over because no workers reached it
  * @param wallOffsetMicros time of day minus event time
  */
 record ControllerServices(
@@ -36,7 +37,7 @@
     HandoverHistory handoverHistory,
     long wallOffsetMicros) {
 
-  /** Services that send through the given outbox, and have read nothing yet. */
+  /** Creates services that send through the given outbox and have not read anything yet. */
   static ControllerServices create(
       Settings settings, Tuning tuning, Outbox outbox, long wallOffsetMicros) {
     KeyValueStore store = new KeyValueStore(outbox);
--- a/src/main/java/org/dewreach/controller/ControllerStats.java
+++ b/src/main/java/org/dewreach/controller/ControllerStats.java
@@ -4,17 +4,18 @@
 import org.dewreach.request.UserRequestStats;
 
 /**
- * Numbers of a node for operators.
+ * Statistics of a controller for operators.
  *
- * @param name the node's name
- * @param leader the leader's name as the node knows it, or null
- * @param election the node's state in the election
- * @param term the term that the node leads, or 0
- * @param openCalls calls without an outcome yet
- * @param userRequests users' requests
- * @param finalStates how many final states the node knows
- * @param finalStatesRevision the revision of the key-value store up to which it knows them
- * @param termStats numbers of the term that the node leads, or null
+ * @param name the controller's name
+ * @param leader the leader's name as far as the controller knows it, or null
+ * @param election the controller's state in the election
+ * @param term the term that the controller leads, or 0
+ * @param openCalls the number of calls without an outcome yet
+ * @param userRequests statistics of users' requests
+ * @param finalStates the number of final states that the controller knows
+ * @param finalStatesRevision the revision of the key-value store up to which the final states are
+ *     known
+ * @param termStats statistics of the term that the controller leads, or null
  */
 record ControllerStats(
     String name,
--- a/src/main/java/org/dewreach/controller/EventClock.java
+++ b/src/main/java/org/dewreach/controller/EventClock.java
@@ -2,7 +2,7 @@
 
 import java.util.function.LongSupplier;
 
-/** Event time: the time of the latest event. It never goes back. */
+/** The event time, which is the time of the latest event and never decreases. */
 final class EventClock implements LongSupplier {
   private long nowMicros;
 
--- a/src/main/java/org/dewreach/controller/HeartbeatRouter.java
+++ b/src/main/java/org/dewreach/controller/HeartbeatRouter.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Routes workers' heartbeats: to the term of this node, to its delegate, or to the leader by a
- * redirect.
+ * Routes workers' heartbeats: to the term that this controller leads, to its delegate renewer, or
+ * to the leader by a redirect.
  */
 final class HeartbeatRouter {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatRouter.class);
@@ -33,7 +33,7 @@
     this.pendingHeartbeats = new PendingHeartbeats(services.settings().limits().maxConnections());
   }
 
-  /** Handles a heartbeat; its response may wait until it is known who leads. */
+  /** Handles a heartbeat; its response may be deferred until the leader is known. */
   void onRequest(Event.Request request) {
     Heartbeat heartbeat;
     try {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Responds to heartbeats that need not or must not wait any longer. */
+  /** Responds to deferred heartbeats once the leader is known or their time limit has passed. */
   void tick() {
     if (!pendingHeartbeats.isEmpty()) {
       pendingHeartbeats.answerDue(leadership.isUndecided(), clock.now(), this::route);
--- a/src/main/java/org/dewreach/controller/Leadership.java
+++ b/src/main/java/org/dewreach/controller/Leadership.java
@@ -8,7 +8,10 @@
 import org.dewreach.port.Effect;
 import org.dewreach.store.KeyValueStore;
 
-/** Whether this node leads, the term that it leads, and who leads otherwise. */
+/**
+ * Tracks whether this controller leads, the term that it leads, and which controller leads
+ * otherwise.
+ */
 final class Leadership implements Election.Listener, LeadershipControl {
   private static final long SELF_DELEGATION_INTERVAL_MICROS = 500_000;
 
@@ -21,9 +24,10 @@
   private long selfDelegatedUntil;
 
   /**
-   * A node that does not know who leads.
+   * Creates the leadership of a controller that does not know the leader yet.
    *
-   * @param bootId a text that no other process has, also not an earlier one of this node
+   * @param bootId a text that is unique to this process, also among earlier processes of this
+   *     controller
    */
   Leadership(ControllerServices services, EventClock clock, String bootId, RandomGenerator random) {
     this.services = services;
@@ -31,8 +35,8 @@
     Settings settings = services.settings();
     this.election =
         new Election(
-            // Guards against a renewal that waits behind users' reads and comes after the lease
-            // expired.
+            // Guards against a renewal that waits behind reads for users and is sent after the
+            // lease has expired.
             new KeyValueStore(services.outbox(), ConnectionPool.LEADERSHIP),
             services.outbox(),
             settings.members().stream().map(Settings.Member::name).toList(),
@@ -51,51 +55,54 @@
     return delegateRenewer;
   }
 
-  /** The term for which this node was elected and whose end it has not noticed, or null. */
+  /** The term for which this controller was elected and whose end it has not detected, or null. */
   LeadershipTerm term() {
     return term;
   }
 
-  /** The number of {@link #term}, or 0. */
+  /** The number of {@link #term}, or 0 if there is none. */
   long termNumber() {
     return term == null ? 0 : term.number();
   }
 
-  /** True if this node may act as leader. */
+  /** True if this controller has authority to act as leader. */
   boolean hasAuthority() {
     return term != null && hasAuthority(clock.now());
   }
 
-  /** True if this node may act as leader and has loaded the cluster state. */
+  /** True if this controller has authority to act as leader and has loaded the cluster state. */
   boolean canServe() {
     return term != null && term.loaded() && hasAuthority(clock.now());
   }
 
-  /** True if this node may still act in the given term. */
+  /** True if this controller still has authority in the given term. */
   boolean hasAuthorityIn(LeadershipTerm earlier) {
     return term == earlier && hasAuthority(clock.now());
   }
 
-  /** The name of another node that leads as far as this one knows, or null. */
+  /** The name of the other controller that leads as far as this one knows, or null. */
   String otherLeader() {
     String leader = election.leader();
     return leader == null || leader.equals(services.settings().name()) ? null : leader;
   }
 
   /**
-   * True for a moment: until it is known who leads, and until a new leader has loaded the cluster
+   * True for a short time: until the leader is known, and until a new leader has loaded the cluster
    * state.
    */
   boolean isUndecided() {
     return election.undecided() || term != null && !term.loaded();
   }
 
-  /** Until when effects that are decided now may be carried out. */
+  /** Returns until when effects that are decided now may be carried out. */
   long effectsValidUntil() {
     return hasAuthority() ? election.authorityEndsAt() : Effect.ANY_TIME;
   }
 
-  /** Renews what this node may answer workers should it lose contact with the others. */
+  /**
+   * Renews the delegation by which this controller may renew worker leases if it loses contact with
+   * the other controllers.
+   */
   void renewDelegations() {
     long nowMicros = clock.now();
     if (!hasAuthority()) {
@@ -113,8 +120,7 @@
 
   @Override
   public void onElected(long nowMicros, long number) {
-    // The cluster state of this term does not know what an earlier term of this node delegated to
-    // it.
+    // This term's records do not include what an earlier term of this controller delegated to it.
     selfDelegatedUntil = 0;
     nextSelfDelegationAt = nowMicros;
     term = new LeadershipTerm(number, services, this, nowMicros);
@@ -136,13 +142,13 @@
 
   @Override
   public void onKeyLost() {
-    election.onKeyLost(clock.now(), "a write found the leader key lost");
+    election.onKeyLost(clock.now(), "leader key precondition of a write failed");
   }
 
   @Override
   public void handOverLeadership() {
     services.handoverHistory().recordHandover(clock.now());
-    election.handOver(clock.now(), "no heartbeats reach this node");
+    election.handOver(clock.now(), "handover, no heartbeats reach this controller");
   }
 
   @Override
--- a/src/main/java/org/dewreach/controller/LeadershipControl.java
+++ b/src/main/java/org/dewreach/controller/LeadershipControl.java
@@ -1,16 +1,19 @@
 package org.dewreach.controller;
 
-/** What a term needs to know of the election, and how it ends itself. */
+/** The view that a term has of the election, and the ways in which it can end itself. */
 interface LeadershipControl {
   /** True if the term may act as leader at the given time. */
   boolean hasAuthority(long nowMicros);
 
-  /** A write found that another node holds the leader key, or that the key is gone. */
+  /**
+   * Steps down, since a write found that another controller holds the leader key or that the key is
+   * absent.
+   */
   void onKeyLost();
 
-  /** Gives up the lead, as no heartbeats reach this node. */
+  /** Hands over leadership to another controller, since no heartbeats reach this one. */
   void handOverLeadership();
 
-  /** When this node last renewed a lease as a delegate, or a negative time. */
+  /** The time at which this controller last renewed a lease as a delegate, or a negative value. */
   long lastRenewalAt();
 }
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -20,21 +20,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One term of this node as leader, from winning the leader key to losing it. */
+/** One term of this controller as leader, from the write of the leader key to its loss. */
 final class LeadershipTerm implements DurabilityListener {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipTerm.class);
 
   private static final long PROGRESS_INTERVAL_MICROS = 250_000;
 
-  /** Phases of a term. */
+  /** The phases of a term. */
   enum Phase {
-    /** Loading the cluster state that earlier leaders stored. */
+    /** Loading the cluster state that earlier terms stored. */
     LOADING,
-    /** Some machine of an earlier term has sent no heartbeat: tasks of old jobs are not started. */
+    /**
+     * Some machine of an earlier term has sent no heartbeat yet: tasks of jobs from earlier terms
+     * are not started.
+     */
     RECOVERING,
     /** Every machine of earlier terms is accounted for. */
     ACTIVE,
-    /** Over. */
+    /** The term has ended. */
     CLOSED
   }
 
@@ -49,9 +52,9 @@
   private long nextProgressAt;
 
   /**
-   * A term that has read nothing yet.
+   * Creates a term that has not loaded any state yet.
    *
-   * @param number the term's number, which is also its fencing token
+   * @param number the number of the term, which is also its fencing token
    */
   LeadershipTerm(
       long number, ControllerServices services, LeadershipControl control, long nowMicros) {
@@ -97,7 +100,7 @@
     }
   }
 
-  /** Continues to load the cluster state; true once it is loaded. */
+  /** Continues to load the cluster state; returns true once it is loaded. */
   private boolean continueLoading(long nowMicros) {
     components.loader.tick(nowMicros);
     if (!components.loader.done()) {
@@ -114,14 +117,14 @@
     return true;
   }
 
-  /** Does what only a leader with authority may do. */
+  /** Performs the periodic work that only a leader with authority may do. */
   private void actAsLeader(long nowMicros) {
     components.delegations.onAuthorityGained(nowMicros);
     if (!hadAuthority) {
       hadAuthority = true;
       authoritySince = nowMicros;
-      // Guards against leases counted from before an earlier leader's last response: under grants
-      // it continues until this one may act.
+      // Guards against leases that are counted from before an earlier leader's last response: on
+      // the basis of grants, that leader continues until this term may act.
       components.fleet.onAuthorityGained(nowMicros);
     }
     if (phase == Phase.RECOVERING) {
@@ -139,8 +142,8 @@
     boolean everyTaskKnown = phase == Phase.ACTIVE || components.clusterState.machines().isEmpty();
     components.fleet.tick(nowMicros, components.placement.unplaced(), everyTaskKnown);
     if (components.handoverPolicy.shouldGiveUpLead(nowMicros)) {
-      // Guards against a leader that keeps its key and receives no heartbeat until all leases
-      // expire.
+      // Guards against a leader that keeps its key and receives no heartbeats until all worker
+      // leases expire.
       LOG.info("no heartbeats reach this node, giving up the lead: term={}", number);
       control.handOverLeadership();
       return;
@@ -160,7 +163,7 @@
     }
   }
 
-  /** Numbers for operators. */
+  /** Returns the statistics for operators. */
   TermStats stats() {
     return components.reporter.stats(phase, components.placement.unplaced());
   }
@@ -185,14 +188,20 @@
     }
   }
 
-  /** Responds to a node that asks for how long it may renew leases should it lose contact. */
+  /**
+   * Responds to a controller that requests a delegation, by which it may renew leases if it loses
+   * contact.
+   */
   DelegationResponse onDelegationRequest(DelegationRequest request, long nowMicros) {
     String zone = components.delegations.zoneOf(request.node());
     return components.delegations.onRequest(
         request, zone == null ? 0 : delegableMicros(zone, nowMicros), nowMicros);
   }
 
-  /** Until when this node itself may renew its zone's leases, should it lose its authority. */
+  /**
+   * Records and returns until when this controller itself may renew its zone's leases if it loses
+   * its authority.
+   */
   long delegateToSelf(String zone, long nowMicros) {
     long until = nowMicros + delegableMicros(zone, nowMicros);
     components.delegations.delegateToSelf(until);
@@ -203,11 +212,12 @@
     return loaded() ? components.cancellationGate.delegableMicros(zone, nowMicros) : 0;
   }
 
-  /** Handles a heartbeat that this node received as the leader. */
+  /** Handles a heartbeat that this controller received as the leader. */
   void onHeartbeat(long requestId, Heartbeat heartbeat, long nowMicros) {
-    // Guards against leases renewed without knowing which jobs were cancelled: until the cluster
-    // state is loaded, no heartbeat is answered here. An outage that began in that moment would
-    // last as long as grants do, and with it the tasks of a cancelled job whose machine had hung.
+    // Until the cluster state is loaded, heartbeats are rejected. Guards against lease renewals by
+    // a leader that does not know yet which jobs were cancelled: if an outage of the key-value
+    // store began at that moment, the renewals would continue for as long as grants do, and so
+    // would the tasks of a cancelled job on a machine that had hung.
     if (!loaded() || !control.hasAuthority(nowMicros) || heartbeat.token() > number) {
       outbox.respond(requestId, HttpStatus.UNAVAILABLE, null);
       return;
@@ -215,7 +225,7 @@
     components.heartbeatHandler.onHeartbeat(requestId, heartbeat, nowMicros);
   }
 
-  /** Handles the reply to a direct command; no commands are sent back, and no lease is renewed. */
+  /** Handles the reply to a direct command; sends no commands in return and renews no lease. */
   private void onDirectReply(Machine machine, Heartbeat heartbeat, long nowMicros) {
     if (phase != Phase.CLOSED && control.hasAuthority(nowMicros)) {
       components.heartbeatHandler.onDirectReply(machine, heartbeat, nowMicros);
@@ -269,7 +279,7 @@
     control.onKeyLost();
   }
 
-  /** Ends the term; users who wait are told to retry. */
+  /** Ends the term; pending user requests get a response to retry. */
   void close(long nowMicros) {
     if (phase == Phase.CLOSED) {
       return;
--- a/src/main/java/org/dewreach/controller/PeerRequestRouter.java
+++ b/src/main/java/org/dewreach/controller/PeerRequestRouter.java
@@ -17,7 +17,6 @@
 
 /** Routes requests of other controllers, and of operators at the internal address. */
 final class PeerRequestRouter {
-  /** Numbers for operators. */
   private static final String STATS_PATH = "/stats";
 
   private final Outbox outbox;
@@ -75,9 +74,9 @@
   }
 
   private void onLeaderQuery(long requestId) {
-    KnownLeader known =
+    KnownLeader knownLeader =
         new KnownLeader(leadership.election().leader(), leadership.election().latestTerm());
-    outbox.respond(requestId, HttpStatus.OK, PeerMessageCodec.encode(known));
+    outbox.respond(requestId, HttpStatus.OK, PeerMessageCodec.encode(knownLeader));
   }
 
   private void onGrantRequest(long requestId, GrantRequest request) {
--- a/src/main/java/org/dewreach/controller/PlacementLoop.java
+++ b/src/main/java/org/dewreach/controller/PlacementLoop.java
@@ -12,15 +12,15 @@
 import org.dewreach.scheduling.UnplacedTasks;
 import org.dewreach.state.ClusterState;
 
-/** Runs placement passes, at intervals that depend on the cluster's size. */
+/** Runs placement passes at intervals that depend on the cluster's size. */
 final class PlacementLoop {
-  /** Changes that come close together share a pass. */
+  /** Changes within this interval share a pass. */
   private static final long MIN_INTERVAL_MICROS = 80_000;
 
-  /** Jobs and machines up to which passes come that often. A default of this project. */
+  /** The number of jobs and machines up to which passes run at the minimum interval. */
   private static final int FULL_RATE_MAX_ITEMS = 1_000;
 
-  /** Time-dependent pauses end without an event, so a pass is made now and then anyway. */
+  /** A pass runs at least this often, since pauses that end with time raise no event. */
   private static final long MAX_INTERVAL_MICROS = 500_000;
 
   private final ClusterState clusterState;
@@ -54,13 +54,13 @@
             wallOffsetMicros);
   }
 
-  /** The jobs whose tasks found no place in the last pass. */
+  /** The jobs with tasks that the last pass could not bind. */
   List<UnplacedTasks> unplaced() {
     return unplaced;
   }
 
   /**
-   * Makes a pass if it is due.
+   * Runs a pass if it is due.
    *
    * @param mayPreempt true if every machine of earlier terms is accounted for
    */
@@ -78,7 +78,10 @@
     commandSender.sendPending(nowMicros);
   }
 
-  /** A pass looks at all jobs and machines: the more there are, the more changes share one. */
+  /**
+   * Returns the interval between passes. Each pass examines all jobs and machines, so the interval
+   * grows with their number.
+   */
   private long intervalMicros() {
     int items = clusterState.jobs().size() + clusterState.machines().size();
     return Math.min(
--- a/src/main/java/org/dewreach/controller/RecoveryReporter.java
+++ b/src/main/java/org/dewreach/controller/RecoveryReporter.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports what keeps a term's recovery open: until it has ended, machines are neither rented nor
- * returned for want of work.
+ * Reports what keeps a term's recovery open. Until recovery ends, no machines are rented, and none
+ * are returned because they are idle.
  */
 final class RecoveryReporter {
   private static final Logger LOG = LoggerFactory.getLogger(RecoveryReporter.class);
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Logs a line if one is due; the first one when the recovery has taken a while.
+   * Logs a line if the interval has passed both since recovery began and since the last line.
    *
    * @param recoveringSince when this term began to recover
    */
@@ -65,7 +65,10 @@
         .count();
   }
 
-  /** How long ago the cloud's list was read as a whole, or -1 if this term has not read it yet. */
+  /**
+   * Returns the age of the last complete machine list from the cloud, or -1 if this term has not
+   * read one.
+   */
   private long listAgeMs(long nowMicros) {
     long listedAt = fleet.listedAt();
     return listedAt < 0 ? -1 : (nowMicros - listedAt) / MICROS_PER_MS;
--- a/src/main/java/org/dewreach/controller/StatsCodec.java
+++ b/src/main/java/org/dewreach/controller/StatsCodec.java
@@ -7,7 +7,7 @@
 import org.dewreach.request.UserRequestStats;
 import org.dewreach.wire.Codec;
 
-/** Encodes a node's numbers for operators. */
+/** Encodes the statistics of a controller for operators. */
 final class StatsCodec {
   private StatsCodec() {}
 
--- a/src/main/java/org/dewreach/controller/TermComponents.java
+++ b/src/main/java/org/dewreach/controller/TermComponents.java
@@ -24,18 +24,21 @@
 import org.dewreach.store.Precondition;
 import org.dewreach.store.TokenBucket;
 
-/** The components of one term, wired to each other. */
+/** Creates the components of one term and connects them. */
 final class TermComponents {
-  /** Share of the write rate; the rest is left to the election and to other nodes' writes. */
+  /**
+   * The term's share of the write rate limit; the rest is left for the election and for writes of
+   * other controllers.
+   */
   private static final double WRITE_RATE_SHARE = 0.9;
 
   /**
-   * What the term is told by its components.
+   * Callbacks from the components to the term.
    *
-   * @param records told when something became durable
-   * @param onImportFailed told the id of a job that was not imported
-   * @param directReplies told how workers replied to direct commands
-   * @param closed tells whether the term is over
+   * @param durabilityListener notified when a record has become durable
+   * @param onImportFailed receives the id of a job that could not be imported
+   * @param directReplyListener receives workers' replies to direct commands
+   * @param closed true if the term has ended
    */
   record Callbacks(
       DurabilityListener durabilityListener,
--- a/src/main/java/org/dewreach/controller/TermReporter.java
+++ b/src/main/java/org/dewreach/controller/TermReporter.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reports what a term manages, in the log and as numbers for operators. */
+/** Reports the size and load of a term, in the log and as statistics for operators. */
 final class TermReporter {
   private static final Logger LOG = LoggerFactory.getLogger(TermReporter.class);
 
@@ -28,7 +28,7 @@
     this.queue = queue;
   }
 
-  /** Logs a summary if it is due. */
+  /** Logs a summary if the interval has passed. */
   void tick(List<UnplacedTasks> unplaced, long nowMicros) {
     if (nowMicros < nextSummaryAt) {
       return;
@@ -59,7 +59,7 @@
         queue.transactionAgeMicros(nowMicros) / MICROS_PER_MS);
   }
 
-  /** Numbers for operators. */
+  /** Returns the statistics for operators. */
   TermStats stats(LeadershipTerm.Phase phase, List<UnplacedTasks> unplaced) {
     return new TermStats(
         phase,
@@ -76,7 +76,7 @@
         .sum();
   }
 
-  /** How many tasks found no place. */
+  /** Returns the number of tasks that could not be bound. */
   static int unplacedTaskCount(List<UnplacedTasks> unplaced) {
     return unplaced.stream().mapToInt(UnplacedTasks::tasks).sum();
   }
--- a/src/main/java/org/dewreach/controller/TermStats.java
+++ b/src/main/java/org/dewreach/controller/TermStats.java
@@ -1,14 +1,14 @@
 package org.dewreach.controller;
 
 /**
- * Numbers of a term for operators.
+ * Statistics of a term for operators.
  *
  * @param phase the term's phase
- * @param jobs jobs in the cluster state
- * @param machines machines in the cluster state
- * @param tasksBound tasks that are assigned to machines
- * @param tasksWaiting tasks that found no place in the last placement pass
- * @param writesQueued writes that wait to be sent
+ * @param jobs the number of jobs in the cluster state
+ * @param machines the number of machines in the cluster state
+ * @param tasksBound the number of tasks that are bound to machines
+ * @param tasksWaiting the number of tasks that the last placement pass could not bind
+ * @param writesQueued the number of writes that wait to be sent
  */
 record TermStats(
     LeadershipTerm.Phase phase,
--- a/src/main/java/org/dewreach/controller/UserRequestRouter.java
+++ b/src/main/java/org/dewreach/controller/UserRequestRouter.java
@@ -22,8 +22,8 @@
 import org.dewreach.wire.UserResponseCodec;
 
 /**
- * Routes users' requests: to the final states known here, to the term of this node, to the leader,
- * or to the handler that needs no leader.
+ * Routes users' requests: to the final states known here, to the term that this controller leads,
+ * to the leader, or to the handler that needs no leader.
  */
 final class UserRequestRouter {
   private final Outbox outbox;
@@ -57,12 +57,12 @@
     return limits;
   }
 
-  /** True if the known leader did not take a request lately. */
+  /** True if the known leader recently failed to accept a forwarded request. */
   boolean isLeaderSuspected() {
     return forwarder.doubtsLeader(clock.now());
   }
 
-  /** Handles a request that a user sent to this node. */
+  /** Handles a request that a user sent to this controller. */
   void onRequest(Event.Request received) {
     Responder responder = responderTo(received.requestId());
     UserRequest request =
@@ -77,13 +77,13 @@
       return;
     }
     if (!JobSpec.isId(request.jobId())) {
-      // No job with such an id can have been accepted.
+      // No job with an invalid id can have been accepted.
       responder.respond(UserResponse.empty(HttpStatus.NOT_FOUND));
       return;
     }
     FinalState finalState = finalStates.get(request.jobId());
     if (finalState != null) {
-      // Before the load limit, as it takes no time and waits for nothing.
+      // Exempt from the load limit, since the response needs no further work and waits for nothing.
       respondFinalState(request, finalState, limits.admit(request, responder));
       return;
     }
@@ -94,7 +94,7 @@
     dispatch(received, request, limits.admit(request, responder));
   }
 
-  /** The response to any request about a job that has ended: its final state. */
+  /** Responds to any request about a job that has ended with its final state. */
   private static void respondFinalState(
       UserRequest request, FinalState finalState, Responder responder) {
     String jobId = request.jobId();
@@ -108,7 +108,8 @@
 
   private void dispatch(Event.Request received, UserRequest request, Responder responder) {
     if (leadership.term() != null) {
-      // Before a leader may act, or knows what is there, jobs are accepted and read without it.
+      // Until the new leader has authority and has loaded the cluster state, jobs are accepted and
+      // read without it.
       if (leadership.canServe()) {
         handleAsLeader(request, responder);
       } else {
@@ -132,7 +133,7 @@
         request, new AuthorityCheckedResponder(leadership, term, responder), clock.now());
   }
 
-  /** Handles a user's request that another node forwarded to this one as the leader. */
+  /** Handles a user's request that another controller forwarded to this one as the leader. */
   void onForwarded(ForwardedRequest message, Consumer<ForwardedReply> reply) {
     UserRequest request =
         UserRequestParser.parse(
--- a/src/main/java/org/dewreach/controller/package-info.java
+++ b/src/main/java/org/dewreach/controller/package-info.java
@@ -1,11 +1,13 @@
 /**
- * The single-threaded core: events with a time go in, effects come out.
+ * The single-threaded core of a controller: it receives events with their times and returns
+ * effects.
  *
  * <p>{@code Controller} routes events: users' requests, workers' heartbeats, other controllers'
- * requests, replies and the passing of time. {@code Leadership} tells whether this node leads;
- * {@code LeadershipTerm} is one term as leader, whose parts {@code TermComponents} wires.
+ * requests, replies to its own calls, and timer ticks. {@code Leadership} tracks whether this
+ * controller leads; {@code LeadershipTerm} is one term as leader, whose components {@code
+ * TermComponents} creates and connects.
  *
- * <p>Not thread-safe; runs on the controller's event loop. No I/O, no clock and no unseeded
- * randomness inside, so production and the tests' simulated cluster run the same code.
+ * <p>Not thread-safe; runs on the controller's event loop. It does no I/O and uses no clock and no
+ * unseeded randomness, so that production and the simulated cluster of the tests run the same code.
  */
 package org.dewreach.controller;
--- a/src/main/java/org/dewreach/leadership/ClockDrift.java
+++ b/src/main/java/org/dewreach/leadership/ClockDrift.java
@@ -1,13 +1,16 @@
 package org.dewreach.leadership;
 
-/** How far the clocks of two machines may run apart. */
+/** The bound on how far the clocks of two machines diverge. */
 final class ClockDrift {
-  /** Each clock drifts by up to 0.05%; two of them, doubled, are one part in this many. */
+  /**
+   * Each clock drifts by up to 0.05%, two clocks diverge by up to 0.1%; doubled as a margin, this
+   * is one part in 500.
+   */
   private static final long DIVISOR = 500;
 
   private ClockDrift() {}
 
-  /** The most by which two clocks may differ after the given time. */
+  /** Returns the most by which two clocks may diverge over the given time. */
   static long maxOver(long micros) {
     return micros / DIVISOR;
   }
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -18,33 +18,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Renews the leases of its own zone's workers for a while when this node has lost contact with all
- * others.
+ * Renews the leases of the workers in this controller's zone for a limited time after it has lost
+ * contact with the other controllers.
  *
- * <p>When a zone is cut off, its workers reach only the controllers inside. Their tasks run on, but
- * without an answer under the term's token they die with the lease, a third of all replicas at
- * once. So the leader delegates to every node the right to answer heartbeats, without any command,
- * for a while beyond their last contact. {@link LeaseDelegations} is the leader's side and says why
- * no rule is broken.
+ * <p>In a network partition that isolates a zone, its workers reach only the controllers inside the
+ * zone. Their tasks continue, but without a response under the term's fencing token they end when
+ * the lease expires, a third of all replicas at once. The leader therefore delegates to every
+ * controller the right to respond to heartbeats, without any command, for a limited time after its
+ * last contact. {@link LeaseDelegations} is the leader's side and explains how the leader accounts
+ * for these renewals.
  *
- * <p>It is used only as a last resort: by a node that hears neither the leader nor the state
- * service, and for workers that have tried other nodes.
+ * <p>A delegation is used only as a last resort: by a controller that receives responses neither
+ * from the leader nor from the key-value store, and for workers that have tried other controllers.
  */
 public final class DelegateRenewer {
   private static final Logger LOG = LoggerFactory.getLogger(DelegateRenewer.class);
 
   /**
-   * Out of contact for this long, longer than a lease lasts without its leader. A default of this
-   * project.
+   * Time without contact after which this controller may renew leases: longer than the leader lease
+   * lasts without renewal.
    */
   static final long ISOLATION_TIMEOUT_MICROS = 3_000_000;
 
   private static final long REQUEST_INTERVAL_MICROS = 1_000_000;
   private static final long REQUEST_TIMEOUT_MICROS = 1_000_000;
 
-  /** Whether this node renews worker leases in place of the leader. */
+  /** Whether this controller renews worker leases in place of the leader. */
   private enum Phase {
-    /** In contact with the others, or without a delegation. */
+    /** In contact with the other controllers, or without a delegation. */
     IDLE,
     /** Out of contact: renewing leases under the delegation. */
     ACTIVE
@@ -56,8 +57,8 @@
   private final String zone;
 
   /**
-   * Machines that followed this node as the leader and that it has redirected once since it lost
-   * the lead.
+   * Machines whose workers followed this controller as the leader and that it has redirected once
+   * since it stopped leading.
    */
   private final Set<String> redirected = new HashSet<>();
 
@@ -74,7 +75,7 @@
   private long nextRequestAt;
   private long nextProbeAt;
 
-  /** Without a delegation yet. */
+  /** Creates a renewer without a delegation. */
   public DelegateRenewer(Outbox outbox, KeyValueStore store, Settings settings) {
     this.outbox = outbox;
     this.store = store;
@@ -82,24 +83,29 @@
     this.zone = settings.zone();
   }
 
-  private void changePhase(Phase next, String why) {
+  private void changePhase(Phase next, String reason) {
     if (phase != next) {
       LOG.info(
-          "delegate phase changed: term={} from={} to={} reason=\"{}\"", term, phase, next, why);
+          "delegate phase changed: term={} from={} to={} reason=\"{}\"", term, phase, next, reason);
       phase = next;
     }
   }
 
-  /** Called when time has passed, with the leader as this node knows it. */
+  /**
+   * Requests delegations and probes the key-value store where due; called periodically.
+   *
+   * @param leader the leader as far as this controller knows it, or null
+   */
   public void tick(String leader, long nowMicros) {
     if (leader != null && !leader.equals(self) && nowMicros >= nextRequestAt) {
       nextRequestAt = nowMicros + REQUEST_INTERVAL_MICROS;
       requestDelegation(leader, nowMicros);
     }
-    boolean lost = nowMicros - lastContactAt >= REQUEST_INTERVAL_MICROS;
-    if (lost && nowMicros < delegatedUntil && nowMicros >= nextProbeAt) {
+    boolean contactOverdue = nowMicros - lastContactAt >= REQUEST_INTERVAL_MICROS;
+    if (contactOverdue && nowMicros < delegatedUntil && nowMicros >= nextProbeAt) {
       nextProbeAt = nowMicros + REQUEST_INTERVAL_MICROS;
-      // A node that reaches the key-value store is not cut off, and learns there who leads.
+      // A controller that reaches the key-value store is not isolated, and reads there which
+      // controller leads.
       store.get(
           Keys.LEADER,
           (now, result) -> {
@@ -110,12 +116,12 @@
     }
     if (phase == Phase.ACTIVE && !mayRenew(nowMicros)) {
       changePhase(
-          Phase.IDLE, nowMicros < delegatedUntil ? "in contact again" : "the delegation ended");
+          Phase.IDLE, nowMicros < delegatedUntil ? "in contact again" : "delegation expired");
     }
   }
 
   private void requestDelegation(String leader, long nowMicros) {
-    // Event time counts from the start of the process.
+    // Event time starts at 0 with the process, so it is also the uptime.
     DelegationRequest request =
         new DelegationRequest(
             self,
@@ -128,9 +134,9 @@
         PeerMessageCodec.DELEGATION_PATH,
         PeerMessageCodec.encode(request),
         REQUEST_TIMEOUT_MICROS,
-        (now, status, answer) -> {
-          if (status == HttpStatus.OK && answer != null) {
-            onResponse(leader, PeerMessageCodec.decodeDelegationResponse(answer), nowMicros, now);
+        (now, status, body) -> {
+          if (status == HttpStatus.OK && body != null) {
+            onResponse(leader, PeerMessageCodec.decodeDelegationResponse(body), nowMicros, now);
           }
         });
   }
@@ -140,7 +146,8 @@
       return;
     }
     term = response.term();
-    // Counted from the sending, which was before the leader counted, and less drift.
+    // Counted from when the request was sent, which is before the leader's own count starts, and
+    // less clock drift.
     long delegatedMicros = response.delegatedMicros();
     delegatedUntil = sentAt + delegatedMicros - ClockDrift.maxOver(delegatedMicros);
     lastResponseMark = response.mark();
@@ -149,9 +156,9 @@
   }
 
   /**
-   * This node leads, with authority at this time.
+   * Records that this controller leads and has authority at this time.
    *
-   * @param delegatedMicros what it may go on for after its authority
+   * @param delegatedMicros for how long it may renew leases after it has lost its authority
    */
   public void onLeading(long ownTerm, long delegatedMicros, long nowMicros) {
     term = ownTerm;
@@ -165,19 +172,19 @@
     redirected.clear();
   }
 
-  /** A later term is known of: what an earlier one delegated ends. */
+  /** Ends the delegation if it was made by a term earlier than the given one. */
   public void onTermKnown(long latestTerm) {
     if (latestTerm > term) {
       delegatedUntil = 0;
     }
   }
 
-  /** When this node last renewed a lease as a delegate, or -1. */
+  /** The time at which this controller last renewed a lease as a delegate, or -1. */
   public long lastRenewalAt() {
     return lastRenewalAt;
   }
 
-  /** The end of the delegation, after which no renewal may be sent. */
+  /** The time at which the delegation ends, after which no renewal may be sent. */
   public long delegatedUntil() {
     return delegatedUntil;
   }
@@ -188,14 +195,17 @@
         && nowMicros - lastStoreResponseAt >= ISOLATION_TIMEOUT_MICROS;
   }
 
-  /** Renews the lease of the heartbeat's sender in place of the leader; false if it may not. */
+  /**
+   * Renews the lease of the heartbeat's sender in place of the leader; returns false if that is not
+   * permitted.
+   */
   public boolean tryRenew(Heartbeat heartbeat, long nowMicros) {
     if (!heartbeat.zone().equals(zone) || heartbeat.token() > term) {
       return false;
     }
-    // A worker that followed this node until now has tried no other, and may well reach one.
-    // Recorded also before this node may renew: redirected twice, it would be back after its lease
-    // expired.
+    // A worker that followed this controller until now has not tried another one, and may well
+    // reach one. The redirect is recorded even before this controller may renew: a worker that was
+    // redirected twice would return only after its lease had expired.
     boolean triedOthers = !wasLeader || !redirected.add(heartbeat.machine());
     if (!triedOthers || !mayRenew(nowMicros)) {
       return false;
@@ -205,7 +215,7 @@
     return true;
   }
 
-  /** The response to a heartbeat that was renewed: it carries no commands. */
+  /** Returns the response to a heartbeat whose lease was renewed; it carries no commands. */
   public HeartbeatResponse heartbeatResponse() {
     return HeartbeatResponse.withoutCommands(term);
   }
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -12,31 +12,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller's part in choosing the leader.
+ * The leader election, as one controller takes part in it.
  *
- * <p>A candidate makes a {@link LeaderClaim}: it opens a lease and writes the leader key with it,
- * if the key is absent. The revision of that write is the term. {@link LeaderAuthority} renews the
- * lease of the term and says until when it may act; {@link FollowerGrants} is what this node has
- * granted to the terms of others.
+ * <p>A candidate makes a {@link LeaderClaim}: it requests a lease and writes the leader key with
+ * it, if the key is absent. The revision of that write is the term. {@link LeaderAuthority} renews
+ * the lease of the term and computes until when the term may act; {@link FollowerGrants} holds the
+ * grants that this controller has made to terms of other controllers.
  */
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-  /** Pause before the key is read again when it stays unclear whether a claim was applied. */
+  /** Pause before the key is read again if it remains unknown whether a claim was applied. */
   private static final long VERIFY_RETRY_MICROS = 200_000;
 
-  /** Upper limit of the random delay of a claim. A default of this project. */
+  /** Upper limit of the random delay before a claim. */
   private static final long MAX_CLAIM_DELAY_MICROS = 150_000;
 
-  /** A node that gave up the lead lets others claim it first. A default of this project. */
+  /**
+   * Pause in which a controller that handed over makes no claim, so that others can claim first.
+   */
   private static final long HANDOVER_CLAIM_PAUSE_MICROS = 10_000_000;
 
-  /** Notified when this node wins or loses the lead. */
+  /** Notified when this controller becomes the leader and when it steps down. */
   public interface Listener {
-    /** This node leads under a new term. */
+    /** This controller was elected leader for a new term. */
     void onElected(long nowMicros, long term);
 
-    /** The term that this node led is over. */
+    /** The term that this controller led has ended. */
     void onDeposed(long nowMicros, long term);
   }
 
@@ -57,11 +59,11 @@
   private FollowerGrants followerGrants;
 
   /**
-   * Without a leader known of yet.
+   * Creates an election in which no leader is known yet.
    *
    * @param others names of the other controllers
-   * @param bootId identifies this process among those of the same name
-   * @param random spreads the claims of several nodes in time
+   * @param bootId identifies this process among all processes of this controller
+   * @param random spreads the claims of several controllers in time
    */
   public Election(
       KeyValueStore store,
@@ -81,36 +83,39 @@
     this.claim = new LeaderClaim(store, self, bootId);
     this.authority =
         new LeaderAuthority(
-            store, outbox, others, self, leaderKey::recordStoreResponse, this::onLeaseEnded);
+            store, outbox, others, self, leaderKey::recordStoreResponse, this::onLeaseExpired);
   }
 
-  /** What this controller is in the election now. */
+  /** The present state of this controller in the election. */
   public ElectionState state() {
     return state;
   }
 
-  /** Name of the leader as last seen, or null. */
+  /** The name of the leader as last read or received, or null. */
   public String leader() {
     return state == ElectionState.LEADING ? self : leader;
   }
 
-  /** True if the key was last seen absent: nobody leads then. */
+  /** True if the leader key was absent when last read, so that no controller leads. */
   public boolean leaderAbsent() {
     return leaderAbsent && state != ElectionState.LEADING;
   }
 
-  /** True while no other term can act: by the lease, or by every node's grant. */
+  /**
+   * True while no other term can act, on the basis of the lease or of grants of all controllers.
+   */
   public boolean hasAuthority(long nowMicros) {
     return state == ElectionState.LEADING && authority.holds(nowMicros);
   }
 
-  /** When authority ends, as far as it is known now. */
+  /** Returns when authority ends, as far as it is known now. */
   public long authorityEndsAt() {
     return authority.authorityEndsAt();
   }
 
   /**
-   * Grants a term of another node that no later term acts here for a while, if that is possible.
+   * Grants a term of another controller that no later term is admitted here for the duration of a
+   * grant; returns false if that is not possible.
    */
   public boolean grantTo(long forTerm, long nowMicros) {
     return followerGrants != null
@@ -118,22 +123,24 @@
         && followerGrants.grant(forTerm, nowMicros);
   }
 
-  /** When the key-value store last answered this node, or -1. */
+  /**
+   * The time of the last response that this controller received from the key-value store, or -1.
+   */
   public long lastStoreResponseAt() {
     return leaderKey.lastStoreResponseAt();
   }
 
-  private void changeState(ElectionState next, String why) {
+  private void changeState(ElectionState next, String reason) {
     if (state != next) {
-      LOG.info("election state changed: from={} to={} reason=\"{}\"", state, next, why);
+      LOG.info("election state changed: from={} to={} reason=\"{}\"", state, next, reason);
       state = next;
     }
   }
 
-  /** Called when time has passed. */
+  /** Continues the election; called periodically. */
   public void tick(long nowMicros) {
     if (followerGrants == null) {
-      // Event time counts from the start of the process, before which it granted nothing.
+      // Event time starts at 0 with the process, which made no grant before that.
       followerGrants = new FollowerGrants(0);
     }
     switch (state) {
@@ -149,27 +156,30 @@
         }
       }
       default -> {
-        // a reply is on its way
+        // waiting for a response
       }
     }
   }
 
-  /** The leader key was found lost by a write: step down at once. */
-  public void onKeyLost(long nowMicros, String why) {
+  /** Steps down at once, since a write found the leader key lost. */
+  public void onKeyLost(long nowMicros, String reason) {
     if (state == ElectionState.LEADING) {
-      stepDown(nowMicros, why);
+      stepDown(nowMicros, reason);
     }
   }
 
-  /** Gives up the lead so that another node takes it, which may reach what this one does not. */
-  public void handOver(long nowMicros, String why) {
+  /**
+   * Steps down so that another controller claims the leader key, which may reach workers that this
+   * one does not.
+   */
+  public void handOver(long nowMicros, String reason) {
     if (state == ElectionState.LEADING) {
       claimNotBefore = nowMicros + HANDOVER_CLAIM_PAUSE_MICROS;
-      stepDown(nowMicros, why);
+      stepDown(nowMicros, reason);
     }
   }
 
-  /** True while it is not known who leads, and it may turn out to be this node. */
+  /** True while the leader is not known and may turn out to be this controller. */
   public boolean undecided() {
     return switch (state) {
       case FOLLOWING -> lastStoreResponseAt() < 0;
@@ -179,12 +189,13 @@
   }
 
   /**
-   * Takes another node's word on who leads, which helps to forward requests, never to act. A leader
-   * without authority that learns of a later term steps down.
+   * Processes the leader that another controller reported, which is used to forward requests and
+   * never to gain authority. A leader without authority steps down if the reported term is later
+   * than its own.
    */
   public void onLeaderHint(String name, long hintedTerm, long nowMicros) {
     if (name == null || name.equals(self) || hintedTerm < leaderRevision) {
-      // A hint of an earlier term would send requests back to a leader that was deposed.
+      // A hint of an earlier term would send requests back to a former leader.
       return;
     }
     if (state == ElectionState.LEADING
@@ -197,7 +208,7 @@
     }
   }
 
-  /** The latest term this node knows of. */
+  /** The latest term that this controller knows. */
   public long latestTerm() {
     return state == ElectionState.LEADING ? authority.term() : leaderRevision;
   }
@@ -235,13 +246,14 @@
 
   private void onOwnKey(long nowMicros, String holderBoot, long holderLeaseId, long revision) {
     if (!holderBoot.equals(bootId)) {
-      // Left by an earlier process of this node, which is gone for sure.
-      LOG.info("revoking the lease of an earlier process of this node: lease={}", holderLeaseId);
+      // Written by an earlier process of this controller, which has certainly ended.
+      LOG.info("revoking the leader lease of an earlier process: lease={}", holderLeaseId);
       revokeOldLease(holderLeaseId);
     } else if (state == ElectionState.VERIFYING && claim.hasLease(holderLeaseId)) {
       becomeLeader(nowMicros, revision);
     } else {
-      // A claim of ours that was applied late: give it up, nobody may rely on it.
+      // A claim of this controller that was applied late, after it was abandoned: its lease is
+      // revoked, since no controller may rely on it.
       revokeOldLease(holderLeaseId);
     }
   }
@@ -250,10 +262,10 @@
     claim.abandon();
     leader = null;
     leaderAbsent = true;
-    // Every term up to this revision has lost its key.
+    // Every term up to this revision has lost the leader key.
     followerGrants.fenceTermsBelow(absent.storeRevision() + 1);
     if (nowMicros < claimNotBefore) {
-      changeState(ElectionState.FOLLOWING, "another node is to lead");
+      changeState(ElectionState.FOLLOWING, "handed over, another controller claims first");
       leaderKey.readAgainAt(nowMicros + LeaderKeyReader.RETRY_PAUSE_MICROS);
       return;
     }
@@ -263,9 +275,9 @@
 
   private void readAgainAfter(long nowMicros, long pause) {
     if (state == ElectionState.VERIFYING) {
-      // Nothing was granted to anybody yet, so the claim can simply be given up.
+      // Nothing has been granted under this claim yet, so it can be abandoned safely.
       claim.abandon();
-      changeState(ElectionState.FOLLOWING, "claim unclear");
+      changeState(ElectionState.FOLLOWING, "outcome of claim unknown");
     }
     leaderKey.readAgainAt(nowMicros + pause);
   }
@@ -285,14 +297,14 @@
           if (result instanceof LeaseGrant) {
             writeLeaderKey();
           } else {
-            changeState(ElectionState.FOLLOWING, "no lease: " + result);
+            changeState(ElectionState.FOLLOWING, "lease not granted: " + result);
             leaderKey.readAgainAt(now + LeaderKeyReader.RETRY_PAUSE_MICROS);
           }
         });
   }
 
   private void writeLeaderKey() {
-    changeState(ElectionState.CLAIMING, "lease open");
+    changeState(ElectionState.CLAIMING, "lease granted");
     claim.writeKey(
         (now, result) -> {
           if (result instanceof TransactionResult.Committed committed) {
@@ -314,15 +326,15 @@
     tick(nowMicros);
   }
 
-  private void onLeaseEnded(long nowMicros) {
-    stepDown(nowMicros, "lease ended");
+  private void onLeaseExpired(long nowMicros) {
+    stepDown(nowMicros, "leader lease expired");
   }
 
-  private void stepDown(long nowMicros, String why) {
+  private void stepDown(long nowMicros, String reason) {
     claim.abandon();
     authority.end();
     leader = null;
-    changeState(ElectionState.FOLLOWING, why);
+    changeState(ElectionState.FOLLOWING, reason);
     leaderKey.readAgainAt(nowMicros);
     listener.onDeposed(nowMicros, authority.term());
   }
--- a/src/main/java/org/dewreach/leadership/ElectionState.java
+++ b/src/main/java/org/dewreach/leadership/ElectionState.java
@@ -1,17 +1,20 @@
 package org.dewreach.leadership;
 
-/** What a controller is in the election. */
+/** The state of a controller in the leader election. */
 public enum ElectionState {
-  /** Learning who leads. */
+  /** Reading and watching the leader key. */
   FOLLOWING,
-  /** The key is absent: waiting a moment so that not all nodes claim it at once. */
+  /**
+   * The leader key is absent: waiting for a random delay so that not all controllers claim it at
+   * once.
+   */
   WAITING,
-  /** Opening a lease for the claim. */
+  /** Requesting a lease for the claim. */
   OPENING,
   /** Writing the leader key. */
   CLAIMING,
-  /** The claim had no clear answer: reading who holds the key. */
+  /** The outcome of the claim is unknown: reading which controller holds the key. */
   VERIFYING,
-  /** Holding the key. */
+  /** Holding the leader key. */
   LEADING
 }
--- a/src/main/java/org/dewreach/leadership/FollowerGrants.java
+++ b/src/main/java/org/dewreach/leadership/FollowerGrants.java
@@ -1,28 +1,28 @@
 package org.dewreach.leadership;
 
 /**
- * What this node has granted to other terms, in memory only.
+ * The grants that this controller has made to terms, in memory only.
  *
- * <p>While the key-value store is down its leases do not end, but a leader that counts authority
- * strictly would let every worker's lease run out. So a leader whose renewals fail may go on as
- * long as <em>every</em> node, itself included, has a grant running not to let a later term act. A
- * later leader acts only once its own node lets it. The later leader's node is one of those that
- * granted, so the two never act at once: either its grant still runs, or it let the later term act
- * first and grants nothing to earlier ones. A node that was started again has forgotten its grants,
- * so for longer than any grant lasts it neither grants nor lets a term act.
+ * <p>While the key-value store is down, its leases do not expire, but a leader that counted
+ * authority from renewals alone would let every worker's lease expire. Therefore a leader whose
+ * renewals fail may continue as long as <em>every</em> controller, itself included, has a grant in
+ * force by which it admits no later term. A later leader acts only once its own controller admits
+ * its term. That controller is one of those that made a grant, so the two leaders never act at the
+ * same time: either its grant is still in force, or it admitted the later term first and rejects
+ * grants to earlier ones. A restarted controller has lost its grants, so for longer than any grant
+ * lasts it neither grants nor admits a term.
  */
 public final class FollowerGrants {
-  /**
-   * Length of a grant. A default of this project: short, since a takeover may have to wait for its
-   * end.
-   */
+  /** The duration of a grant: short, since a takeover may have to wait until it ends. */
   public static final long GRANT_DURATION_MICROS = 1_600_000;
 
-  /** The leader counts a grant from its asking, and as a little shorter, for clock drift. */
+  /**
+   * The duration that the leader counts from its request: less clock drift and a margin of 20 ms.
+   */
   static final long COUNTED_GRANT_DURATION_MICROS =
       GRANT_DURATION_MICROS - ClockDrift.maxOver(GRANT_DURATION_MICROS) - 20_000;
 
-  /** After a start, earlier grants of this node may still run. */
+  /** For this long after a start, grants of an earlier process may still be in force. */
   private static final long STARTUP_GRACE_MICROS =
       GRANT_DURATION_MICROS + ClockDrift.maxOver(GRANT_DURATION_MICROS) + 20_000;
 
@@ -32,9 +32,10 @@
   private long lowestAdmissibleTerm;
 
   /**
-   * Without any grant yet.
+   * Creates an instance without grants.
    *
-   * @param startedAt when this node was started; an earlier process may have granted until then
+   * @param startedAt when this process was started; an earlier process may have made grants until
+   *     then
    */
   public FollowerGrants(long startedAt) {
     this.startedAt = startedAt;
@@ -44,12 +45,15 @@
     return nowMicros < startedAt + STARTUP_GRACE_MICROS;
   }
 
-  /** True while a grant runs, so that no other term may act here. */
+  /** True while a grant is in force, so that this controller admits no other term. */
   private boolean hasActiveGrant(long nowMicros) {
     return nowMicros < grantedUntil;
   }
 
-  /** Grants that no later term acts for a while, unless a later one is known of. */
+  /**
+   * Grants the term that no later term is admitted here for the duration of a grant. Returns false
+   * if a later term is known, or during the startup grace period.
+   */
   public boolean grant(long term, long nowMicros) {
     if (inStartupGrace(nowMicros)
         || term < lowestAdmissibleTerm
@@ -61,7 +65,10 @@
     return true;
   }
 
-  /** Lets a term of this node act, unless a grant to an earlier one may still run. */
+  /**
+   * Admits a term of this controller, unless a grant to an earlier term may still be in force;
+   * returns whether the term may act.
+   */
   public boolean admitTerm(long term, long nowMicros) {
     if (inStartupGrace(nowMicros) || hasActiveGrant(nowMicros) && grantedTerm != term) {
       return false;
@@ -70,7 +77,10 @@
     return true;
   }
 
-  /** The key-value store shows that the terms below the given one have lost the leader key. */
+  /**
+   * Rejects the terms below the given one, which have lost the leader key according to the
+   * key-value store.
+   */
   public void fenceTermsBelow(long term) {
     lowestAdmissibleTerm = Math.max(lowestAdmissibleTerm, term);
   }
--- a/src/main/java/org/dewreach/leadership/LastHeartbeatTimes.java
+++ b/src/main/java/org/dewreach/leadership/LastHeartbeatTimes.java
@@ -6,19 +6,21 @@
 import java.util.Map;
 
 /**
- * When each worker last sent a heartbeat to this controller, whoever led then.
+ * The time of the last heartbeat that each worker sent to this controller, whichever controller led
+ * at that time.
  *
- * <p>A leader that hears hardly any worker asks the others for it: only what they hear speaks for
- * handing over. Not thread-safe; runs on the controller's event loop.
+ * <p>A leader that receives hardly any heartbeats asks the other controllers for these times: it
+ * hands over only if the workers reach another controller. Not thread-safe; runs on the
+ * controller's event loop.
  */
 public final class LastHeartbeatTimes {
-  /** Contacts older than this tell nothing about now. */
+  /** Older heartbeats say nothing about the present reachability of a worker. */
   private static final long RETENTION_MICROS = 60_000_000;
 
-  /** By machine; the one that was heard longest ago comes first. */
+  /** By machine, ordered from the oldest heartbeat to the latest. */
   private final Map<String, Long> lastHeartbeats = new LinkedHashMap<>();
 
-  /** Records a heartbeat that reached this controller, whatever it is answered. */
+  /** Records a heartbeat that reached this controller, whatever the response to it. */
   public void recordHeartbeat(String machine, long nowMicros) {
     // Removed first, so that it becomes the last entry.
     lastHeartbeats.remove(machine);
@@ -33,15 +35,17 @@
     }
   }
 
-  /** How many of the machines sent this controller a heartbeat at the given time or later. */
+  /**
+   * Returns how many of the machines sent this controller a heartbeat at the given time or later.
+   */
   public int countSeenSince(Collection<String> machines, long sinceMicros) {
-    int heard = 0;
+    int seen = 0;
     for (String machine : machines) {
       Long lastHeartbeat = lastHeartbeats.get(machine);
       if (lastHeartbeat != null && lastHeartbeat >= sinceMicros) {
-        heard++;
+        seen++;
       }
     }
-    return heard;
+    return seen;
   }
 }
--- a/src/main/java/org/dewreach/leadership/LeaderAuthority.java
+++ b/src/main/java/org/dewreach/leadership/LeaderAuthority.java
@@ -18,54 +18,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Renews the lease of a term that this node leads, and counts until when the term may act.
+ * Renews the leader lease of a term that this controller leads, and computes until when the term
+ * has authority.
  *
- * <p>Authority is counted from the sending of the last lease renewal that succeeded, less clock
- * drift: the key-value store never ends a lease early, so the key cannot pass to another node while
- * authority lasts. When authority has run out but the lease turns out to have survived (an outage
- * of the key-value store gives leases their full time again), the same term goes on. While renewals
- * fail, authority rests on {@linkplain FollowerGrants grants} of all nodes.
+ * <p>Authority is counted from the time at which the last successful lease renewal was sent, less
+ * clock drift: the key-value store never expires a lease early, so the leader key cannot pass to
+ * another controller while authority lasts. If authority has expired but the lease turns out to
+ * have survived (after an outage, the key-value store gives leases their full time to live again),
+ * the same term continues. While renewals fail, authority is based on {@linkplain FollowerGrants
+ * grants} of all controllers.
  */
 final class LeaderAuthority {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderAuthority.class);
 
-  /**
-   * Length of the lease. A default of this project: short enough to take over well within a
-   * worker's lease.
-   */
+  /** Time to live of the leader lease: short enough for a takeover well within a worker's lease. */
   static final long LEASE_TTL_MICROS = 2_600_000;
 
   private static final long RENEW_INTERVAL_MICROS = 550_000;
   private static final long RENEW_TIMEOUT_MICROS = 800_000;
   private static final long RENEW_RETRY_MICROS = 150_000;
 
-  /** The length of the lease less clock drift, and a little for timer steps. */
+  /** The time to live of the lease, less clock drift and 30 ms for the granularity of timers. */
   private static final long AUTHORITY_MICROS =
       LEASE_TTL_MICROS - ClockDrift.maxOver(LEASE_TTL_MICROS) - 30_000;
 
-  /** With less authority than this left, renewals are failing: grants are asked for. */
+  /** With less authority than this left, renewals are failing, and grants are requested. */
   private static final long LOW_AUTHORITY_MICROS = 1_500_000;
 
   private static final long GRANT_REQUEST_INTERVAL_MICROS = 400_000;
   private static final long GRANT_REQUEST_TIMEOUT_MICROS = 700_000;
 
-  /** Whether this node's term may act. */
+  /** Whether the term of this controller may act. */
   private enum Phase {
-    /** This node does not lead. */
+    /** This controller does not lead. */
     NOT_LEADING,
-    /** Elected; a grant of this node to an earlier term may still run. */
+    /** Elected, but a grant of this controller to an earlier term may still be in force. */
     AWAITING_OWN_GRANTS,
-    /** The term acts while the lease or the grants last. */
+    /** The term may act while the lease or the grants last. */
     ACTIVE
   }
 
-  /** What authority rests on. */
+  /** What authority is based on. */
   private enum Basis {
-    /** Nothing: there is none. */
+    /** The term has no authority. */
     NONE,
     /** The leader lease. */
     LEASE,
-    /** Grants of all controllers, while the lease cannot be renewed. */
+    /** The grants of all controllers, while the lease cannot be renewed. */
     GRANTS
   }
 
@@ -74,7 +73,7 @@
   private final List<String> others;
   private final String self;
   private final LongConsumer onRenewed;
-  private final LongConsumer onLeaseEnded;
+  private final LongConsumer onLeaseExpired;
 
   private final Map<String, Long> grantedUntil = new HashMap<>();
   private Phase phase = Phase.NOT_LEADING;
@@ -88,11 +87,12 @@
   private long nextGrantRequestAt;
 
   /**
-   * Without a term yet.
+   * Creates an authority without a term.
    *
    * @param others names of the other controllers
-   * @param onRenewed takes the time at which the key-value store confirmed a renewal
-   * @param onLeaseEnded takes the time at which the key-value store reported the lease expired
+   * @param onRenewed receives the time at which the key-value store confirmed a renewal
+   * @param onLeaseExpired receives the time at which the key-value store reported that the lease
+   *     has expired
    */
   LeaderAuthority(
       KeyValueStore store,
@@ -100,20 +100,23 @@
       List<String> others,
       String self,
       LongConsumer onRenewed,
-      LongConsumer onLeaseEnded) {
+      LongConsumer onLeaseExpired) {
     this.store = store;
     this.outbox = outbox;
     this.others = others;
     this.self = self;
     this.onRenewed = onRenewed;
-    this.onLeaseEnded = onLeaseEnded;
+    this.onLeaseExpired = onLeaseExpired;
   }
 
   private void changePhase(Phase next) {
     phase = next;
   }
 
-  /** This node was elected, with a lease whose opening was sent at the given time. */
+  /**
+   * Starts a term for which this controller was elected, with a lease that was requested at the
+   * given time.
+   */
   void begin(long newTerm, long newLeaseId, long leaseSentAt, long nowMicros) {
     term = newTerm;
     leaseId = newLeaseId;
@@ -125,24 +128,24 @@
     changePhase(Phase.AWAITING_OWN_GRANTS);
   }
 
-  /** This node leads no more. */
+  /** Ends the term: this controller no longer leads. */
   void end() {
     leaseAuthorityUntil = 0;
     changePhase(Phase.NOT_LEADING);
     basis = Basis.NONE;
   }
 
-  /** The term that this node leads or last led, or 0. */
+  /** The term that this controller leads or led last, or 0. */
   long term() {
     return term;
   }
 
-  /** True once this node's own grants let the term act. */
+  /** True once this controller's own grants have admitted the term. */
   boolean active() {
     return phase == Phase.ACTIVE;
   }
 
-  /** Logs what authority rests on, whenever that changes. */
+  /** Logs the basis of authority whenever it changes. */
   private void logBasisChange(long nowMicros) {
     Basis now = Basis.NONE;
     if (active() && nowMicros < leaseAuthorityUntil) {
@@ -156,12 +159,14 @@
     }
   }
 
-  /** True while no other term can act: by the lease, or by every node's grant. */
+  /**
+   * True while no other term can act, on the basis of the lease or of grants of all controllers.
+   */
   boolean holds(long nowMicros) {
     return active() && nowMicros < authorityEndsAt();
   }
 
-  /** When authority ends, as far as it is known now. */
+  /** Returns when authority ends, as far as it is known now. */
   long authorityEndsAt() {
     return Math.max(leaseAuthorityUntil, allGrantedUntil());
   }
@@ -173,7 +178,10 @@
     return Collections.min(grantedUntil.values());
   }
 
-  /** Called when time has passed, while this node leads. */
+  /**
+   * Renews the lease and requests grants where due; called periodically while this controller
+   * leads.
+   */
   void tick(FollowerGrants ownGrants, long nowMicros) {
     if (phase == Phase.AWAITING_OWN_GRANTS && ownGrants.admitTerm(term, nowMicros)) {
       changePhase(Phase.ACTIVE);
@@ -247,7 +255,7 @@
       leaseAuthorityUntil = Math.max(leaseAuthorityUntil, sentAt + AUTHORITY_MICROS);
       nextRenewalAt = sentAt + RENEW_INTERVAL_MICROS;
     } else if (result instanceof LeaseResult.Expired) {
-      onLeaseEnded.accept(nowMicros);
+      onLeaseExpired.accept(nowMicros);
     } else {
       if (!renewalsFailing) {
         LOG.info("lease renewals fail: term={} result={}", term, result);
--- a/src/main/java/org/dewreach/leadership/LeaderClaim.java
+++ b/src/main/java/org/dewreach/leadership/LeaderClaim.java
@@ -10,9 +10,12 @@
 import org.dewreach.store.ResultHandler;
 import org.dewreach.store.TransactionResult;
 
-/** A claim of this node to the leader key: the lease opened for it, and the write of the key. */
+/**
+ * A claim of this controller to the leader key: the lease requested for it, and the write of the
+ * key.
+ */
 final class LeaderClaim {
-  /** Timeout of each request of a claim. A default of this project. */
+
   private static final long REQUEST_TIMEOUT_MICROS = 1_500_000;
 
   private static final long MICROS_PER_MS = 1_000;
@@ -24,9 +27,9 @@
   private long leaseRequestedAt;
 
   /**
-   * Without a lease yet.
+   * Creates a claim that has no lease yet.
    *
-   * @param bootId identifies this process among those of the same name
+   * @param bootId identifies this process among all processes of this controller
    */
   LeaderClaim(KeyValueStore store, String self, String bootId) {
     this.store = store;
@@ -34,7 +37,7 @@
     this.bootId = bootId;
   }
 
-  /** Opens the lease; its time counts from now. */
+  /** Requests the lease, whose time to live is counted from now. */
   void openLease(long nowMicros, ResultHandler<LeaseResult> handler) {
     store.grantLease(
         LeaderAuthority.LEASE_TTL_MICROS / MICROS_PER_MS,
@@ -48,7 +51,7 @@
         });
   }
 
-  /** Writes the leader key with the lease, unless the key is there. */
+  /** Writes the leader key with the lease, on the precondition that the key is absent. */
   void writeKey(ResultHandler<TransactionResult> handler) {
     store.commit(
         List.of(Precondition.absent(Keys.LEADER)),
@@ -58,29 +61,35 @@
         handler);
   }
 
-  /** True if this is the claim's lease. */
+  /** True if the given lease is that of the claim. */
   boolean hasLease(long otherLeaseId) {
     return leaseId == otherLeaseId;
   }
 
-  /** The lease that was opened last, or 0 once it was given up. */
+  /** The lease that was granted last, or 0 after it was cleared or abandoned. */
   long leaseId() {
     return leaseId;
   }
 
-  /** When the opening of the lease was sent. */
+  /** The time at which the request for the lease was sent. */
   long leaseRequestedAt() {
     return leaseRequestedAt;
   }
 
-  /** The lease is revoked by other means. */
+  /**
+   * Clears the claim's lease without revoking it, if it is the given one, which is revoked
+   * elsewhere.
+   */
   void clearLease(long endedLeaseId) {
     if (hasLease(endedLeaseId)) {
       leaseId = 0;
     }
   }
 
-  /** Ends the lease of a claim that is not wanted any more; a late put with it is then refused. */
+  /**
+   * Revokes the lease of a claim that is abandoned, so that the store rejects a delayed put with
+   * that lease.
+   */
   void abandon() {
     if (leaseId > 0) {
       long old = leaseId;
--- a/src/main/java/org/dewreach/leadership/LeaderKeyReader.java
+++ b/src/main/java/org/dewreach/leadership/LeaderKeyReader.java
@@ -9,7 +9,7 @@
 import org.dewreach.store.ResultHandler;
 import org.dewreach.store.WatchBatch;
 
-/** Reads and watches the leader key, one request at a time, with pauses after failures. */
+/** Reads and watches the leader key, one request at a time, with a pause after each failure. */
 final class LeaderKeyReader {
   /** Pause before the key is read again after an error. */
   static final long RETRY_PAUSE_MICROS = 300_000;
@@ -18,7 +18,7 @@
 
   private final KeyValueStore store;
   private final ResultHandler<ReadResult> onRead;
-  private final BooleanSupplier following;
+  private final BooleanSupplier keepWatching;
   private final LongConsumer onWatchEnded;
   private long seenRevision;
   private boolean readInFlight;
@@ -27,44 +27,46 @@
   private long lastStoreResponseAt = -1;
 
   /**
-   * Nothing read yet.
+   * Creates a reader that has not read the key yet.
    *
-   * @param onRead takes the result of each read
-   * @param following tells whether the key is still to be watched
-   * @param onWatchEnded takes the time at which a watch ended, unless nothing has changed
+   * @param onRead receives the result of each read
+   * @param keepWatching true while the key is to be watched
+   * @param onWatchEnded receives the time at which a watch ended, unless it ended without a change
    */
   LeaderKeyReader(
       KeyValueStore store,
       ResultHandler<ReadResult> onRead,
-      BooleanSupplier following,
+      BooleanSupplier keepWatching,
       LongConsumer onWatchEnded) {
     this.store = store;
     this.onRead = onRead;
-    this.following = following;
+    this.keepWatching = keepWatching;
     this.onWatchEnded = onWatchEnded;
   }
 
-  /** When the key-value store last answered this node, or -1. */
+  /**
+   * The time of the last response that this controller received from the key-value store, or -1.
+   */
   long lastStoreResponseAt() {
     return lastStoreResponseAt;
   }
 
-  /** The key-value store answered another request of the election. */
+  /** Records a response of the key-value store to another request of the election. */
   void recordStoreResponse(long nowMicros) {
     lastStoreResponseAt = nowMicros;
   }
 
-  /** True if nothing is in flight and no pause runs. */
+  /** True if no request is in flight and no pause is in effect. */
   boolean readDue(long nowMicros) {
     return !readInFlight && !watchInFlight && nowMicros >= nextReadAt;
   }
 
-  /** The key is not to be read before this time. */
+  /** Defers the next read of the key to this time. */
   void readAgainAt(long micros) {
     nextReadAt = micros;
   }
 
-  /** Reads the key. */
+  /** Reads the leader key. */
   void read() {
     readInFlight = true;
     store.get(
@@ -78,7 +80,7 @@
         });
   }
 
-  /** Watches the key for changes after the given revision. */
+  /** Watches the leader key for changes after the given revision. */
   void watchFrom(long revision) {
     seenRevision = revision;
     watch();
@@ -96,11 +98,11 @@
             lastStoreResponseAt = now;
           }
           nextReadAt = now + pauseAfter(result);
-          if (!following.getAsBoolean()) {
+          if (!keepWatching.getAsBoolean()) {
             return;
           }
           if (result instanceof WatchBatch batch && batch.events().isEmpty()) {
-            // Nothing changed; keep watching from here without reading the key again.
+            // Nothing changed: continue to watch from here without reading the key again.
             seenRevision = Math.max(seenRevision, batch.storeRevision());
             watch();
           } else {
@@ -109,7 +111,7 @@
         });
   }
 
-  /** Revokes the lease of an outdated key, and reads the key again after that. */
+  /** Revokes the lease of an outdated leader key; the key is read again after that. */
   void revokeLease(long leaseId) {
     readInFlight = true;
     store.revokeLease(
--- a/src/main/java/org/dewreach/leadership/LeaseDelegations.java
+++ b/src/main/java/org/dewreach/leadership/LeaseDelegations.java
@@ -8,19 +8,20 @@
 import org.dewreach.peer.DelegationResponse;
 
 /**
- * The leader's side of {@link DelegateRenewer}: until when other nodes may have renewed leases of a
- * zone's workers.
+ * The leader's side of {@link DelegateRenewer}: the latest time at which other controllers may have
+ * renewed leases of a zone's workers.
  *
- * <p>A delegate renews leases, so a lease counts as expired only if it would be had every node of
- * the machine's zone renewed it for as long as it may. A node may from {@link
- * DelegateRenewer#ISOLATION_TIMEOUT_MICROS} after its last response from a leader until the end of
- * what that response delegated. Each request repeats the mark of the last response that arrived,
- * which proves that the node was in contact then, and says when it last renewed leases as a
- * delegate. Of a node that a new leader has not heard, it assumes the most that an earlier leader
- * can have delegated until the new one could act.
+ * <p>Since delegates renew leases, the leader counts a lease as expired only once it would have
+ * expired even if every controller in the machine's zone had renewed it for as long as it was
+ * allowed to. A controller may renew from {@link DelegateRenewer#ISOLATION_TIMEOUT_MICROS} after
+ * its last response from a leader until the delegation in that response ends. Each request repeats
+ * the mark of the last response that arrived, which proves that the controller was in contact at
+ * the time of the mark, and states when the controller last renewed a lease as a delegate. For a
+ * controller that has not yet proven contact in this term, the leader assumes the longest
+ * delegation that an earlier leader can have made before this term gained authority.
  */
 public final class LeaseDelegations {
-  /** What is known of another controller. */
+  /** What the leader knows about another controller. */
   private static final class PeerState {
     final String zone;
     boolean contactProven;
@@ -43,14 +44,15 @@
   private final long maxDelegatedMicros;
   private final String ownZone;
   private final LongSupplier ownRenewalAt;
-  private long authorityFrom = -1;
+  private long authorityGainedAt = -1;
   private long ownDelegationUntil = Long.MIN_VALUE;
 
   /**
-   * The delegations of a term.
+   * Creates the delegations of a term.
    *
-   * @param ownRenewalAt when this node last renewed leases as a delegate itself: guards against a
-   *     term that goes on after an outage and counts leases without what it renewed in between
+   * @param ownRenewalAt supplies when this controller itself last renewed a lease as a delegate.
+   *     Guards against a term that resumes after an outage and counts leases as expired without the
+   *     renewals that this controller made in between
    */
   public LeaseDelegations(long term, Settings settings, LongSupplier ownRenewalAt) {
     this.ownRenewalAt = ownRenewalAt;
@@ -62,89 +64,99 @@
     }
   }
 
-  /** The term acts: from here on no earlier one delegates anything. Later calls change nothing. */
+  /**
+   * Records that the term has gained authority: from this time on, no earlier term delegates. Only
+   * the first call has an effect.
+   */
   public void onAuthorityGained(long nowMicros) {
-    if (authorityFrom < 0) {
-      authorityFrom = nowMicros;
+    if (authorityGainedAt < 0) {
+      authorityGainedAt = nowMicros;
     }
   }
 
-  /** The zone of a controller, or null if none has the name. */
+  /** Returns the zone of the controller with this name, or null if there is none. */
   public String zoneOf(String name) {
-    PeerState node = peers.get(name);
-    return node == null ? null : node.zone;
+    PeerState peer = peers.get(name);
+    return peer == null ? null : peer.zone;
   }
 
   /**
-   * Answers a node that requests a delegation.
+   * Responds to a controller that requests a delegation.
    *
-   * @param delegatedMicros for how long from now on it may renew leases
+   * @param delegatedMicros for how long from now on the controller may renew leases
    */
   public DelegationResponse onRequest(
       DelegationRequest request, long delegatedMicros, long nowMicros) {
-    PeerState node = peers.get(request.node());
-    if (node == null) {
+    PeerState peer = peers.get(request.node());
+    if (peer == null) {
       return DelegationResponse.REFUSED;
     }
     if (provesContact(request, nowMicros)) {
-      node.contactProven = true;
-      node.lastContactAt = Math.max(node.lastContactAt, request.lastResponseMark());
-      node.renewedAt = Math.max(node.renewedAt, latestRenewalAt(request, nowMicros));
+      peer.contactProven = true;
+      peer.lastContactAt = Math.max(peer.lastContactAt, request.lastResponseMark());
+      peer.renewedAt = Math.max(peer.renewedAt, latestRenewalAt(request, nowMicros));
     }
-    node.delegatedUntil = Math.max(node.delegatedUntil, nowMicros + delegatedMicros);
+    peer.delegatedUntil = Math.max(peer.delegatedUntil, nowMicros + delegatedMicros);
     return new DelegationResponse(term, delegatedMicros, nowMicros);
   }
 
   /** True if the request repeats the mark of a response of this term. */
   private boolean provesContact(DelegationRequest request, long nowMicros) {
     long mark = request.lastResponseMark();
-    return authorityFrom >= 0 && mark >= authorityFrom && mark <= nowMicros;
+    return authorityGainedAt >= 0 && mark >= authorityGainedAt && mark <= nowMicros;
   }
 
-  /** The latest time at which the node can have renewed a lease as a delegate. */
+  /** Returns the latest time at which the controller can have renewed a lease as a delegate. */
   private static long latestRenewalAt(DelegationRequest request, long nowMicros) {
     long since = request.sinceRenewalMicros();
     if (since < 0) {
-      // It has not since its start; an earlier process of it may have.
+      // No renewal since the process started; an earlier process of that controller may have
+      // renewed.
       since = request.uptimeMicros();
     }
     return nowMicros - since + ClockDrift.maxOver(since);
   }
 
-  /** This node itself may renew its workers' leases until then, should it lose its authority. */
+  /**
+   * Records until when this controller itself may renew leases in its zone if it loses its
+   * authority.
+   */
   public void delegateToSelf(long untilMicros) {
     ownDelegationUntil = Math.max(ownDelegationUntil, untilMicros);
   }
 
-  /** The latest time at which any node may yet renew leases of the zone without the leader. */
+  /**
+   * Returns the latest time until which any controller may still renew leases of the zone without
+   * the leader.
+   */
   public long delegatedUntil(String zone) {
     long latest = zone.equals(ownZone) ? ownDelegationUntil : Long.MIN_VALUE;
-    for (PeerState node : peers.values()) {
-      if (node.zone.equals(zone)) {
+    for (PeerState peer : peers.values()) {
+      if (peer.zone.equals(zone)) {
         latest =
-            Math.max(latest, node.contactProven ? node.delegatedUntil : delegationAssumedFor(node));
+            Math.max(latest, peer.contactProven ? peer.delegatedUntil : delegationAssumedFor(peer));
       }
     }
     return latest;
   }
 
-  private long delegationAssumedFor(PeerState node) {
-    return Math.max(authorityFrom + maxDelegatedMicros, node.delegatedUntil);
+  private long delegationAssumedFor(PeerState peer) {
+    return Math.max(authorityGainedAt + maxDelegatedMicros, peer.delegatedUntil);
   }
 
-  /** The latest time at which a delegate may have renewed leases of the zone. */
+  /** Returns the latest time at which a delegate may have renewed leases of the zone. */
   public long renewedUntil(String zone, long nowMicros) {
     long latest = zone.equals(ownZone) ? ownRenewalAt.getAsLong() : Long.MIN_VALUE;
-    for (PeerState node : peers.values()) {
-      if (!node.zone.equals(zone)) {
+    for (PeerState peer : peers.values()) {
+      if (!peer.zone.equals(zone)) {
         continue;
       }
-      if (!node.contactProven) {
-        latest = Math.max(latest, delegationAssumedFor(node));
-      } else if (nowMicros <= node.lastContactAt + COUNTED_ISOLATION_TIMEOUT_MICROS) {
-        latest = Math.max(latest, node.renewedAt);
+      if (!peer.contactProven) {
+        latest = Math.max(latest, delegationAssumedFor(peer));
+      } else if (nowMicros <= peer.lastContactAt + COUNTED_ISOLATION_TIMEOUT_MICROS) {
+        latest = Math.max(latest, peer.renewedAt);
       } else {
-        latest = Math.max(latest, Math.max(node.renewedAt, node.delegatedUntil));
+        latest = Math.max(latest, Math.max(peer.renewedAt, peer.delegatedUntil));
       }
     }
     return latest;
--- a/src/main/java/org/dewreach/leadership/PeerReachabilityPoller.java
+++ b/src/main/java/org/dewreach/leadership/PeerReachabilityPoller.java
@@ -15,37 +15,41 @@
 import org.dewreach.port.Target;
 
 /**
- * Which of the workers that a leader does not hear the other controllers hear.
+ * Polls the other controllers for whether the workers that do not reach the leader reach them.
  *
- * <p>A worker that its leader does not answer tries the next controller, which sends it back, and
- * so on: if only the leader is cut off from the workers, another one hears them all the time.
+ * <p>A worker that gets no response from its leader tries the next controller, which redirects it
+ * to the leader, and so on. If only the leader is partitioned from the workers, another controller
+ * therefore receives their heartbeats all the time.
  */
 public final class PeerReachabilityPoller {
-  /** What the other controllers have told, as far as it is recent. */
+  /** Summary of the recent responses of the other controllers. */
   public enum Report {
-    /** Some controller has told nothing, and none hears the workers. */
+    /** Some controller has not responded, and the workers reach none of those that have. */
     INCOMPLETE,
-    /** Every controller has told that it does not hear them either. */
+    /** Every controller has responded that the workers do not reach it either. */
     HEARD_NOWHERE,
-    /** A controller hears a good part of them. */
+    /** A considerable part of the workers reach another controller. */
     HEARD_ELSEWHERE
   }
 
   private static final long REQUEST_INTERVAL_MICROS = 1_000_000;
   private static final long REQUEST_TIMEOUT_MICROS = 900_000;
 
-  /** What was told longer ago does not count. */
+  /** Older responses do not count. */
   private static final long RESPONSE_VALID_MICROS = 3_500_000;
 
-  /** So many machines stand for all, which keeps the question small. */
+  /** The number of machines sampled for a request, which keeps it small. */
   private static final int MAX_SAMPLE = 60;
 
-  /** A few workers heard, of one in this many asked for, may be chance. */
+  /**
+   * A controller counts as reachable if at least one in this many of the requested machines reach
+   * it; fewer may be chance.
+   */
   private static final int MIN_HEARD_DIVISOR = 4;
 
-  /** What one controller told. */
+  /** The latest response of one controller. */
   private record PeerResponse(long receivedAtMicros, int requested, int heard) {
-    boolean reachesPeer() {
+    boolean isPeerReachable() {
       return heard > 0 && heard * MIN_HEARD_DIVISOR >= requested;
     }
   }
@@ -55,24 +59,25 @@
   private final Map<String, PeerResponse> latestResponses = new HashMap<>();
   private long nextRequestAt;
 
-  /** Nothing asked yet. */
+  /** Creates a poller that has not sent a request yet. */
   public PeerReachabilityPoller(Outbox outbox, Settings settings) {
     this.outbox = outbox;
     this.others = settings.members().stream().map(Settings.Member::name).toList();
   }
 
   /**
-   * Asks all others again if that is due.
+   * Sends a request to each of the other controllers if the interval has passed.
    *
-   * @param unheard the machines that this leader does not hear, listed only when they are needed
-   * @param withinMicros for how long a heartbeat counts
+   * @param unreachable supplies the machines that do not reach this leader; evaluated only if a
+   *     request is due
+   * @param withinMicros the longest age of a heartbeat that counts
    */
-  public void poll(Supplier<List<String>> unheard, long withinMicros, long nowMicros) {
+  public void poll(Supplier<List<String>> unreachable, long withinMicros, long nowMicros) {
     if (nowMicros < nextRequestAt) {
       return;
     }
     nextRequestAt = nowMicros + REQUEST_INTERVAL_MICROS;
-    List<String> machines = sample(unheard.get());
+    List<String> machines = sample(unreachable.get());
     if (!machines.isEmpty()) {
       ContactRequest request = new ContactRequest(machines, withinMicros);
       others.forEach(other -> poll(other, request));
@@ -90,13 +95,13 @@
         (now, status, body) -> {
           Optional<ContactResponse> response = PeerMessageCodec.decodeContactResponse(status, body);
           response.ifPresent(
-              told ->
+              contacts ->
                   latestResponses.put(
-                      other, new PeerResponse(now, request.machines().size(), told.heard())));
+                      other, new PeerResponse(now, request.machines().size(), contacts.heard())));
         });
   }
 
-  /** Machines from all over the list. */
+  /** Returns machines spread evenly over the list. */
   private static List<String> sample(List<String> machines) {
     int step = (machines.size() + MAX_SAMPLE - 1) / MAX_SAMPLE;
     List<String> sample = new ArrayList<>();
@@ -106,12 +111,12 @@
     return sample;
   }
 
-  /** What is known from the others now. */
+  /** Returns the summary of the responses that are recent at the given time. */
   public Report report(long nowMicros) {
     latestResponses
         .values()
-        .removeIf(told -> told.receivedAtMicros() < nowMicros - RESPONSE_VALID_MICROS);
-    if (latestResponses.values().stream().anyMatch(PeerResponse::reachesPeer)) {
+        .removeIf(response -> response.receivedAtMicros() < nowMicros - RESPONSE_VALID_MICROS);
+    if (latestResponses.values().stream().anyMatch(PeerResponse::isPeerReachable)) {
       return Report.HEARD_ELSEWHERE;
     }
     return latestResponses.size() < others.size() ? Report.INCOMPLETE : Report.HEARD_NOWHERE;
--- a/src/main/java/org/dewreach/leadership/package-info.java
+++ b/src/main/java/org/dewreach/leadership/package-info.java
@@ -1,16 +1,16 @@
 /**
- * Who leads, and for how long it may act.
+ * Leader election, and the time for which a leader has authority.
  *
- * <p>The leader holds a key in the key-value store, attached to a lease that it keeps renewing; the
- * term is the revision at which the key was written, and the workers' fencing token. {@link
- * org.dewreach.leadership.Election} is the state machine of one controller, {@link
- * org.dewreach.leadership.LeaderAuthority} says until when a term may act, {@link
- * org.dewreach.leadership.FollowerGrants} lets it act through an outage of the store, and {@link
- * org.dewreach.leadership.DelegateRenewer} with {@link org.dewreach.leadership.LeaseDelegations}
- * lets a controller that lost contact renew the leases of its own zone's workers.
+ * <p>The leader holds a key in the key-value store, attached to a lease that it keeps renewing. The
+ * term is the revision at which the key was written, and serves as the workers' fencing token.
+ * {@link org.dewreach.leadership.Election} is the state machine of one controller in the election,
+ * {@link org.dewreach.leadership.LeaderAuthority} computes until when a term may act, {@link
+ * org.dewreach.leadership.FollowerGrants} let it continue through an outage of the store, and
+ * {@link org.dewreach.leadership.DelegateRenewer} with {@link
+ * org.dewreach.leadership.LeaseDelegations} let a controller that has lost contact renew the leases
+ * of the workers in its own zone.
  *
- * <p>Owns the leader key and what nodes promise each other about it. May call {@code store} and
- * {@code peer}; it knows nothing of jobs or machines. Not thread-safe; runs on the controller's
- * event loop.
+ * <p>Owns the leader key, grants and delegations. May call {@code store} and {@code peer}; does not
+ * depend on jobs or machines. Not thread-safe; runs on the controller's event loop.
  */
 package org.dewreach.leadership;
--- a/src/test/java/org/dewreach/controller/LeadershipTermTest.java
+++ b/src/test/java/org/dewreach/controller/LeadershipTermTest.java
@@ -15,7 +15,7 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** A new leader with one machine of an earlier term, which it does not hear. */
+/** Tests a new leader with one machine of an earlier term that sends it no heartbeat. */
 class LeadershipTermTest {
   private static final long S = 1_000_000;
   private static final long LEASE = 10 * S;
@@ -25,11 +25,12 @@
   private final ControllerServices services =
       ControllerServices.create(SETTINGS, Tuning.DEFAULT, outbox, 0);
   private long authorityFrom;
-  private boolean answersReads = true;
-  private final LeadershipTerm term = new LeadershipTerm(90, services, new Control(), 0);
+  private boolean respondsToReads = true;
+  private final LeadershipTerm term =
+      new LeadershipTerm(90, services, new FakeLeadershipControl(), 0);
 
-  /** Authority from {@code authorityFrom} on, for ever. */
-  private final class Control implements LeadershipControl {
+  /** Grants authority from {@code authorityFrom} on, without end. */
+  private final class FakeLeadershipControl implements LeadershipControl {
     @Override
     public boolean hasAuthority(long nowMicros) {
       return nowMicros >= authorityFrom;
@@ -37,12 +38,12 @@
 
     @Override
     public void onKeyLost() {
-      // The term goes on.
+      // The term continues.
     }
 
     @Override
     public void handOverLeadership() {
-      // The term goes on.
+      // The term continues.
     }
 
     @Override
@@ -51,16 +52,16 @@
     }
   }
 
-  /** Answers reads of the cluster state; whatever else is asked for gets no answer. */
+  /** Responds to reads of the cluster state and to no other request. */
   private void tick(long nowMicros) {
     services.catalog().tick(nowMicros, true);
     term.tick(nowMicros);
     for (List<Effect> open = outbox.drain(); !open.isEmpty(); open = outbox.drain()) {
       for (Effect effect : open) {
         if (effect instanceof Effect.Call call) {
-          ObjectNode answer = answersReads ? clusterState(call.path()) : null;
-          if (answer != null) {
-            outbox.reply(nowMicros, new Event.Reply(call.callId(), 200, answer));
+          ObjectNode response = respondsToReads ? clusterState(call.path()) : null;
+          if (response != null) {
+            outbox.reply(nowMicros, new Event.Reply(call.callId(), 200, response));
           }
         }
       }
@@ -75,8 +76,8 @@
     if (!path.startsWith("/keys?")) {
       return null;
     }
-    ObjectNode answer = Codec.map().put("ledger_rev", 80).put("more", false);
-    var entries = answer.putArray("entries");
+    ObjectNode response = Codec.map().put("ledger_rev", 80).put("more", false);
+    var entries = response.putArray("entries");
     if (path.contains(Keys.MACHINE_PAGES)) {
       ObjectNode page = entries.addObject().put("path", Keys.machinePage(0)).put("stamp", 70);
       page.putObject("data")
@@ -88,7 +89,7 @@
           .add(0)
           .add(true);
     }
-    return answer;
+    return response;
   }
 
   private void runTicks(long fromMicros, long untilMicros) {
@@ -98,8 +99,8 @@
   }
 
   /**
-   * Guards against leases counted from the reading of the cluster state: until this leader may act,
-   * the one before answers under grants.
+   * Guards against leases that are counted from the reading of the cluster state: until this leader
+   * may act, its predecessor may renew them on the basis of grants.
    */
   @Test
   void leasesOfEarlierTermsAreCountedFromWhenTheLeaderMayAct() {
@@ -110,18 +111,18 @@
     assertEquals(
         LeadershipTerm.Phase.RECOVERING,
         term.stats().phase(),
-        "answered at 3 s, it runs tasks until 13 s");
+        "a worker whose lease was renewed at 3 s runs tasks until 13 s");
     runTicks(3 * S + LEASE, 5 * S + LEASE);
     assertEquals(LeadershipTerm.Phase.ACTIVE, term.stats().phase());
   }
 
-  /** Guards against leases renewed by a leader that does not know what was cancelled. */
+  /** Guards against leases renewed by a leader that does not know yet which jobs were cancelled. */
   @Test
   void heartbeatsAreRejectedBeforeTheStateIsLoaded() {
-    answersReads = false;
+    respondsToReads = false;
     tick(S);
-    Heartbeat report = new Heartbeat("m1", "x:1", "box", "a", false, 1, 5, 60, -1, List.of());
-    term.onHeartbeat(7, report, S);
+    Heartbeat heartbeat = new Heartbeat("m1", "x:1", "box", "a", false, 1, 5, 60, -1, List.of());
+    term.onHeartbeat(7, heartbeat, S);
     Effect.Respond respond = (Effect.Respond) outbox.drain().get(0);
     assertEquals(503, respond.status());
     assertEquals(null, respond.body());
--- a/src/test/java/org/dewreach/controller/SettingsFixture.java
+++ b/src/test/java/org/dewreach/controller/SettingsFixture.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 import org.dewreach.config.Settings;
 
-/** Settings of a small site, for tests of single classes. */
+/** Settings of a small cluster, for tests of single classes. */
 public final class SettingsFixture {
   private static final long S = 1_000_000;
   private static final Settings.Address ANY = new Settings.Address("127.0.0.1", 1);
 
   private SettingsFixture() {}
 
-  /** Node n0 in zone a, alone. */
+  /** Returns the settings of controller n0 in zone a, the only one. */
   public static Settings oneController() {
     return settings(List.of(), List.of("a"), 10 * S);
   }
 
-  /** Node n0 in zone a, with n2 in zone b. */
+  /** Returns the settings of controller n0 in zone a, with controller n2 in zone b. */
   public static Settings twoControllers(long leaseMicros) {
     return settings(List.of(new Settings.Member("n2", "b", ANY)), List.of("a", "b"), leaseMicros);
   }
--- a/src/test/java/org/dewreach/controller/StatsCodecTest.java
+++ b/src/test/java/org/dewreach/controller/StatsCodecTest.java
@@ -10,7 +10,7 @@
 import org.dewreach.request.UserRequestStats;
 import org.junit.jupiter.api.Test;
 
-/** The form of a node's numbers, which operators' tools read. */
+/** Tests the format of a controller's statistics, which operators' tools read. */
 class StatsCodecTest {
   private static final ConcurrencyStats CHANGES = new ConcurrencyStats(1, 2, 3, 4, 5, 6, 7, 8);
   private static final ConcurrencyStats QUERIES = new ConcurrencyStats(0, 20, 0, 0, 0, 0, 0, 0);
--- a/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
+++ b/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
@@ -19,7 +19,7 @@
 import org.dewreach.wire.MalformedException;
 import org.junit.jupiter.api.Test;
 
-/** When a node renews worker leases in place of the leader. */
+/** Tests when a controller renews worker leases in place of the leader. */
 class DelegateRenewerTest {
   private static final long S = 1_000_000;
   private final Outbox outbox = new Outbox();
@@ -53,14 +53,14 @@
     return Heartbeat.parse(body);
   }
 
-  /** Asks the leader at the time given, and has its answer, if any, at once. */
-  private void requestDelegation(long atMicros, boolean answered) {
+  /** Sends a delegation request to the leader; its response, if any, arrives at once. */
+  private void requestDelegation(long atMicros, boolean responds) {
     delegateRenewer.tick("n0", atMicros);
     for (Effect effect : outbox.drain()) {
       if (effect instanceof Effect.Call call
           && call.path().equals(PeerMessageCodec.DELEGATION_PATH)) {
-        var answer = PeerMessageCodec.encode(new DelegationResponse(7, 30 * S, atMicros));
-        outbox.reply(atMicros, new Event.Reply(call.callId(), answered ? 200 : 0, answer));
+        var response = PeerMessageCodec.encode(new DelegationResponse(7, 30 * S, atMicros));
+        outbox.reply(atMicros, new Event.Reply(call.callId(), responds ? 200 : 0, response));
       }
     }
   }
@@ -68,14 +68,14 @@
   @Test
   void renewsLeasesOfItsOwnZoneOnlyAndOnlyWhileDelegated() throws MalformedException {
     requestDelegation(100 * S, true);
-    assertFalse(delegateRenewer.tryRenew(heartbeat("m1", "b"), 102 * S), "in contact a moment ago");
+    assertFalse(delegateRenewer.tryRenew(heartbeat("m1", "b"), 102 * S), "in contact 2 s ago");
     assertFalse(delegateRenewer.tryRenew(heartbeat("m1", "a"), 104 * S), "another zone");
     assertTrue(delegateRenewer.tryRenew(heartbeat("m1", "b"), 104 * S));
     assertEquals(HeartbeatResponse.withoutCommands(7), delegateRenewer.heartbeatResponse());
     assertTrue(delegateRenewer.tryRenew(heartbeat("m1", "b"), 129 * S));
     assertFalse(
         delegateRenewer.tryRenew(heartbeat("m1", "b"), 130 * S),
-        "counted from the asking, less drift");
+        "counted from the request, less clock drift");
   }
 
   @Test
@@ -97,13 +97,18 @@
     assertFalse(delegateRenewer.tryRenew(heartbeat("m1", "b"), 104 * S));
   }
 
-  /** Guards against workers that are sent round twice, and so come back after their lease. */
+  /**
+   * Guards against workers that are redirected twice and return only after their lease has expired.
+   */
   @Test
   void aWorkerThatFollowedTheFormerLeaderIsRedirectedOnce() throws MalformedException {
     delegateRenewer.onLeading(7, 30 * S, 100 * S);
     assertFalse(
-        delegateRenewer.tryRenew(heartbeat("m1", "b"), 101 * S), "redirected, and recorded");
-    assertTrue(delegateRenewer.tryRenew(heartbeat("m1", "b"), 112 * S), "back from the others");
-    assertFalse(delegateRenewer.tryRenew(heartbeat("m2", "b"), 112 * S), "has tried no other yet");
+        delegateRenewer.tryRenew(heartbeat("m1", "b"), 101 * S), "redirected once, and recorded");
+    assertTrue(
+        delegateRenewer.tryRenew(heartbeat("m1", "b"), 112 * S), "has tried the other controllers");
+    assertFalse(
+        delegateRenewer.tryRenew(heartbeat("m2", "b"), 112 * S),
+        "has not tried another controller yet");
   }
 }
--- a/src/test/java/org/dewreach/leadership/ElectionTest.java
+++ b/src/test/java/org/dewreach/leadership/ElectionTest.java
@@ -11,7 +11,7 @@
 import org.dewreach.wire.Codec;
 import org.junit.jupiter.api.Test;
 
-/** What a controller takes from others about who leads. */
+/** Tests how a controller uses the leader that other controllers report. */
 class ElectionTest {
   private static final long S = 1_000_000;
 
@@ -32,7 +32,10 @@
             public void onDeposed(long nowMicros, long term) {}
           });
 
-  /** Guards against requests that go back to a deposed leader on another node's outdated hint. */
+  /**
+   * Guards against requests that are forwarded to a former leader because of another controller's
+   * outdated hint.
+   */
   @Test
   void aHintOfAnEarlierTermIsIgnored() {
     election.tick(S);
--- a/src/test/java/org/dewreach/leadership/FollowerGrantsTest.java
+++ b/src/test/java/org/dewreach/leadership/FollowerGrantsTest.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Two terms never act at once under what the nodes grant. */
+/** Tests that grants never let two terms act at the same time. */
 class FollowerGrantsTest {
   private static final long S = 1_000_000;
 
@@ -16,7 +16,7 @@
     assertTrue(followerGrants.grant(5, 10 * S));
     assertFalse(followerGrants.admitTerm(9, 10 * S + 1));
     assertTrue(followerGrants.admitTerm(9, 10 * S + FollowerGrants.GRANT_DURATION_MICROS));
-    assertFalse(followerGrants.grant(5, 20 * S), "a later term acts");
+    assertFalse(followerGrants.grant(5, 20 * S), "a later term was admitted");
   }
 
   @Test
@@ -35,31 +35,34 @@
     assertTrue(followerGrants.grant(8, 10 * S));
   }
 
-  /** Two terms at three nodes, asked and restarted at random: never do both act. */
+  /**
+   * Two terms and three controllers, with requests and restarts at random: the terms never act at
+   * the same time.
+   */
   @Test
   void neverTwoTermsAtOnce() {
     for (long seed = 0; seed < 400; seed++) {
       Random random = new Random(seed);
-      FollowerGrants[] nodes = {
+      FollowerGrants[] controllers = {
         new FollowerGrants(-9 * S), new FollowerGrants(-9 * S), new FollowerGrants(-9 * S)
       };
       long[] grantedUntil = {Long.MIN_VALUE, Long.MIN_VALUE, Long.MIN_VALUE};
       boolean laterActs = false;
       for (long now = 0; now < 30 * S; now += random.nextInt(300_000)) {
-        int node = random.nextInt(3);
+        int index = random.nextInt(3);
         boolean earlierActs =
             now < Math.min(grantedUntil[0], Math.min(grantedUntil[1], grantedUntil[2]));
         switch (random.nextInt(12)) {
           case 0 -> {
-            // Node 1 is the later leader's: with it, the later term ends.
-            nodes[node] = new FollowerGrants(now);
-            laterActs &= node != 1;
+            // Controller 1 is the later leader, so its restart ends the later term.
+            controllers[index] = new FollowerGrants(now);
+            laterActs &= index != 1;
           }
-          case 1 -> laterActs |= nodes[1].admitTerm(20, now);
+          case 1 -> laterActs |= controllers[1].admitTerm(20, now);
           default -> {
-            // The earlier leader asks only while it acts, or at first.
-            if ((now < 2 * S || earlierActs) && nodes[node].grant(10, now)) {
-              grantedUntil[node] = now + FollowerGrants.COUNTED_GRANT_DURATION_MICROS;
+            // The earlier leader requests grants only at first and while it may act.
+            if ((now < 2 * S || earlierActs) && controllers[index].grant(10, now)) {
+              grantedUntil[index] = now + FollowerGrants.COUNTED_GRANT_DURATION_MICROS;
             }
           }
         }
--- a/src/test/java/org/dewreach/leadership/LastHeartbeatTimesTest.java
+++ b/src/test/java/org/dewreach/leadership/LastHeartbeatTimesTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When workers were last heard, whoever leads: {@link LastHeartbeatTimes}. */
+/** Tests of {@link LastHeartbeatTimes}. */
 class LastHeartbeatTimesTest {
   private static final long S = 1_000_000;
 
--- a/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
+++ b/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
@@ -9,11 +9,14 @@
 import org.dewreach.peer.DelegationRequest;
 import org.junit.jupiter.api.Test;
 
-/** Until when a leader reckons with what delegates may have answered. */
+/** Tests until when a leader assumes that delegates may have renewed leases. */
 class LeaseDelegationsTest {
   private static final long S = 1_000_000;
 
-  /** A cancellation has 30 s, a lease 10 s: 20 s less drift and the margin can be delegated. */
+  /**
+   * A cancellation may take 30 s and a lease lasts 10 s, so 20 s less drift and the margin can be
+   * delegated.
+   */
   private static final Settings.Workers WORKERS = new Settings.Workers(S, 10 * S, 30 * S);
 
   private static Settings settings() {
@@ -45,7 +48,8 @@
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
     delegations.onAuthorityGained(100 * S);
     assertEquals(100 * S + WORKERS.maxDelegationMicros(), delegations.renewedUntil("b", 105 * S));
-    assertEquals(Long.MIN_VALUE, delegations.renewedUntil("a", 105 * S), "no other node is there");
+    assertEquals(
+        Long.MIN_VALUE, delegations.renewedUntil("a", 105 * S), "no other controller in this zone");
   }
 
   @Test
@@ -54,11 +58,14 @@
     delegations.onAuthorityGained(100 * S);
     long mark = delegations.onRequest(request(-1, -1, 90 * S), 18 * S, 101 * S).mark();
     delegations.onRequest(request(mark, -1, 91 * S), 18 * S, 102 * S);
-    assertTrue(delegations.renewedUntil("b", 103 * S) < 100 * S, "it never renewed a lease");
-    assertEquals(120 * S, delegations.renewedUntil("b", 110 * S), "out of contact since");
+    assertTrue(
+        delegations.renewedUntil("b", 103 * S) < 100 * S, "the controller never renewed a lease");
+    assertEquals(120 * S, delegations.renewedUntil("b", 110 * S), "out of contact since 101 s");
   }
 
-  /** Guards against a request that a partition held back: it says nothing of the time since. */
+  /**
+   * Guards against a request that a network partition delayed: it proves no contact after its mark.
+   */
   @Test
   void aDelayedRequestProvesNoContact() {
     LeaseDelegations delegations = new LeaseDelegations(7, settings(), () -> Long.MIN_VALUE);
@@ -70,7 +77,7 @@
   }
 
   /**
-   * Guards against a process that forgot, being started again, that it had renewed leases as a
+   * Guards against a controller whose restart lost the record of leases that it had renewed as a
    * delegate.
    */
   @Test
@@ -80,6 +87,6 @@
     long mark = delegations.onRequest(request(-1, -1, S), 0, 110 * S).mark();
     delegations.onRequest(request(mark, -1, 2 * S), 0, 111 * S);
     long until = delegations.renewedUntil("b", 112 * S);
-    assertTrue(until >= 109 * S && until < 110 * S, "until its start: " + until);
+    assertTrue(until >= 109 * S && until < 110 * S, "until the start of the process: " + until);
   }
 }
