--- a/src/main/java/org/dewreach/controller/AuthorityCheckedResponder.java
+++ b/src/main/java/org/dewreach/controller/AuthorityCheckedResponder.java
@@ -12,7 +12,7 @@
  * imported by a later term.
  *
  * @param leadership the source of the term's authority
- * @param asked the term that handles the request
+ * @param handlingTerm the term that handles the request
  * @param target receives the response
  */
 record AuthorityCheckedResponder(
--- a/src/main/java/org/dewreach/controller/Leadership.java
+++ b/src/main/java/org/dewreach/controller/Leadership.java
@@ -76,8 +76,8 @@
   }
 
   /** True if this controller still has authority in the given term. */
-  boolean hasAuthorityIn(LeadershipTerm earlier) {
-    return term == earlier && hasAuthority(clock.now());
+  boolean hasAuthorityIn(LeadershipTerm handlingTerm) {
+    return term == handlingTerm && hasAuthority(clock.now());
   }
 
   /** The name of the other controller that leads as far as this one knows, or null. */
--- a/src/main/java/org/dewreach/leadership/LeaderAuthority.java
+++ b/src/main/java/org/dewreach/leadership/LeaderAuthority.java
@@ -117,12 +117,12 @@
    * Starts a term for which this controller was elected, with a lease that was requested at the
    * given time.
    */
-  void begin(long newTerm, long newLeaseId, long leaseSentAt, long nowMicros) {
+  void begin(long newTerm, long newLeaseId, long leaseRequestedAt, long nowMicros) {
     term = newTerm;
     leaseId = newLeaseId;
     renewalsFailing = false;
     grantedUntil.clear();
-    leaseAuthorityUntil = leaseSentAt + AUTHORITY_MICROS;
+    leaseAuthorityUntil = leaseRequestedAt + AUTHORITY_MICROS;
     renewalInFlight = false;
     nextRenewalAt = nowMicros;
     changePhase(Phase.AWAITING_OWN_GRANTS);
