--- a/src/main/java/org/dewreach/model/Admission.java
+++ b/src/main/java/org/dewreach/model/Admission.java
@@ -9,13 +9,16 @@
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.MachineType;
 
-/** Decides whether a job can ever run; a submission that cannot is answered with 422. */
+/**
+ * Checks whether a job can ever run. A submission of a job that cannot is rejected with status 422.
+ */
 public final class Admission {
+  /** Absorbs floating-point rounding when resource amounts are compared. */
   private static final double AMOUNT_TOLERANCE = 1e-9;
 
   private Admission() {}
 
-  /** Why the job can never run, in a word to its user; null if it can. */
+  /** Returns the reason why the job can never run, worded for its user, or null if it can run. */
   public static String rejectionReason(
       JobSpec spec, Map<String, Settings.Team> teams, List<MachineType> catalog) {
     Settings.Team team = teams.get(spec.team());
@@ -29,21 +32,27 @@
     if (zones.isEmpty()) {
       return "fits no allowed machine type";
     }
-    boolean several = spec.tasks() > 1;
-    if (spec.spreadZones() && several && (spec.sameZone() || zones.size() < 2)) {
+    boolean multipleTasks = spec.tasks() > 1;
+    if (spec.spreadZones() && multipleTasks && (spec.sameZone() || zones.size() < 2)) {
       return "cannot be spread over zones";
     }
     return null;
   }
 
-  /** True if the tasks that have to run at the same time take more than the team may have. */
+  /**
+   * True if the tasks that must run at the same time need more than the team's limit. The tasks of
+   * an array can run one after another.
+   */
   private static boolean exceedsLimit(JobSpec spec, Settings.Team team) {
     int parallelTasks = spec.jobKind() == JobKind.ARRAY ? 1 : spec.tasks();
     return spec.cpus() * parallelTasks > team.cpusMax() + AMOUNT_TOLERANCE
         || spec.gpus() * parallelTasks > team.gpusMax() + AMOUNT_TOLERANCE;
   }
 
-  /** The zones in which the job's owner allows a machine type that a task fits on. */
+  /**
+   * Returns the zones that the job may run in: those that offer an allowed machine type on which a
+   * task fits.
+   */
   private static Set<String> possibleZones(JobSpec spec, List<MachineType> catalog) {
     Set<String> zones = new HashSet<>();
     for (MachineType type : catalog) {
@@ -57,7 +66,9 @@
     return zones;
   }
 
-  /** True if a task of the job may run on an empty machine of the type. */
+  /**
+   * True if the job allows the machine type and a task of the job fits on an empty machine of it.
+   */
   public static boolean fits(JobSpec spec, MachineType type) {
     return (spec.types() == null || spec.types().contains(type.name()))
         && spec.cpus() <= type.cpus() + AMOUNT_TOLERANCE
--- a/src/main/java/org/dewreach/model/DirectCommands.java
+++ b/src/main/java/org/dewreach/model/DirectCommands.java
@@ -6,60 +6,64 @@
 import org.dewreach.wire.TaskName;
 
 /**
- * The commands that the leader sent straight to a machine's worker, rather than in the answer to a
- * heartbeat: the starts of the worker's incarnation, and the command that is on its way.
+ * Tracks the commands that the leader sent directly to a machine's worker, rather than in the
+ * response to a heartbeat: the starts sent in the worker's current incarnation, and whether a
+ * command is in flight.
  */
 public final class DirectCommands {
-  private final LongOpenHashSet attempts = new LongOpenHashSet();
-  private final Set<TaskName> tasks = new HashSet<>();
+  private final LongOpenHashSet startedAttempts = new LongOpenHashSet();
+  private final Set<TaskName> startedTasks = new HashSet<>();
   private boolean inFlight;
   private long notBefore;
 
   DirectCommands() {}
 
-  /** Forgets what was sent before: the worker has begun a new incarnation. */
+  /** Clears the recorded starts, because the worker has begun a new incarnation. */
   void onNewIncarnation() {
-    attempts.clear();
-    tasks.clear();
+    startedAttempts.clear();
+    startedTasks.clear();
   }
 
-  /** Records the start of an attempt. */
+  /** Records that the start of an attempt was sent directly. */
   public void recordStart(TaskName task, long attempt) {
-    attempts.add(attempt);
-    tasks.add(task);
+    startedAttempts.add(attempt);
+    startedTasks.add(task);
   }
 
   /**
-   * True if an attempt of the task was started directly in this incarnation.
+   * True if a direct start of the task was sent in this incarnation.
    *
-   * <p>Guards against a late copy of that start: a later attempt here could take the place of the
-   * one that the worker still knows, and the copy would then run beside it elsewhere.
+   * <p>Guards against a late copy of that start. If a later attempt of the task were started here,
+   * it could replace the one that the worker remembers; the worker would then accept the copy, and
+   * the task could run here and on another machine at the same time.
    */
   public boolean hasStartedTask(TaskName task) {
-    return tasks.contains(task);
+    return startedTasks.contains(task);
   }
 
-  /** True if the attempt was started directly in this incarnation. */
+  /** True if a direct start of the attempt was sent in this incarnation. */
   public boolean hasStartedAttempt(long attempt) {
-    return attempts.contains(attempt);
+    return startedAttempts.contains(attempt);
   }
 
-  /** Direct starts in this incarnation. */
+  /** Returns the number of direct starts sent in this incarnation. */
   public int startCount() {
-    return attempts.size();
+    return startedAttempts.size();
   }
 
-  /** True while a direct command has no outcome. */
+  /** True while a direct command is in flight, which means that its outcome is not known yet. */
   public boolean inFlight() {
     return inFlight;
   }
 
-  /** Sets whether a direct command has no outcome. */
+  /** Sets whether a direct command is in flight. */
   public void inFlight(boolean now) {
     inFlight = now;
   }
 
-  /** No direct command before this time: the last one had no answer. */
+  /**
+   * Returns the time before which no direct command is sent, because the last one got no response.
+   */
   public long notBefore() {
     return notBefore;
   }
--- a/src/main/java/org/dewreach/model/DirectStart.java
+++ b/src/main/java/org/dewreach/model/DirectStart.java
@@ -1,13 +1,13 @@
 package org.dewreach.model;
 
-/** What is known of a start that was sent to the worker directly. */
+/** The state of a start command that was sent directly to the worker. */
 public enum DirectStart {
-  /** None was sent. */
+  /** No direct start was sent. */
   NONE,
-  /** Sent; no answer yet. */
+  /** It was sent, and no response has arrived yet. */
   SENT,
-  /** The worker answered: its heartbeat shows whether the task is there. */
+  /** The worker responded, so its heartbeats show whether it has the task. */
   ANSWERED,
-  /** No answer came: the worker may still carry it out, minutes later. */
+  /** No response arrived. The worker may still execute the command minutes later. */
   LOST
 }
--- a/src/main/java/org/dewreach/model/FailureHistory.java
+++ b/src/main/java/org/dewreach/model/FailureHistory.java
@@ -3,7 +3,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The tasks that failed on a machine since one last completed, and whether it is quarantined. */
+/**
+ * The task failures on a machine since a task last completed there, and whether the machine is
+ * quarantined.
+ */
 public final class FailureHistory {
   private final Set<String> jobs = new HashSet<>();
   private int failureCount;
@@ -11,44 +14,52 @@
 
   FailureHistory() {}
 
-  /** Jobs whose tasks failed here since a task last completed here. */
+  /**
+   * Returns the ids of the jobs whose tasks failed on the machine since a task last completed
+   * there.
+   */
   public Set<String> jobs() {
     return jobs;
   }
 
-  /** Tasks that failed here since one last completed. */
+  /** Returns the number of task failures on the machine since a task last completed there. */
   public int failureCount() {
     return failureCount;
   }
 
-  /** Records that a task of the job failed here. */
+  /** Records that a task of the job failed on the machine. */
   public void recordFailure(String jobId) {
     jobs.add(jobId);
     failureCount++;
   }
 
-  /** Records that a task completed here: earlier failures say nothing about the machine. */
+  /**
+   * Clears the failures, because a task completed on the machine: they are no longer evidence that
+   * the machine is faulty.
+   */
   public void recordSuccess() {
     failureCount = 0;
     jobs.clear();
   }
 
-  /** True if the machine is taken for faulty: nothing new is placed on it. */
+  /** True if the machine is presumed faulty, so that no new tasks are placed on it. */
   public boolean quarantined() {
     return quarantinedAt >= 0;
   }
 
-  /** When it was quarantined, or -1. */
+  /** Returns when the machine was quarantined, or -1 if it is not quarantined. */
   public long quarantinedAt() {
     return quarantinedAt;
   }
 
-  /** Takes the machine for faulty from now on. */
+  /** Quarantines the machine from now on. */
   public void quarantine(long nowMicros) {
     quarantinedAt = nowMicros;
   }
 
-  /** Ends the quarantine: what failed here failed elsewhere too. */
+  /**
+   * Ends the quarantine, because the jobs that failed on the machine failed on other machines too.
+   */
   public void endQuarantine() {
     quarantinedAt = -1;
     failureCount = 0;
--- a/src/main/java/org/dewreach/model/HeartbeatState.java
+++ b/src/main/java/org/dewreach/model/HeartbeatState.java
@@ -1,12 +1,13 @@
 package org.dewreach.model;
 
 /**
- * What the heartbeats of a machine's worker have told: its incarnation, and how reachable it is.
+ * The state of a machine's worker as its heartbeats show it: its incarnation, its last heartbeat,
+ * and whether it can be reached.
  */
 public final class HeartbeatState {
   /**
-   * Replies in a row that did not arrive, from which a machine is taken to miss replies. A default
-   * of this project.
+   * The number of consecutive lost responses from which a machine counts as not receiving
+   * responses.
    */
   private static final int MISSED_RESPONSES_THRESHOLD = 2;
 
@@ -18,85 +19,103 @@
   private int missedResponses;
   private RestartCheck restartCheck = RestartCheck.NONE;
 
-  /** The state of a machine that was found at the given time, which counts as a heartbeat. */
+  /**
+   * Creates the state of a machine that became known at the given time, which counts as its first
+   * heartbeat.
+   */
   HeartbeatState(long nowMicros) {
     this.lastHeartbeat = nowMicros;
   }
 
-  /** The incarnation of the last heartbeat taken, or -1. */
+  /** Returns the incarnation of the last heartbeat that was processed, or -1 if there was none. */
   public long incarnation() {
     return incarnation;
   }
 
-  /** The sequence number of the last heartbeat taken, or -1. */
+  /**
+   * Returns the sequence number of the last heartbeat that was processed, or -1 if there was none.
+   */
   public long sequence() {
     return sequence;
   }
 
-  /** True if a heartbeat is newer than the last one taken. */
+  /**
+   * True if a heartbeat with the given incarnation and sequence number is newer than the last one
+   * that was processed.
+   */
   public boolean isNewer(long heartbeatIncarnation, long heartbeatSequence) {
     return heartbeatIncarnation > incarnation
         || heartbeatIncarnation == incarnation && heartbeatSequence > sequence;
   }
 
-  /** Records how far the worker's heartbeats have been taken. */
+  /** Records the incarnation and sequence number of the last heartbeat that was processed. */
   void recordSequence(long heartbeatIncarnation, long heartbeatSequence) {
     incarnation = heartbeatIncarnation;
     sequence = heartbeatSequence;
   }
 
-  /** When the worker last sent a heartbeat by itself. */
+  /**
+   * Returns when the worker last sent a heartbeat on its own, not in response to a direct command.
+   */
   public long lastHeartbeat() {
     return lastHeartbeat;
   }
 
   /**
-   * Records a heartbeat that the worker sent by itself.
+   * Records a heartbeat that the worker sent on its own.
    *
-   * <p>Answers to direct commands do not count. Guards against a machine that reaches no controller
-   * while commands reach it: it would be given tasks again and again that end with each lease.
+   * <p>Responses to direct commands do not count. Guards against a machine that receives commands
+   * but cannot reach any controller: it would be assigned tasks again and again, which end each
+   * time when the lease expires.
    */
   public void recordHeartbeat(long nowMicros) {
     lastHeartbeat = nowMicros;
     unreachable = false;
   }
 
-  /** When a heartbeat was last answered with 200 in this term: the worker's lease runs from it. */
+  /**
+   * Returns when a heartbeat was last answered with status 200 in this term. The worker's lease
+   * runs from then.
+   */
   public long lastLeaseRenewal() {
     return lastLeaseRenewal;
   }
 
-  /** Records that a heartbeat was answered in this term. */
+  /** Records that a heartbeat was answered with status 200 in this term. */
   public void recordLeaseRenewal(long nowMicros) {
     lastLeaseRenewal = nowMicros;
   }
 
-  /** True if the machine may be cut off or hang, since its last heartbeat. */
+  /** True if the machine was marked as possibly partitioned or hung after its last heartbeat. */
   boolean unreachable() {
     return unreachable;
   }
 
   /**
-   * Marks a machine that may be cut off or hang, until its next heartbeat.
+   * Marks the machine as possibly partitioned or hung, until its next heartbeat.
    *
-   * <p>Guards against tasks that are given to a cut-off zone, where they are bound until its leases
-   * are over, in the seconds before its silence shows.
+   * <p>Guards against placing tasks in a partitioned zone during the seconds before the missing
+   * heartbeats are detected: such tasks would stay bound there until the leases of its machines
+   * expire.
    */
   public void markUnreachable() {
     unreachable = true;
   }
 
-  /** Records whether the worker's last heartbeat shows that our reply to the one before arrived. */
+  /**
+   * Records whether the worker's last heartbeat shows that it received the response to the one
+   * before.
+   */
   public void recordResponseDelivery(boolean arrived) {
     missedResponses = arrived ? 0 : missedResponses + 1;
   }
 
-  /** True if heartbeats arrive here, but replies and commands do not arrive there. */
+  /** True if heartbeats from the machine arrive, but responses and commands do not reach it. */
   public boolean missesResponses() {
     return missedResponses >= MISSED_RESPONSES_THRESHOLD;
   }
 
-  /** Whether the worker may have restarted. */
+  /** Returns whether the worker may have restarted. */
   public RestartCheck restartCheck() {
     return restartCheck;
   }
--- a/src/main/java/org/dewreach/model/ImageCache.java
+++ b/src/main/java/org/dewreach/model/ImageCache.java
@@ -6,18 +6,18 @@
 import org.dewreach.wire.JobSpec;
 
 /**
- * The images that a machine has or fetches, as far as its tasks have shown.
+ * An estimate of the images that a machine has cached or is fetching, derived from the tasks on it.
  *
- * <p>A machine keeps the most recently used images that fit into its cache, and fetches of several
- * images share its rate.
+ * <p>A machine keeps the most recently used images that fit into its cache, and concurrent fetches
+ * share its fetch rate.
  */
 final class ImageCache {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** An image that a task needed. */
+  /** An image that a task needed, either cached or still being fetched. */
   private record Image(double gb, boolean fetched) {}
 
-  /** By name, the least recently used first. */
+  /** The images by name, the least recently used first. */
   private final Map<String, Image> images = new LinkedHashMap<>();
 
   private final double capacityGb;
@@ -33,7 +33,10 @@
     return images.containsKey(image);
   }
 
-  /** Time until a task's image would be cached, with the fetches in progress sharing the rate. */
+  /**
+   * Returns the time until the image of a task would be cached, given that the fetches in progress
+   * share the rate.
+   */
   long fetchMicros(JobSpec spec) {
     Image known = images.get(spec.image());
     if (known != null && known.fetched()) {
@@ -51,7 +54,10 @@
     images.put(spec.image(), new Image(spec.imageGb(), true));
   }
 
-  /** Records that a task needs its image; the least recently used ones are evicted for it. */
+  /**
+   * Records that a task of the job needs its image, and evicts the least recently used images to
+   * make room.
+   */
   void use(JobSpec spec) {
     Image known = images.remove(spec.image());
     images.put(spec.image(), known != null ? known : new Image(spec.imageGb(), false));
@@ -64,7 +70,10 @@
     }
   }
 
-  /** Records that a task has left: a fetch that no other task waits for is abandoned. */
+  /**
+   * Records that a task has left the machine. A fetch that no other task waits for counts as
+   * abandoned.
+   */
   void release(String image, Predicate<String> stillNeeded) {
     Image known = images.get(image);
     if (known != null && !known.fetched() && !stillNeeded.test(image)) {
--- a/src/main/java/org/dewreach/model/Job.java
+++ b/src/main/java/org/dewreach/model/Job.java
@@ -11,7 +11,7 @@
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.JobState;
 
-/** A job that is not over, as the leader knows it. */
+/** A job that has not ended, as the leader knows it. */
 public final class Job {
   private final JobSpec spec;
   private final long acceptedWallMicros;
@@ -25,19 +25,22 @@
   private long cancelRequestedAt;
   private long cancelledAt = Long.MIN_VALUE / 2;
 
-  /** Where the search for the next pending task begins; it wraps around. */
+  /** The index at which the search for the next pending task begins; the search wraps around. */
   private int nextPendingFrom;
 
   private int doneCount;
-  private int boundNotDone;
-  private final Object2IntOpenHashMap<String> boundCountInZone = new Object2IntOpenHashMap<>();
+
+  /** The number of bound tasks that are not done. */
+  private int boundNotDoneCount;
+
+  private final Object2IntOpenHashMap<String> boundCountByZone = new Object2IntOpenHashMap<>();
 
   /**
-   * A job.
+   * Creates a job without bound tasks.
    *
-   * @param acceptedWallMicros time of day of its submission
-   * @param addedThisTerm true if it was submitted under the current term, so that no earlier leader
-   *     can have started any of its tasks
+   * @param acceptedWallMicros the wall-clock time of its submission
+   * @param addedThisTerm true if it was submitted or imported under the current term, so that no
+   *     earlier leader can have started any of its tasks
    */
   public Job(JobSpec spec, long acceptedWallMicros, boolean addedThisTerm, JobPhase phase) {
     this.spec = spec;
@@ -46,7 +49,7 @@
     this.phase = phase;
   }
 
-  /** Changes the state; nothing else does. */
+  /** Changes the phase, which is done only here, and rejects transitions that are not allowed. */
   public void become(JobPhase next) {
     boolean legal =
         switch (next) {
@@ -54,7 +57,7 @@
           case ACTIVE -> phase == JobPhase.PERSISTING;
           case CANCEL_REQUESTED -> phase == JobPhase.ACTIVE;
           case CANCEL_COMMITTING -> phase == JobPhase.CANCEL_REQUESTED;
-          // A job may have been cancelled before any leader knew of it.
+          // A job that was accepted without a leader may have been cancelled before its import.
           case CANCELLED -> phase == JobPhase.CANCEL_COMMITTING || phase == JobPhase.PERSISTING;
           case FINALIZING -> mayStillComplete() || phase == JobPhase.CANCELLED;
           case ENDED -> phase == JobPhase.FINALIZING;
@@ -68,87 +71,91 @@
     phase = next;
   }
 
-  /** True while it may still end as done. */
+  /** True while the job may still end as done. */
   public boolean mayStillComplete() {
     return phase == JobPhase.ACTIVE || phase == JobPhase.CANCEL_REQUESTED;
   }
 
-  /** What it ends as, once it is being finalized; null before. */
+  /** Returns the state in which the job ends, or null before it is being finalized. */
   public JobState finalState() {
     return finalState;
   }
 
-  /** Its id. */
+  /** Returns the job's id. */
   public String id() {
     return spec.id();
   }
 
-  /** Its description. */
+  /** Returns the job's specification. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** Its state. */
+  /** Returns the job's phase. */
   public JobPhase phase() {
     return phase;
   }
 
-  /** Time of day of its submission. */
+  /** Returns the wall-clock time of the job's submission. */
   public long acceptedWallMicros() {
     return acceptedWallMicros;
   }
 
   /**
-   * True if it was submitted under the current term, so that no earlier leader started any of it.
+   * True if the job was submitted or imported under the current term, so that no earlier leader can
+   * have started any of its tasks.
    */
   public boolean addedThisTerm() {
     return addedThisTerm;
   }
 
-  /** What the key-value store holds of it. */
+  /** Returns what the key-value store holds of the job. */
   public StoredJobState storedState() {
     return storedState;
   }
 
-  /** When and where it is tried again after failures. */
+  /** Returns when and where the job's tasks are retried after failures. */
   public RetryBackoff backoff() {
     return backoff;
   }
 
-  /** When its user asked to cancel it; 0 if nobody did under this leader. */
+  /** Returns when a user requested the job's cancellation, or 0 if none did under this leader. */
   public long cancelRequestedAt() {
     return cancelRequestedAt;
   }
 
-  /** Sets when its user asked to cancel it. */
+  /** Sets when a user requested the job's cancellation. */
   public void cancelRequestedAt(long micros) {
     cancelRequestedAt = micros;
   }
 
   /**
-   * The earliest time at which its user may have been told that it is cancelled; long ago if that
-   * was under an earlier leader.
+   * Returns the earliest time at which the cancellation may have been confirmed to the user. The
+   * value lies far in the past if that may have been under an earlier leader.
    */
   public long cancelledAt() {
     return cancelledAt;
   }
 
-  /** Sets when its user may have been told that it is cancelled. */
+  /** Sets the earliest time at which the cancellation may have been confirmed to the user. */
   public void cancelledAt(long micros) {
     cancelledAt = micros;
   }
 
-  /** The completed tasks, for reading; {@link #markDone} changes them. */
+  /**
+   * Returns the indexes of the completed tasks. Read-only for callers: {@link #markDone} changes
+   * them.
+   */
   public BitSet doneTasks() {
     return doneTasks;
   }
 
-  /** How many tasks are done. */
+  /** Returns the number of tasks that are done. */
   public int doneCount() {
     return doneCount;
   }
 
-  /** Marks a task as done; false if it was marked before. */
+  /** Marks a task as done. Returns false if it was marked before or the job has no such task. */
   public boolean markDone(int index) {
     if (index >= spec.tasks() || doneTasks.get(index)) {
       return false;
@@ -156,12 +163,12 @@
     doneTasks.set(index);
     doneCount++;
     if (boundTasks.containsKey(index)) {
-      boundNotDone--;
+      boundNotDoneCount--;
     }
     return true;
   }
 
-  /** Sets the tasks that the stored record says are done, when the job is loaded. */
+  /** Restores the tasks that are done according to the stored record, when the job is loaded. */
   public void restoreProgress(BitSet saved) {
     doneTasks.or(saved);
     doneCount = doneTasks.cardinality();
@@ -173,12 +180,15 @@
     return spec.jobKind() != JobKind.SERVICE && doneCount >= spec.tasks();
   }
 
-  /** The bound tasks, for reading; {@link #bind} and {@link #unbind} change them. */
+  /**
+   * Returns a read-only view of the bound tasks by index; {@link #bind} and {@link #unbind} change
+   * them.
+   */
   public Int2ObjectMap<Task> boundTasks() {
     return Int2ObjectMaps.unmodifiable(boundTasks);
   }
 
-  /** True if a task is bound to a machine. */
+  /** True if any task of the job is bound to a machine. */
   public boolean hasBoundTasks() {
     return !boundTasks.isEmpty();
   }
@@ -186,41 +196,44 @@
   /** Binds a task to its machine. */
   public void bind(Task task) {
     if (boundTasks.put(task.index(), task) != null) {
-      throw new IllegalStateException(task.name() + " is bound already");
+      throw new IllegalStateException(task.name() + " is already bound");
     }
-    boundNotDone += doneTasks.get(task.index()) ? 0 : 1;
-    boundCountInZone.addTo(task.machine().zone(), 1);
+    boundNotDoneCount += doneTasks.get(task.index()) ? 0 : 1;
+    boundCountByZone.addTo(task.machine().zone(), 1);
   }
 
-  /** Unbinds a task; it is pending again unless it is done. */
+  /** Unbinds a task, which is pending again unless it is done. */
   public void unbind(Task task) {
     boundTasks.remove(task.index());
-    boundNotDone -= doneTasks.get(task.index()) ? 0 : 1;
-    boundCountInZone.addTo(task.machine().zone(), -1);
+    boundNotDoneCount -= doneTasks.get(task.index()) ? 0 : 1;
+    boundCountByZone.addTo(task.machine().zone(), -1);
     nextPendingFrom = Math.min(nextPendingFrom, task.index());
   }
 
-  /** True if a bound task was not seen to have begun: it may yet, as long as it is bound. */
+  /** True if a bound task has not been seen to start; it may still start while it is bound. */
   public boolean hasTaskNotStarted() {
     return boundTasks.values().stream().anyMatch(task -> !task.hasStarted());
   }
 
-  /** Tasks that are bound to machines of the zone. */
+  /** Returns the number of tasks that are bound to machines in the zone. */
   public int boundCountInZone(String zone) {
-    return boundCountInZone.getInt(zone);
+    return boundCountByZone.getInt(zone);
   }
 
-  /** The number of bound tasks in each zone, for reading. */
+  /** Returns a read-only view of the number of bound tasks by zone. */
   public Map<String, Integer> boundCountByZone() {
-    return Collections.unmodifiableMap(boundCountInZone);
+    return Collections.unmodifiableMap(boundCountByZone);
   }
 
-  /** Tasks that are neither done nor bound to a machine; counted, since every pass asks. */
+  /**
+   * Returns the number of tasks that are neither done nor bound to a machine. It is derived from
+   * counters, because every placement pass reads it.
+   */
   public int pendingCount() {
-    return spec.tasks() - doneCount - boundNotDone;
+    return spec.tasks() - doneCount - boundNotDoneCount;
   }
 
-  /** The lowest task that is neither done nor bound, or -1. */
+  /** Returns the lowest index of a task that is neither done nor bound, or -1 if there is none. */
   public int nextPending() {
     int next = pendingAfter(nextPendingFrom - 1);
     if (next < 0) {
@@ -230,7 +243,10 @@
     return next;
   }
 
-  /** The lowest task above the given one that is neither done nor bound, or -1. */
+  /**
+   * Returns the lowest index above the given one of a task that is neither done nor bound, or -1 if
+   * there is none.
+   */
   public int pendingAfter(int index) {
     for (int i = index + 1; i < spec.tasks(); i++) {
       if (!doneTasks.get(i) && !boundTasks.containsKey(i)) {
@@ -240,12 +256,12 @@
     return -1;
   }
 
-  /** True while its tasks may be started. */
+  /** True while the job's tasks may be started. */
   public boolean startable() {
     return phase == JobPhase.ACTIVE;
   }
 
-  /** Its state as its user sees it. */
+  /** Returns the job's state as it is reported to users. */
   public JobState jobState() {
     return switch (phase) {
       case CANCELLED -> JobState.CANCELLED;
@@ -259,14 +275,14 @@
     return doneCount > 0 || runningCount() > 0 ? JobState.RUNNING : JobState.PENDING;
   }
 
-  /** Tasks that were seen running. */
+  /** Returns the number of bound tasks that were seen running. */
   public int runningCount() {
     int running = 0;
     for (Task task : boundTasks.values()) {
       switch (task.phase()) {
         case RUNNING, STOPPING -> running++;
         default -> {
-          // not running yet, or no more
+          // not running yet, or no longer running
         }
       }
     }
--- a/src/main/java/org/dewreach/model/JobPhase.java
+++ b/src/main/java/org/dewreach/model/JobPhase.java
@@ -1,22 +1,28 @@
 package org.dewreach.model;
 
-/** Named states of a job in the leader's cluster state. */
+/** The phases of a job in the leader's cluster state. */
 public enum JobPhase {
-  /** Its record is being written; the user has no answer yet and nothing is started. */
+  /**
+   * The job's first record is being written. Its acceptance is not confirmed to the user yet, and
+   * no task is started.
+   */
   PERSISTING,
-  /** Accepted: its tasks are to run. */
+  /** The job is accepted, and its tasks are to run. */
   ACTIVE,
   /**
-   * Its user asked to cancel it: nothing is started and its tasks are stopped. The cancellation is
-   * written and confirmed once these are gone, or are sure to be gone in time.
+   * A user requested the cancellation: no task is started, and running ones are stopped. The
+   * cancellation is written and confirmed once they are gone, or are certain to be gone in time.
    */
   CANCEL_REQUESTED,
-  /** To be cancelled; the record is being written. */
+  /** The cancellation is being written to the job's record. */
   CANCEL_COMMITTING,
-  /** Cancelled durably; tasks may still have to be stopped. */
+  /** The cancellation is durable; tasks may still have to be stopped. */
   CANCELLED,
-  /** All tasks are done; the final state is being written. */
+  /**
+   * The final state is being written: all tasks are done, or the job is cancelled and no task is
+   * left.
+   */
   FINALIZING,
-  /** Final state durable. */
+  /** The final state is durable. */
   ENDED
 }
--- a/src/main/java/org/dewreach/model/Machine.java
+++ b/src/main/java/org/dewreach/model/Machine.java
@@ -8,7 +8,7 @@
 import org.dewreach.wire.Priority;
 import org.dewreach.wire.TaskName;
 
-/** A machine, with the tasks that are bound to it. */
+/** A machine in the leader's cluster state, with the tasks that are bound to it. */
 public final class Machine {
   private final String name;
   private final MachineType type;
@@ -31,12 +31,13 @@
   private boolean everUp;
   private long startRefusedAt = Long.MIN_VALUE / 2;
   private boolean reconciled;
-  private boolean requireToken;
+  private boolean requiresToken;
 
   /**
-   * A machine that nothing is bound to.
+   * Creates a machine without bound tasks.
    *
-   * @param phase how it was found; {@link MachinePhase#UNKNOWN} if an earlier leader recorded it
+   * @param phase the initial phase; {@link MachinePhase#UNKNOWN} if an earlier leader registered
+   *     the machine for commands
    */
   public Machine(
       String name,
@@ -59,7 +60,7 @@
     this.heartbeats = new HeartbeatState(nowMicros);
   }
 
-  /** Changes the state; nothing else does. */
+  /** Changes the phase, which is done only here. */
   public void become(MachinePhase next, long nowMicros) {
     if (phase == MachinePhase.GONE) {
       throw new IllegalStateException(name + " is gone and cannot become " + next);
@@ -67,7 +68,7 @@
     if (phase == next) {
       return;
     }
-    // Back from being lost, it has been without tasks for long, which says nothing about now.
+    // A lost machine has had no tasks for a long time, which must not count as idle time.
     if (next == MachinePhase.UP && (!everUp || phase == MachinePhase.LOST)) {
       everUp = true;
       idleSince = nowMicros;
@@ -75,88 +76,92 @@
     phase = next;
   }
 
-  /** Its unique name. */
+  /** Returns the machine's unique name. */
   public String name() {
     return name;
   }
 
-  /** Where its worker takes commands. */
+  /** Returns the address at which the machine's worker accepts commands. */
   public String address() {
     return address;
   }
 
-  /** Sets where its worker takes commands. */
+  /** Sets the address at which the machine's worker accepts commands. */
   public void address(String newAddress) {
     address = newAddress;
   }
 
-  /** Its type. */
+  /** Returns the machine's type. */
   public MachineType type() {
     return type;
   }
 
-  /** Its zone. */
+  /** Returns the machine's zone. */
   public String zone() {
     return zone;
   }
 
-  /** True if the cloud may take it away. */
+  /** True if it is a spot machine, which the cloud may reclaim. */
   public boolean spot() {
     return spot;
   }
 
-  /** Its state. */
+  /** Returns the machine's phase. */
   public MachinePhase phase() {
     return phase;
   }
 
-  /** True if a leader of an earlier term may have sent it commands that are still on their way. */
+  /**
+   * True if a leader of an earlier term may have sent the machine commands that are still in
+   * flight.
+   */
   public boolean commandedByEarlierTerm() {
     return commandedByEarlierTerm;
   }
 
   /**
-   * Marks a machine that was neither rented nor listed, as far as this leader knows: a heartbeat of
-   * it may be a late copy from a machine that is gone, so only one with this term's fencing token
-   * is believed.
+   * Accepts heartbeats of the machine only with this term's fencing token. Needed for a machine
+   * that was neither rented nor listed as far as this leader knows: its heartbeat may be a late
+   * copy from a machine that is gone.
    */
   public void requireToken() {
-    requireToken = true;
+    requiresToken = true;
   }
 
-  /** True if only a heartbeat with this term's fencing token is believed. */
+  /** True if heartbeats of the machine are accepted only with this term's fencing token. */
   public boolean requiresToken() {
-    return requireToken;
+    return requiresToken;
   }
 
-  /** True once it is known which tasks of earlier leaders are left on it. */
+  /** True once it is known which tasks of earlier leaders are left on the machine. */
   public boolean reconciled() {
     return reconciled;
   }
 
-  /** Marks it as reconciled: it is known which tasks of earlier leaders are left on it. */
+  /** Marks the machine as reconciled: it is known which tasks of earlier leaders are left on it. */
   public void markReconciled() {
     reconciled = true;
   }
 
-  /** True if it is recorded durably: it may be given commands. */
+  /** True if the machine is durably registered for commands, so that commands may be sent to it. */
   public boolean commandable() {
     return commandable;
   }
 
-  /** Sets whether it is recorded durably. */
+  /** Sets whether the machine is durably registered for commands. */
   public void commandable(boolean now) {
     commandable = now;
   }
 
-  /** What its worker's heartbeats have told. */
+  /** Returns the state of the machine's worker as its heartbeats show it. */
   public HeartbeatState heartbeats() {
     return heartbeats;
   }
 
   /**
-   * Records how far the worker's heartbeats have been taken, whether they came by themselves or
-   * answered a direct command. A new incarnation knows nothing of earlier direct commands.
+   * Records the incarnation and sequence number of the last heartbeat that was processed, whether
+   * the worker sent it on its own or in response to a direct command. A new incarnation has
+   * received none of the earlier direct commands.
    */
   public void recordSequence(long incarnation, long sequence) {
     if (incarnation != heartbeats.incarnation()) {
@@ -165,104 +170,115 @@
     heartbeats.recordSequence(incarnation, sequence);
   }
 
-  /** Since when it is known. */
+  /** Returns when the machine became known, by being rented or found. */
   public long knownSince() {
     return knownSince;
   }
 
-  /** Sets since when it is known. */
+  /** Sets when the machine became known. */
   public void knownSince(long micros) {
     knownSince = micros;
   }
 
-  /** Since when no task has been bound to it. */
+  /** Returns since when no task has been bound to the machine. */
   public long idleSince() {
     return idleSince;
   }
 
-  /** When the cloud takes it away, or -1. */
+  /** Returns when the cloud reclaims the machine, or -1 if no reclaim is announced. */
   public long reclaimAt() {
     return reclaimAt;
   }
 
-  /** Sets when the cloud takes it away. */
+  /** Sets when the cloud reclaims the machine, or -1 if no reclaim is announced. */
   public void reclaimAt(long micros) {
     reclaimAt = micros;
   }
 
-  /** True if nothing new is placed on it, since the others have capacity enough. */
+  /**
+   * True if the machine is cordoned: no new tasks are placed on it, because the other machines have
+   * enough capacity.
+   */
   public boolean cordoned() {
     return cordoned;
   }
 
-  /** Sets whether nothing new is placed on it. */
+  /** Sets whether the machine is cordoned. */
   public void cordoned(boolean now) {
     cordoned = now;
   }
 
-  /** The tasks that failed on it, and whether it is quarantined for them. */
+  /** Returns the task failures on the machine, and whether it is quarantined for them. */
   public FailureHistory failures() {
     return failures;
   }
 
-  /** True if it is taken for faulty: nothing new is placed on it. */
+  /** True if the machine is presumed faulty, so that no new tasks are placed on it. */
   public boolean quarantined() {
     return failures.quarantined();
   }
 
-  /** When its worker last refused a start that should have fitted by the cluster state. */
+  /**
+   * Returns when the machine's worker last refused a start for lack of room although the task fits
+   * according to the cluster state.
+   */
   public long startRefusedAt() {
     return startRefusedAt;
   }
 
-  /** Sets when its worker refused a start. */
+  /** Sets when the machine's worker last refused a start for lack of room. */
   public void startRefusedAt(long nowMicros) {
     startRefusedAt = nowMicros;
   }
 
-  /** The commands that were sent straight to its worker in this incarnation. */
+  /**
+   * Returns the commands that were sent directly to the machine's worker in its current
+   * incarnation.
+   */
   public DirectCommands directCommands() {
     return directCommands;
   }
 
-  /** True if the image is cached there, as far as is known, or being fetched for another task. */
+  /** True if the image is known to be cached on the machine, or is being fetched for a task. */
   public boolean hasImage(String image) {
     return imageCache.has(image);
   }
 
   /**
-   * Time until a task's image would be fetched, with the fetches in progress sharing the machine's
-   * rate.
+   * Returns the time until the image of a task would be cached, given that the fetches in progress
+   * share the machine's rate.
    */
   public long fetchMicros(JobSpec spec) {
     return imageCache.fetchMicros(spec);
   }
 
-  /** Records that the job's image is cached: a task of it runs. */
+  /**
+   * Records that the job's image is cached on the machine, because a task of the job runs there.
+   */
   public void recordImageFetched(JobSpec spec) {
     imageCache.recordFetched(spec);
   }
 
-  /** The tasks bound to it. */
+  /** Returns the tasks that are bound to the machine. */
   public Collection<Task> tasks() {
     return tasks.values();
   }
 
-  /** The task of that name, or null if it is not bound to this machine. */
+  /** Returns the task with the name, or null if it is not bound to this machine. */
   public Task task(TaskName taskName) {
     return tasks.get(taskName);
   }
 
-  /** Binds a task. */
+  /** Binds a task to the machine. */
   public void bind(Task task) {
     if (tasks.put(task.name(), task) != null) {
-      throw new IllegalStateException(task.name() + " is bound to " + name + " already");
+      throw new IllegalStateException(task.name() + " is already bound to " + name);
     }
     resourceUsage.add(task.spec());
     imageCache.use(task.spec());
   }
 
-  /** Unbinds a task that is proven gone. */
+  /** Unbinds a task that is proven gone from the machine. */
   public void unbind(Task task, long nowMicros) {
     if (!tasks.remove(task.name(), task)) {
       throw new IllegalStateException(task.name() + " is not bound to " + name);
@@ -275,7 +291,7 @@
     }
   }
 
-  /** True if a task of a lower priority is bound to it. */
+  /** True if a task of a lower priority is bound to the machine. */
   public boolean hasTaskOfLowerPriority(Priority priority) {
     return resourceUsage.hasTaskOfLowerPriority(priority);
   }
@@ -284,27 +300,27 @@
     return tasks.values().stream().anyMatch(task -> task.spec().image().equals(image));
   }
 
-  /** CPUs that no bound task takes. */
+  /** Returns the number of CPUs that are not allocated to bound tasks. */
   public double freeCpus() {
     return type.cpus() - resourceUsage.cpus();
   }
 
-  /** GPUs that no bound task takes. */
+  /** Returns the number of GPUs that are not allocated to bound tasks. */
   public double freeGpus() {
     return type.gpus() - resourceUsage.gpus();
   }
 
-  /** Memory that no bound task takes. */
+  /** Returns the memory, in GB, that is not allocated to bound tasks. */
   public double freeMemoryGb() {
     return type.memoryGb() - resourceUsage.memoryGb();
   }
 
-  /** True if new tasks may be placed on it. */
+  /** True if new tasks may be placed on the machine. */
   public boolean schedulable() {
     return !cordoned && schedulableOnceUncordoned();
   }
 
-  /** True if new tasks could be placed on it if it were not cordoned. */
+  /** True if new tasks could be placed on the machine if it were not cordoned. */
   public boolean schedulableOnceUncordoned() {
     return phase == MachinePhase.UP
         && commandable
--- a/src/main/java/org/dewreach/model/MachinePhase.java
+++ b/src/main/java/org/dewreach/model/MachinePhase.java
@@ -1,21 +1,35 @@
 package org.dewreach.model;
 
-/** Named states of a machine in the leader's cluster state. */
+/** The phases of a machine in the leader's cluster state. */
 public enum MachinePhase {
-  /** Rented; it has never sent a heartbeat. */
+  /** The machine is rented and has never sent a heartbeat. */
   BOOTING,
-  /** Recorded by an earlier leader and not heard of under this term: anything may run there. */
+  /**
+   * An earlier leader registered the machine, and no heartbeat of it was received in this term: any
+   * task may run on it.
+   */
   UNKNOWN,
-  /** It sends heartbeats, but without this term's token yet: its task list may be outdated. */
+  /**
+   * The machine sends heartbeats, but without this term's fencing token yet: the task list in them
+   * may be outdated.
+   */
   UNCONFIRMED,
-  /** It sends heartbeats with this term's token: its task list is current. */
+  /**
+   * The machine sends heartbeats with this term's fencing token: the task list in them is current.
+   */
   UP,
-  /** Its lease is over, and all that ran there with it; it may come back in a later incarnation. */
+  /**
+   * The machine's lease has expired, which ended all tasks on it; the worker may return with a
+   * later incarnation.
+   */
   LOST,
-  /** No new tasks; it is returned once it is empty, or taken away. */
+  /**
+   * The machine gets no new tasks. It is released once it is empty, unless the cloud reclaims it
+   * first.
+   */
   DRAINING,
-  /** Its return was asked for and is not confirmed. */
+  /** The machine's release was requested and is not confirmed yet. */
   TERMINATING,
-  /** Gone for sure, with everything on it. */
+  /** The machine is proven gone, with every task on it. */
   GONE
 }
--- a/src/main/java/org/dewreach/model/ResourceUsage.java
+++ b/src/main/java/org/dewreach/model/ResourceUsage.java
@@ -3,29 +3,29 @@
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.Priority;
 
-/** What the tasks that are bound to a machine take of it. */
+/** The resources of a machine that are allocated to its bound tasks. */
 final class ResourceUsage {
   private final int[] tasksByPriority = new int[Priority.values().length];
   private double cpus;
   private double gpus;
   private double memoryGb;
 
-  /** CPUs in use. */
+  /** Returns the number of allocated CPUs. */
   double cpus() {
     return cpus;
   }
 
-  /** GPUs in use. */
+  /** Returns the number of allocated GPUs. */
   double gpus() {
     return gpus;
   }
 
-  /** Memory in use. */
+  /** Returns the allocated memory in GB. */
   double memoryGb() {
     return memoryGb;
   }
 
-  /** Adds a task that was bound. */
+  /** Adds the resources of a task that was bound. */
   void add(JobSpec spec) {
     tasksByPriority[spec.priority().ordinal()]++;
     cpus += spec.cpus();
@@ -33,7 +33,7 @@
     memoryGb += spec.memoryGb();
   }
 
-  /** Subtracts a task that was unbound. */
+  /** Subtracts the resources of a task that was unbound. */
   void remove(JobSpec spec) {
     tasksByPriority[spec.priority().ordinal()]--;
     cpus -= spec.cpus();
@@ -41,7 +41,10 @@
     memoryGb -= spec.memoryGb();
   }
 
-  /** Sets all amounts to 0 after the last task has left: sums of fractions may keep a remainder. */
+  /**
+   * Sets all amounts to 0 after the last task was unbound, because floating-point sums may leave a
+   * remainder.
+   */
   void clear() {
     cpus = 0;
     gpus = 0;
--- a/src/main/java/org/dewreach/model/RestartCheck.java
+++ b/src/main/java/org/dewreach/model/RestartCheck.java
@@ -1,11 +1,19 @@
 package org.dewreach.model;
 
-/** Whether a machine's worker may have restarted with the same name and an old count. */
+/**
+ * Whether a machine's worker may have restarted under the same name with an older incarnation or
+ * sequence number, and so lost its state.
+ */
 public enum RestartCheck {
-  /** Nothing points to it. */
+  /** There is no sign of a restart. */
   NONE,
-  /** A heartbeat came that is either a late copy of its first or the first of a new worker. */
+  /**
+   * A heartbeat arrived that is either a late copy of the worker's first heartbeat or the first one
+   * after a restart.
+   */
   CHECKING,
-  /** The machine itself has shown a lower count than before. */
+  /**
+   * The worker itself, when queried, reported an older incarnation or sequence number than before.
+   */
   CONFIRMED
 }
--- a/src/main/java/org/dewreach/model/RetryBackoff.java
+++ b/src/main/java/org/dewreach/model/RetryBackoff.java
@@ -5,25 +5,23 @@
 import java.util.Set;
 
 /**
- * When and where a job whose tasks failed is tried again: it avoids the machines on which they
- * failed, and pauses the longer the more machines those were.
+ * Decides when and where the tasks of a job are retried after failures: the job avoids the machines
+ * on which its tasks failed, and its pause grows with the number of these machines.
  */
 public final class RetryBackoff {
   private static final int MAX_AVOIDED_MACHINES = 8;
 
   /**
-   * So many machines on which it failed in a row speak against the job. A default of this project.
+   * The number of machines on which the job failed in a row from which the job, not the machines,
+   * is presumed to be the cause.
    */
   private static final int REPEATED_FAILURE_THRESHOLD = 2;
 
-  /**
-   * A machine on which a task of the job failed is avoided by it for this long. A default of this
-   * project.
-   */
-  private static final long AVOIDED_MICROS = 60_000_000;
+  /** How long a job avoids a machine on which one of its tasks failed. */
+  private static final long MACHINE_AVOIDANCE_MICROS = 60_000_000;
 
-  /** Pause of a job that fails repeatedly; it doubles with each failure. */
-  private static final long FIRST_PAUSE_MICROS = 500_000;
+  /** The base of the pause of a job that fails repeatedly; it is doubled for each failure. */
+  private static final long BASE_PAUSE_MICROS = 500_000;
 
   private static final int MAX_PAUSE_DOUBLINGS = 7;
   private static final long MAX_PAUSE_MICROS = 60_000_000;
@@ -34,53 +32,62 @@
 
   RetryBackoff() {}
 
-  /** No task of the job is started before this time. */
+  /** Returns the time before which no task of the job is started. */
   public long notBefore() {
     return notBefore;
   }
 
-  /** Starts no task of the job before the given time. */
+  /**
+   * Delays the start of the job's tasks until the given time, unless they are already delayed for
+   * longer.
+   */
   public void delayUntil(long untilMicros) {
     notBefore = Math.max(notBefore, untilMicros);
   }
 
   /**
-   * A task failed. Several tasks that fail on one machine say no more than one.
+   * Records that a task of the job failed. Failures on a machine that the job avoids already are
+   * not counted, because several failures on one machine prove no more than one.
    *
-   * @param machine where it failed
+   * @param machine the name of the machine on which the task failed
    */
   public void recordFailure(String machine, long nowMicros) {
     if (!avoidedMachines(nowMicros).contains(machine)) {
       failures++;
     }
-    avoidMachine(machine, nowMicros + AVOIDED_MICROS);
+    avoidMachine(machine, nowMicros + MACHINE_AVOIDANCE_MICROS);
     if (failsRepeatedly()) {
-      long pause = FIRST_PAUSE_MICROS << Math.min(failures, MAX_PAUSE_DOUBLINGS);
+      long pause = BASE_PAUSE_MICROS << Math.min(failures, MAX_PAUSE_DOUBLINGS);
       notBefore = nowMicros + Math.min(MAX_PAUSE_MICROS, pause);
     }
   }
 
-  /** The job made progress: earlier failures no longer count against it. */
+  /** Clears the failures and the pause, because the job made progress. */
   public void recordSuccess() {
     failures = 0;
     notBefore = 0;
   }
 
   /**
-   * True if it failed wherever it went since it last made progress: that speaks against the job,
-   * not the machines. It is tried with one task at a time then.
+   * True if the job has failed on several machines, without progress in between, so that the job
+   * rather than the machines is presumed to be the cause. Such a job is retried with one task at a
+   * time.
    */
   public boolean failsRepeatedly() {
     return failures >= REPEATED_FAILURE_THRESHOLD;
   }
 
-  /** True if it failed once and has neither completed a task nor failed elsewhere since. */
+  /**
+   * True if the job failed on one machine and has since neither completed a task nor failed on
+   * another machine.
+   */
   public boolean failedOnce() {
     return failures > 0 && !failsRepeatedly();
   }
 
   /**
-   * Places no task of the job on the machine until then, or until many others were avoided since.
+   * Avoids the machine for tasks of the job until the given time. If too many machines are avoided,
+   * the one that was added first is dropped.
    */
   public void avoidMachine(String machine, long untilMicros) {
     avoidedUntil.remove(machine);
@@ -91,9 +98,10 @@
   }
 
   /**
-   * Machines on which no task of the job is placed now.
+   * Returns the names of the machines on which no task of the job is placed now.
    *
-   * <p>Not for ever: guards against a job that waits beside the only machine with room.
+   * <p>Avoidance is limited in time. Guards against a job that waits forever while the only machine
+   * with free capacity is one that it avoids.
    */
   public Set<String> avoidedMachines(long nowMicros) {
     avoidedUntil.values().removeIf(until -> until <= nowMicros);
--- a/src/main/java/org/dewreach/model/StoredJobState.java
+++ b/src/main/java/org/dewreach/model/StoredJobState.java
@@ -2,7 +2,7 @@
 
 import java.util.BitSet;
 
-/** What the key-value store holds of a job. */
+/** The state of a job that is durable in the key-value store. */
 public final class StoredJobState {
   private long revision;
   private long progressWrittenAt;
@@ -10,32 +10,35 @@
 
   StoredJobState() {}
 
-  /** The record's revision, the precondition of the next write. */
+  /** Returns the revision of the job's record, which is the precondition of the next write. */
   public long revision() {
     return revision;
   }
 
-  /** Sets the record's revision. */
+  /** Sets the revision of the job's record. */
   public void revision(long newRevision) {
     revision = newRevision;
   }
 
-  /** When progress was last written. */
+  /** Returns when a write of the job's progress was last issued. */
   public long progressWrittenAt() {
     return progressWrittenAt;
   }
 
-  /** Sets when progress was last written. */
+  /** Sets when a write of the job's progress was last issued. */
   public void progressWrittenAt(long micros) {
     progressWrittenAt = micros;
   }
 
-  /** The completed tasks that the record tells of, and so a new leader would know of. */
+  /**
+   * Returns the completed tasks that the job's record contains, and that a new leader would
+   * therefore load.
+   */
   public BitSet doneTasks() {
     return doneTasks;
   }
 
-  /** Sets the completed tasks that the record tells of. */
+  /** Sets the completed tasks that the job's record contains. */
   public void doneTasks(BitSet written) {
     doneTasks = written;
   }
--- a/src/main/java/org/dewreach/model/Task.java
+++ b/src/main/java/org/dewreach/model/Task.java
@@ -3,7 +3,7 @@
 import org.dewreach.wire.JobSpec;
 import org.dewreach.wire.TaskName;
 
-/** One attempt of a task, bound to a machine until it is proven gone from there. */
+/** One attempt of a task, bound to a machine until it is proven gone from that machine. */
 public final class Task {
   private final Job job;
   private final int index;
@@ -17,7 +17,7 @@
   private boolean stopSentDirectly;
   private boolean started;
 
-  /** An attempt that is bound just now. */
+  /** Creates an attempt that is bound now. */
   public Task(Job job, int index, long attempt, Machine machine, TaskPhase phase, long nowMicros) {
     this.job = job;
     this.index = index;
@@ -26,11 +26,11 @@
     this.phase = phase;
     this.phaseSince = nowMicros;
     this.boundAt = nowMicros;
-    // One that an earlier leader started and that is saving has started there.
+    // An attempt of an earlier leader that is found while it saves its progress has started.
     this.started = phase == TaskPhase.RUNNING || phase == TaskPhase.STOPPING;
   }
 
-  /** Changes the state; nothing else does. */
+  /** Changes the phase, which is done only here. */
   public void become(TaskPhase next, long nowMicros) {
     if (phase == TaskPhase.GONE) {
       throw new IllegalStateException(name() + " is gone and cannot become " + next);
@@ -47,81 +47,82 @@
     phaseSince = nowMicros;
   }
 
-  /** The job it belongs to. */
+  /** Returns the job to which the task belongs. */
   public Job job() {
     return job;
   }
 
-  /** The job's description. */
+  /** Returns the job's specification. */
   public JobSpec spec() {
     return job.spec();
   }
 
-  /** Its position in the job. */
+  /** Returns the task's index in the job. */
   public int index() {
     return index;
   }
 
-  /** Its attempt number, which is never used again. */
+  /** Returns the attempt number, which is unique over all terms. */
   public long attempt() {
     return attempt;
   }
 
-  /** Where it is bound. */
+  /** Returns the machine to which the task is bound. */
   public Machine machine() {
     return machine;
   }
 
-  /** Its state. */
+  /** Returns the task's phase. */
   public TaskPhase phase() {
     return phase;
   }
 
-  /** When it entered its state. */
+  /** Returns when the task entered its phase. */
   public long phaseSince() {
     return phaseSince;
   }
 
-  /** When it was bound. */
+  /** Returns when the task was bound. */
   public long boundAt() {
     return boundAt;
   }
 
-  /** When it was first seen running, or 0. */
+  /** Returns when the task was first seen running, or 0 if it was not. */
   public long startedAt() {
     return startedAt;
   }
 
   /**
-   * True if it was seen to have started on its machine, so that it does not start there any more.
+   * True if the task was seen to have started on its machine, so that it cannot start there later.
    */
   public boolean hasStarted() {
     return started;
   }
 
   /**
-   * True if a direct start is on its way, or was lost: its absence from a heartbeat proves nothing.
+   * True if a direct start is in flight or got no response, so that the task's absence from a
+   * heartbeat does not prove that it is gone.
    */
   public boolean directStartUnresolved() {
     return directStart == DirectStart.SENT || directStart == DirectStart.LOST;
   }
 
-  /** Sets what is known of a start that was sent directly. */
+  /** Sets the state of a start that was sent directly. */
   public void directStart(DirectStart now) {
     directStart = now;
   }
 
-  /** True if a stop was sent directly to its worker. */
+  /** True if a stop was sent directly to the worker. */
   public boolean stopSentDirectly() {
     return stopSentDirectly;
   }
 
-  /** Records that a stop was sent directly to its worker. */
+  /** Records that a stop was sent directly to the worker. */
   public void markStopSentDirectly() {
     stopSentDirectly = true;
   }
 
-  /** Its public name. */
+  /** Returns the task's name in messages: the job's id and the index. */
   public TaskName name() {
     return new TaskName(job.id(), index);
   }
--- a/src/main/java/org/dewreach/model/TaskPhase.java
+++ b/src/main/java/org/dewreach/model/TaskPhase.java
@@ -1,17 +1,17 @@
 package org.dewreach.model;
 
-/** Named states of a task that is bound to a machine. Unbound tasks need no record. */
+/** The phases of a task that is bound to a machine. There are no objects for unbound tasks. */
 public enum TaskPhase {
-  /** Bound in the leader's cluster state; no start was sent yet. */
+  /** The task is bound in the leader's cluster state, and no start was sent yet. */
   ASSIGNED,
-  /** A start was sent; no heartbeat shows the task yet. */
+  /** A start was sent, and no heartbeat shows the task yet. */
   STARTING,
-  /** The machine fetches the image. */
+  /** The machine fetches the task's image. */
   PULLING,
-  /** The task runs. */
+  /** The task is running. */
   RUNNING,
-  /** The task is to be stopped, or saves because it was told to stop. */
+  /** The task is to be stopped, or is saving its progress after a stop command. */
   STOPPING,
-  /** Proven gone from the machine; the record is dropped. */
+  /** The task is proven gone from the machine and is no longer tracked. */
   GONE
 }
--- a/src/main/java/org/dewreach/state/CatalogRecord.java
+++ b/src/main/java/org/dewreach/state/CatalogRecord.java
@@ -6,11 +6,11 @@
 import org.dewreach.wire.MachineType;
 import org.dewreach.wire.MalformedException;
 
-/** Stored form of the machine type catalog: that of the cloud provider. */
+/** The stored form of the machine type catalog, which is the form that the cloud's API uses. */
 final class CatalogRecord {
   private CatalogRecord() {}
 
-  /** The value to store. */
+  /** Returns the value to store. */
   static ObjectNode encode(List<MachineType> types) {
     return MachineType.catalogNode(types);
   }
@@ -18,7 +18,7 @@
   /**
    * Decodes a stored value.
    *
-   * @throws MalformedException if a type in it cannot be read
+   * @throws MalformedException if a machine type in the value cannot be parsed
    */
   static List<MachineType> decode(JsonNode value) throws MalformedException {
     return MachineType.parseCatalog(value);
--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -20,18 +20,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the leader of one term knows: jobs, machines, and which task is bound to which machine. */
+/**
+ * The in-memory state of the leader of one term: jobs, machines, and which task is bound to which
+ * machine.
+ */
 public final class ClusterState {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
-  /** Attempts of a term are numbered below this bit; the term stands above it. */
+  /**
+   * The number of low bits that count the attempts of a term; the bits above them hold the term.
+   */
   private static final int ATTEMPT_NUMBER_BITS = 24;
 
   private final long term;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** Made once: every pass and every heartbeat reads the jobs and machines. */
+  /** Created once, because every placement pass and every heartbeat reads the jobs and machines. */
   private final Map<String, Job> jobsView = Collections.unmodifiableMap(jobs);
 
   private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
@@ -43,44 +48,50 @@
   private long lastAttemptNumber;
   private boolean placementRequested = true;
 
-  /** The empty state of a term. */
+  /** Creates the empty state of a term. */
   public ClusterState(long term, Map<String, Settings.Team> teams, Tuning tuning) {
     this.serviceRate = new ServiceRate(tuning.headroomSpreads());
     this.term = term;
     this.quotas = new Quotas(teams);
   }
 
-  /** The jobs that have not ended, by id, for reading. */
+  /** Returns a read-only view of the jobs that have not ended, by id. */
   public Map<String, Job> jobs() {
     return jobsView;
   }
 
-  /** All machines by name, for reading. */
+  /** Returns a read-only view of all machines, by name. */
   public Map<String, Machine> machines() {
     return machinesView;
   }
 
-  /** All machines in the order in which placement walks them. */
+  /** Returns all machines in the order in which placement considers them. */
   public SortFirstFit sortedMachines() {
     return sortedMachines;
   }
 
-  /** What each team's bound tasks take. */
+  /** Returns the resources that the bound tasks of each team use. */
   public Quotas quotas() {
     return quotas;
   }
 
-  /** Machines with tasks that were assigned or told to stop lately; the sender removes them. */
+  /**
+   * Returns the machines with tasks that were recently assigned or are to be stopped. The sender of
+   * direct commands removes them.
+   */
   public Set<Machine> machinesToCommand() {
     return machinesToCommand;
   }
 
-  /** The rate at which services arrive. */
+  /** Returns the rate at which services are submitted. */
   public ServiceRate serviceRate() {
     return serviceRate;
   }
 
-  /** CPUs that spot machines, or on-demand ones, have free for new tasks. */
+  /**
+   * Returns the number of CPUs that are free for new tasks on spot machines, or on on-demand
+   * machines.
+   */
   public double freeCpus(boolean spot) {
     double free = 0;
     for (Machine machine : sortedMachines.machines()) {
@@ -103,7 +114,10 @@
     return requested;
   }
 
-  /** A number that no other attempt ever has: it contains the term, which has one leader. */
+  /**
+   * Returns a number that no other attempt ever gets: it contains the term, and a term has only one
+   * leader.
+   */
   public long nextAttempt() {
     return (term << ATTEMPT_NUMBER_BITS) + ++lastAttemptNumber;
   }
@@ -113,7 +127,7 @@
     jobs.put(job.id(), job);
   }
 
-  /** Removes a job that has ended, or that was not accepted after all. */
+  /** Removes a job that has ended, or whose acceptance or import failed. */
   public void removeJob(Job job) {
     jobs.remove(job.id(), job);
   }
@@ -125,7 +139,9 @@
     requestPlacement();
   }
 
-  /** Binds a task to a machine; from here on it counts as running there. */
+  /**
+   * Binds a task to a machine. From then on, the task is assumed to run there until it is unbound.
+   */
   public Task bind(
       Job job, int index, long attempt, Machine machine, TaskPhase phase, long nowMicros) {
     Task task = new Task(job, index, attempt, machine, phase, nowMicros);
@@ -162,7 +178,7 @@
     requestPlacement();
   }
 
-  /** Unbinds all tasks of a machine, which are proven gone. */
+  /** Unbinds all tasks of a machine, all of which are proven gone. */
   public void unbindAll(Machine machine, String reason, long nowMicros) {
     List<Task> tasks = new ArrayList<>(machine.tasks());
     if (!tasks.isEmpty()) {
@@ -172,7 +188,7 @@
     tasks.forEach(task -> unbind(task, reason, nowMicros));
   }
 
-  /** Changes the phase of a machine that stays in the cluster. */
+  /** Changes the phase of a machine that stays in the cluster state. */
   public void changePhase(Machine machine, MachinePhase next, String reason, long nowMicros) {
     LOG.info(
         "machine phase changed: machine={} from={} to={} reason=\"{}\"",
@@ -195,7 +211,7 @@
     requestPlacement();
   }
 
-  /** Records that a task has completed, on whichever machine. */
+  /** Records that a task has completed, on any machine. */
   public void markDone(Job job, int index) {
     if (job.markDone(index)) {
       job.backoff().recordSuccess();
@@ -203,7 +219,7 @@
     }
   }
 
-  /** Stops a task; one whose start was never sent is unbound at once. */
+  /** Marks a task to be stopped. A task whose start was never sent is unbound at once. */
   public void stop(Task task, String reason, long nowMicros) {
     switch (task.phase()) {
       case ASSIGNED -> unbind(task, reason, nowMicros);
@@ -217,7 +233,7 @@
         machinesToCommand.add(task.machine());
       }
       case STOPPING, GONE -> {
-        // being stopped already
+        // already stopping or gone
       }
     }
   }
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -16,13 +16,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Loads what earlier leaders stored: first the machines that may have been given commands, then the
- * jobs that have not ended.
+ * Loads the records that earlier leaders stored: first the registered machines, then the jobs that
+ * have not ended.
  */
 public final class ClusterStateLoader {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterStateLoader.class);
   private static final int PAGE_SIZE = 200;
-  private static final long RETRY_MICROS = 200_000;
+  private static final long RETRY_DELAY_MICROS = 200_000;
 
   private enum Phase {
     MACHINES(Keys.MACHINE_PAGES),
@@ -52,9 +52,9 @@
   private boolean closed;
 
   /**
-   * A loader that has read nothing yet.
+   * Creates a loader for a new term.
    *
-   * @param wallOffsetMicros time of day minus event time
+   * @param wallOffsetMicros wall-clock time minus event loop time
    */
   public ClusterStateLoader(
       KeyValueStore store,
@@ -69,17 +69,17 @@
     this.catalog = catalog;
   }
 
-  /** True once everything is loaded. */
+  /** True once all records are loaded. */
   public boolean done() {
     return phase == Phase.DONE;
   }
 
-  /** Ignores all later responses: the term is over. */
+  /** Ignores all later responses, because the term is over. */
   public void close() {
     closed = true;
   }
 
-  /** Reads the next page if it is time. */
+  /** Reads the next page of records if a read is due. */
   public void tick(long nowMicros) {
     if (closed || reading || done() || nowMicros < nextReadAt || !catalog.known()) {
       return;
@@ -94,7 +94,7 @@
     }
     reading = false;
     if (!(result instanceof RangePage page)) {
-      nextReadAt = nowMicros + RETRY_MICROS;
+      nextReadAt = nowMicros + RETRY_DELAY_MICROS;
       return;
     }
     for (KeyValue entry : page.entries()) {
@@ -116,7 +116,7 @@
         loadJob(entry);
       }
     } catch (MalformedException e) {
-      LOG.error("record malformed, left alone: key={} cause=\"{}\"", entry.key(), e.getMessage());
+      LOG.error("record malformed, skipped: key={} cause=\"{}\"", entry.key(), e.getMessage());
     }
   }
 
@@ -136,14 +136,15 @@
     try {
       return Integer.parseInt(key.substring(Keys.MACHINE_PAGES.length()));
     } catch (NumberFormatException e) {
-      throw new MalformedException("key", "not the number of a page");
+      throw new MalformedException("key", "not a page number");
     }
   }
 
   private Machine restore(MachinePageRecord.Entry stored, long nowMicros) {
     MachineType type = catalog.type(stored.type());
     if (type == null) {
-      // Not offered any more: no room to offer, but its tasks are real.
+      // The type is no longer offered. Without capacity nothing is placed on the machine, but the
+      // tasks that run there still count.
       type = new MachineType(stored.type(), 0, 0, 0, 0, 0, 0, 0, 0, List.of());
     }
     Machine machine =
--- a/src/main/java/org/dewreach/state/DurabilityListener.java
+++ b/src/main/java/org/dewreach/state/DurabilityListener.java
@@ -2,20 +2,26 @@
 
 import org.dewreach.model.Job;
 
-/** Told when something became durable, or can not become so in this term. */
+/**
+ * Receives notifications when writes of the leader have become durable, or cannot become durable in
+ * this term.
+ */
 public interface DurabilityListener {
-  /** A new or imported job is durable. */
+  /** Called when a new or imported job is durable. */
   void onAccepted(Job job, long nowMicros);
 
-  /** A job's cancellation is durable. */
+  /** Called when a job's cancellation is durable. */
   void onCancelled(Job job, long nowMicros);
 
-  /** A job's final state is durable. */
+  /** Called when a job's final state is durable. */
   void onEnded(Job job, long nowMicros);
 
-  /** Machines are durably registered for commands. */
+  /** Called when machines may have become durably registered for commands. */
   void onMachinesRegistered(long nowMicros);
 
-  /** A write failed in a way that only an outdated revision here explains: the term must end. */
+  /**
+   * Called when a write failed in a way that only an outdated revision in this controller explains,
+   * so that the term must end.
+   */
   void onRecordConflict(String reason, long nowMicros);
 }
--- a/src/main/java/org/dewreach/state/JobRecord.java
+++ b/src/main/java/org/dewreach/state/JobRecord.java
@@ -8,15 +8,16 @@
 import org.dewreach.wire.MalformedException;
 
 /**
- * Stored form of a job that has not ended.
+ * The stored form of a job that has not ended.
  *
- * <p>Completed tasks are kept as the index of the first task that is not complete, and a bitmap in
- * hexadecimal from there on. What does not fit is left out: a task that is run again exits as done
- * once it has its image, so only a little work is lost with it.
+ * <p>Completed tasks are stored as the index of the first task that is not complete, followed by a
+ * hexadecimal bitmap that begins at this index. Completed tasks beyond the bitmap's size are left
+ * out: such a task is run again and exits as done once its image is fetched, so only a little work
+ * is lost.
  *
- * @param acceptedWallMicros time of day of its submission
- * @param cancelled true if its cancellation is durable
- * @param done the completed tasks
+ * @param acceptedWallMicros the wall-clock time of the job's submission
+ * @param cancelled true if the job's cancellation is durable
+ * @param done the indexes of the completed tasks
  */
 public record JobRecord(JobSpec spec, long acceptedWallMicros, boolean cancelled, BitSet done) {
   private static final String SPEC = "job";
@@ -25,13 +26,16 @@
   private static final String FIRST_NOT_DONE = "low";
   private static final String DONE_BITMAP = "bits";
 
-  /** 12 Ki bits are 3 KiB in hexadecimal: with the job's spec well within a value. */
+  /**
+   * 12 Ki bits take 3 KiB in hexadecimal, which together with the job's specification stays well
+   * below the size limit of a value.
+   */
   private static final int MAX_BITMAP_BITS = 12 * 1024;
 
   private static final int HEX_RADIX = 16;
   private static final int BITS_PER_DIGIT = 4;
 
-  /** The value to store. */
+  /** Returns the value to store. */
   public ObjectNode encode() {
     ObjectNode value = Codec.map();
     value.set(SPEC, spec.toNode());
@@ -53,7 +57,7 @@
   /**
    * Decodes a stored value.
    *
-   * @throws MalformedException if the job's spec in it cannot be read
+   * @throws MalformedException if the job's specification in the value cannot be parsed
    */
   public static JobRecord decode(JsonNode value) throws MalformedException {
     JobSpec spec = JobSpec.parse(value.path(SPEC));
@@ -64,21 +68,25 @@
     return new JobRecord(spec, value.path(ACCEPTED_AT).asLong(0), isCancelled(value), done);
   }
 
-  /** Whether a stored job is cancelled, which can be read even if its spec cannot. */
+  /**
+   * True if a stored job is cancelled. This can be read even if the job's specification cannot be
+   * parsed.
+   */
   static boolean isCancelled(JsonNode value) {
     return value.path(CANCELLED).asBoolean(false);
   }
 
   /**
-   * The completed tasks that a record of the job keeps.
+   * Returns those of the given completed tasks that a record of the job contains.
    *
-   * <p>Guards against results that are removed from their workers as if they were durable.
+   * <p>Guards against removing a task's result from its worker although the completion is not
+   * durable.
    */
   public static BitSet storedDoneTasks(BitSet done) {
     return done.get(0, storedEnd(done));
   }
 
-  /** The index after the last task that a record tells about. */
+  /** Returns the index after the last task that a record covers. */
   private static int storedEnd(BitSet done) {
     return Math.min(done.length(), done.nextClearBit(0) + MAX_BITMAP_BITS);
   }
--- a/src/main/java/org/dewreach/state/JobRecordWriter.java
+++ b/src/main/java/org/dewreach/state/JobRecordWriter.java
@@ -18,31 +18,38 @@
 import org.dewreach.wire.JobState;
 
 /**
- * Writes the records of jobs, with one write in flight for each job: so each is conditional on the
- * revision of the one before, and a late copy of any can change nothing.
+ * Writes the records of jobs, with at most one write in flight for each job. Each write is
+ * therefore conditional on the revision of the one before, and a late copy of a write has no
+ * effect.
  */
 public final class JobRecordWriter {
-  /** Progress is only saved work: it is gathered so that it leaves the rate to users' writes. */
+  /**
+   * The minimum time between progress writes of a job. Progress only saves work, so it is batched
+   * to leave the store's write rate to writes that users wait for.
+   */
   private static final long PROGRESS_INTERVAL_MICROS = 4_000_000;
 
-  /** From this many pending writes on, progress is not written. */
+  /** The number of pending writes from which no progress is written. */
   private static final int PROGRESS_PENDING_LIMIT = 12;
 
   /** Decides when a cancellation may be made durable. */
   public interface CancellationCheck {
-    /** True if all tasks of the job are gone, or will be soon enough after its user is told. */
+    /**
+     * True if all tasks of the job are gone, or will be gone in time after the cancellation is
+     * confirmed to its user.
+     */
     boolean tasksEndInTime(Job job, long nowMicros);
   }
 
-  /** What is done once a write is durable at a revision. */
+  /** An action that runs once a write is durable at a revision. */
   private interface OnWritten {
     void run(long nowMicros, long revision);
   }
 
   /**
-   * A write without an outcome.
+   * A write whose outcome is not known yet.
    *
-   * @param endsJob true if it writes the job's final state, or its cancellation
+   * @param endsJob true if the write contains the job's final state or its cancellation
    */
   private record PendingWrite(ConditionalWrite write, boolean endsJob) {}
 
@@ -52,7 +59,7 @@
   private final Map<Job, PendingWrite> pendingWrites = new HashMap<>();
   private boolean mayFinalizeCancelled;
 
-  /** A writer that puts its writes into the given queue. */
+  /** Creates a writer that adds its writes to the given queue. */
   public JobRecordWriter(
       CommitQueue queue, CancellationCheck cancellationCheck, DurabilityListener listener) {
     this.queue = queue;
@@ -63,21 +70,22 @@
   /**
    * Allows final states of jobs that were cancelled in an earlier term.
    *
-   * <p>Until every machine has sent a heartbeat, such a job may still run somewhere: its record has
-   * to stay, or those tasks would be counted for no team.
+   * <p>Until every machine has sent a heartbeat, tasks of such a job may still run on some machine.
+   * Its record must be kept until then; otherwise these tasks would not be charged to any team.
    */
   public void allowFinalizingCancelled() {
     mayFinalizeCancelled = true;
   }
 
-  /** True while nothing can be made durable. */
+  /** True while writes to the key-value store make no progress. */
   public boolean stalled(long nowMicros) {
     return queue.stalled(nowMicros);
   }
 
   /**
-   * True while the job's end, or its cancellation, may be durable without our knowing: another
-   * controller may have read it then. Otherwise the last durable state is the current one.
+   * True while the job's final state or its cancellation may be durable without confirmation to
+   * this controller, so that another controller may already have read it. Otherwise the last state
+   * known to be durable is the current one.
    */
   public boolean endInDoubt(Job job) {
     PendingWrite pending = pendingWrites.get(job);
@@ -87,7 +95,7 @@
   /**
    * Writes a new job.
    *
-   * @param onExists called if the job has a record already
+   * @param onExists called if the job already has a record
    * @return false if the queue is full
    */
   public boolean writeNewJob(Job job, long nowMicros, Runnable onExists) {
@@ -101,10 +109,10 @@
   }
 
   /**
-   * Moves a job that was accepted without a leader to the leader's jobs.
+   * Moves the record of a job that was accepted without a leader to the leader's job records.
    *
-   * @param revision of the record that was read
-   * @param onChanged called if the record was changed since
+   * @param revision the revision of the record that was read
+   * @param onChanged called if the record was changed since then
    * @return false if the queue is full
    */
   boolean writeImportedJob(
@@ -146,7 +154,10 @@
     return offer(job, new PendingWrite(write, false), nowMicros);
   }
 
-  /** Writes what is due for the job, if anything: progress, cancellation or final state. */
+  /**
+   * Writes the progress, cancellation or final state of the job if one of them is due and no write
+   * of the job is in flight.
+   */
   public void writeIfDue(Job job, long nowMicros) {
     if (pendingWrites.containsKey(job)) {
       return;
@@ -207,7 +218,7 @@
     offer(job, new PendingWrite(write, true), nowMicros);
   }
 
-  /** A write of the job's record as it is now, over the one that is stored. */
+  /** Returns a write that replaces the job's stored record by its current state. */
   private ConditionalWrite overwrite(
       Job job, boolean cancelled, Urgency urgency, LongConsumer onWritten) {
     BitSet done = (BitSet) job.doneTasks().clone();
@@ -275,13 +286,14 @@
         case WRITTEN -> onWritten.run(now, revision);
         case CONFLICT -> onConflict.accept(now);
         case UNKNOWN -> {
-          // the term is over: the next leader reads what was applied
+          // The term is over; the next leader reads what was applied.
         }
       }
     };
   }
 
   private void reportConflict(Job job, long nowMicros) {
-    listener.onRecordConflict("record of " + job.id() + " was changed by another", nowMicros);
+    listener.onRecordConflict(
+        "record of " + job.id() + " was changed by another writer", nowMicros);
   }
 }
--- a/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
+++ b/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
@@ -15,22 +15,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Imports the jobs that other controllers accepted without a leader: reads those that are there,
- * and watches for more.
+ * Imports the jobs that other controllers accepted without a leader: reads the stored ones, and
+ * watches for further ones.
  *
- * <p>Nobody starts a task of such a job before a leader has moved its record, in one transaction
- * that is conditional on the leader key; so in the term that moved it none can have been started.
+ * <p>No task of such a job is started before a leader has moved the job's record, in one
+ * transaction that is conditional on the leader key. So no earlier leader can have started a task
+ * of a job that is imported in the current term.
  */
 public final class LeaderlessJobImporter {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderlessJobImporter.class);
   private static final int PAGE_SIZE = 100;
-  private static final long WATCH_MS = 8_000;
-  private static final long RETRY_MICROS = 400_000;
+  private static final long WATCH_TIMEOUT_MS = 8_000;
+  private static final long RETRY_DELAY_MICROS = 400_000;
 
   private enum Phase {
-    /** Everything was read; a watch tells of more. */
+    /** All pages are read; a watch reports further jobs. */
     IDLE,
-    /** The next page is to be read. */
+    /** The next page is due to be read. */
     READ_DUE,
     /** A page is being read. */
     READING
@@ -49,9 +50,9 @@
   private boolean closed;
 
   /**
-   * An importer of a new term.
+   * Creates an importer for a new term.
    *
-   * @param onNotImported told the id of each job that is not imported after all, or not yet
+   * @param onNotImported called with the id of each job whose import failed, or has to be retried
    */
   public LeaderlessJobImporter(
       KeyValueStore store,
@@ -64,7 +65,7 @@
     this.recordWriter = recordWriter;
   }
 
-  /** Ignores all later responses: the term is over. */
+  /** Ignores all later responses, because the term is over. */
   public void close() {
     closed = true;
   }
@@ -73,7 +74,7 @@
     phase = next;
   }
 
-  /** Reads the next page if it is time. */
+  /** Reads the next page of records if a read is due. */
   public void tick(long nowMicros) {
     if (!closed && phase == Phase.READ_DUE && nowMicros >= nextReadAt) {
       become(Phase.READING);
@@ -87,13 +88,13 @@
     }
     become(Phase.READ_DUE);
     if (!(result instanceof RangePage page)) {
-      nextReadAt = nowMicros + RETRY_MICROS;
+      nextReadAt = nowMicros + RETRY_DELAY_MICROS;
       return;
     }
     nextReadAt = nowMicros;
     if (lastKey == null) {
-      // Guards against a job that is stored under an earlier key than the pages have come to: the
-      // watch begins where the first page did.
+      // Guards against missing a job that is stored, while the pages are read, under a key before
+      // the current page: the watch begins at the revision of the first page.
       firstPageRevision = page.storeRevision();
     }
     for (KeyValue entry : page.entries()) {
@@ -120,7 +121,7 @@
 
   private void watch(long revision) {
     watching = true;
-    store.watch(Keys.LEADERLESS_JOBS, revision, WATCH_MS, this::onChanges);
+    store.watch(Keys.LEADERLESS_JOBS, revision, WATCH_TIMEOUT_MS, this::onChanges);
   }
 
   private void onChanges(long nowMicros, WatchResult result) {
@@ -129,25 +130,26 @@
     }
     watching = false;
     if (!(result instanceof WatchBatch batch)) {
-      requestReread(nowMicros + RETRY_MICROS);
+      requestReread(nowMicros + RETRY_DELAY_MICROS);
       return;
     }
     batch.puts().forEach(entry -> importJob(entry, nowMicros));
     watch(batch.storeRevision());
   }
 
-  /** Imports a job, unless that is being done already. */
+  /** Imports a job, unless it is already being accepted or imported. */
   public void importJob(KeyValue entry, long nowMicros) {
     JobRecord stored;
     try {
       stored = LeaderlessJobRecord.decode(entry.value());
     } catch (MalformedException e) {
-      LOG.error("record malformed, left alone: key={} cause=\"{}\"", entry.key(), e.getMessage());
+      LOG.error("record malformed, skipped: key={} cause=\"{}\"", entry.key(), e.getMessage());
       return;
     }
     String id = stored.spec().id();
     if (clusterState.jobs().containsKey(id)) {
-      // Being accepted or imported here: if that write meets this record, all are read again.
+      // The job is being accepted or imported here. If that write conflicts with this record, all
+      // records are read again.
       return;
     }
     Job job = new Job(stored.spec(), stored.acceptedWallMicros(), true, JobPhase.PERSISTING);
@@ -160,11 +162,14 @@
             nowMicros,
             () -> abandonImport(job, nowMicros));
     if (!accepted) {
-      abandonImport(job, nowMicros + RETRY_MICROS);
+      abandonImport(job, nowMicros + RETRY_DELAY_MICROS);
     }
   }
 
-  /** The record was changed meanwhile, or the write queue is full: all are read again. */
+  /**
+   * Abandons an import because the record was changed meanwhile, or because the write queue is
+   * full. All records are read again.
+   */
   private void abandonImport(Job job, long rereadAtMicros) {
     clusterState.removeJob(job);
     onNotImported.accept(job.id());
--- a/src/main/java/org/dewreach/state/LeaderlessJobRecord.java
+++ b/src/main/java/org/dewreach/state/LeaderlessJobRecord.java
@@ -8,16 +8,16 @@
 import org.dewreach.wire.MalformedException;
 
 /**
- * Stored form of a job that was accepted without a leader, until the leader imports it: a {@link
- * JobRecord} with the id of the write, which makes each write's value unique.
+ * The stored form of a job that was accepted without a leader, until a leader imports it: a {@link
+ * JobRecord} with the id of the write, which makes the value of each write unique.
  */
 public final class LeaderlessJobRecord {
   private LeaderlessJobRecord() {}
 
   /**
-   * The value to store.
+   * Returns the value to store.
    *
-   * @param writeId unique among all writes
+   * @param writeId an id that is unique among all writes
    */
   public static ObjectNode encode(
       JobSpec spec, long acceptedWallMicros, boolean cancelled, BitSet done, String writeId) {
@@ -29,13 +29,16 @@
   /**
    * Decodes a stored value.
    *
-   * @throws MalformedException if the job's spec in it cannot be read
+   * @throws MalformedException if the job's specification in the value cannot be parsed
    */
   public static JobRecord decode(JsonNode value) throws MalformedException {
     return JobRecord.decode(value);
   }
 
-  /** Whether the job was cancelled, which can be read even if its spec cannot. */
+  /**
+   * True if the job was cancelled. This can be read even if the job's specification cannot be
+   * parsed.
+   */
   public static boolean isCancelled(JsonNode value) {
     return JobRecord.isCancelled(value);
   }
--- a/src/main/java/org/dewreach/state/MachinePageRecord.java
+++ b/src/main/java/org/dewreach/state/MachinePageRecord.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.dewreach.wire.Codec;
 
-/** Stored form of a page of machines: for each name an array of the other columns. */
+/** The stored form of a page of machines: an array of the other columns for each machine name. */
 record MachinePageRecord(List<Entry> entries) {
   private static final String MACHINES = "machines";
   private static final int TYPE_COLUMN = 0;
@@ -17,10 +17,10 @@
   private static final int COMMANDABLE_COLUMN = 4;
 
   /**
-   * One machine.
+   * The entry of one machine.
    *
-   * @param knownSinceWallMicros time of day at which it was rented or found
-   * @param commandable true if it may have been given commands
+   * @param knownSinceWallMicros the wall-clock time at which the machine was rented or found
+   * @param commandable true if commands may have been sent to the machine
    */
   record Entry(
       String name,
@@ -30,7 +30,7 @@
       long knownSinceWallMicros,
       boolean commandable) {}
 
-  /** The value to store. */
+  /** Returns the value to store. */
   ObjectNode encode() {
     ObjectNode value = Codec.map();
     ObjectNode machines = value.putObject(MACHINES);
@@ -46,7 +46,7 @@
     return value;
   }
 
-  /** Decodes a stored value. */
+  /** Decodes a stored value. Entries that cannot be read are kept, with default values. */
   static MachinePageRecord decode(JsonNode value) {
     List<Entry> entries = new ArrayList<>();
     for (Map.Entry<String, JsonNode> field : value.path(MACHINES).properties()) {
@@ -58,7 +58,7 @@
               columns.path(ZONE_COLUMN).asText(),
               columns.path(SPOT_COLUMN).asBoolean(),
               columns.path(KNOWN_SINCE_COLUMN).asLong(),
-              // A machine whose entry cannot be read may have been given commands.
+              // Commands may have been sent to a machine whose entry cannot be read.
               columns.path(COMMANDABLE_COLUMN).asBoolean(true)));
     }
     return new MachinePageRecord(entries);
--- a/src/main/java/org/dewreach/state/MachineRegistry.java
+++ b/src/main/java/org/dewreach/state/MachineRegistry.java
@@ -15,42 +15,47 @@
 import org.dewreach.store.Precondition;
 
 /**
- * The durable list of machines that a later leader has to wait for, many to a record.
+ * The durable list of the machines that a later leader has to wait for, stored in pages of many
+ * machines.
  *
- * <p>A machine is registered when it was rented, so that its boot is waited for, and registered for
- * commands before its first command, so that nothing is started again that may run there. One
- * record for each machine took three writes for each, and a fleet of hundreds used up the store's
- * write rate for most of a minute. Each page is conditional on its own revision, so a late copy of
- * an earlier form, which lacks machines, is never applied.
+ * <p>A machine is registered when it has been rented, so that a later leader waits for its boot. It
+ * is registered for commands before its first command is sent, so that a later leader does not
+ * start a task elsewhere that may still run there. With one record for each machine, each machine
+ * took three writes, and a fleet of hundreds of machines exhausted the store's write rate for most
+ * of a minute. Each write of a page is conditional on the page's revision, so that a late copy of
+ * an earlier write, which lacks machines, is never applied.
  */
 public final class MachineRegistry {
   /**
-   * Registrations for commands are gathered this long before a write: a machine waits that long for
-   * its first command. A default of this project.
+   * How long registrations for commands are batched before a write. A machine waits this long for
+   * its first command.
    */
   private static final long COMMANDABLE_DELAY_MICROS = 100_000;
 
   /**
-   * Other changes may wait; a registration or removal that is lost costs a later leader some
-   * waiting. A default of this project.
+   * How long other changes are batched before a write. A registration or removal that is lost only
+   * makes a later leader wait longer.
    */
   private static final long OTHER_CHANGES_DELAY_MICROS = 2_000_000;
 
-  /** More of the value's limit than this is not used, whatever the coding adds. */
+  /**
+   * The share of the store's value limit that the estimated size of a page may use. The rest is
+   * reserved for encoding overhead.
+   */
   private static final double MAX_FILL_SHARE = 0.7;
 
-  /** What an entry takes beside its texts. */
-  private static final int ENTRY_BYTES = 48;
+  /** The estimated size of an entry without its names. */
+  private static final int ENTRY_OVERHEAD_BYTES = 48;
 
-  /** Machines that share a record. */
+  /** The machines that share a record. */
   private static final class Page {
     final int number;
     final Set<Machine> machines = new LinkedHashSet<>();
 
-    /** Those that are to be registered for commands. */
-    final Set<Machine> awaitingCommands = new LinkedHashSet<>();
+    /** The machines that are to be registered for commands. */
+    final Set<Machine> pendingCommandable = new LinkedHashSet<>();
 
-    /** Those that are durably registered for commands. */
+    /** The machines that are durably registered for commands. */
     final Set<Machine> commandable = new LinkedHashSet<>();
 
     long revision;
@@ -75,10 +80,10 @@
   private final Map<Machine, Page> pageOf = new HashMap<>();
 
   /**
-   * An empty registry.
+   * Creates an empty registry.
    *
-   * @param valueBytes the largest value that the key-value store takes
-   * @param wallOffsetMicros time of day minus event time
+   * @param valueBytes the size limit of a value in the key-value store
+   * @param wallOffsetMicros wall-clock time minus event loop time
    */
   public MachineRegistry(
       CommitQueue queue, int valueBytes, long wallOffsetMicros, DurabilityListener listener) {
@@ -88,12 +93,15 @@
     this.listener = listener;
   }
 
-  /** Restores a page of an earlier leader; its machines follow by {@link #restoreMachine}. */
+  /**
+   * Restores a page that an earlier leader stored. Its machines are restored by {@link
+   * #restoreMachine}.
+   */
   void restorePage(int number, long revision) {
     page(number).revision = revision;
   }
 
-  /** Restores a machine on its page. */
+  /** Restores a machine in its page. */
   void restoreMachine(int pageNumber, Machine machine) {
     Page page = page(pageNumber);
     addToPage(page, machine);
@@ -102,7 +110,7 @@
     }
   }
 
-  /** Registers a machine that was rented or found, unless it is registered. */
+  /** Registers a machine that was rented or found, unless it is already registered. */
   public void register(Machine machine, long nowMicros) {
     if (!pageOf.containsKey(machine)) {
       Page page = pageWithSpace(machine);
@@ -111,7 +119,7 @@
     }
   }
 
-  /** Registers a machine for commands, which it may be given once that is durable. */
+  /** Registers a machine for commands, which may be sent to it once the registration is durable. */
   public void registerForCommands(Machine machine, long nowMicros) {
     if (machine.commandable()) {
       return;
@@ -121,7 +129,7 @@
       page = pageWithSpace(machine);
       addToPage(page, machine);
     }
-    if (!page.commandable.contains(machine) && page.awaitingCommands.add(machine)) {
+    if (!page.commandable.contains(machine) && page.pendingCommandable.add(machine)) {
       page.writeBy(nowMicros + COMMANDABLE_DELAY_MICROS);
     }
   }
@@ -131,7 +139,7 @@
     Page page = pageOf.remove(machine);
     if (page != null) {
       page.machines.remove(machine);
-      page.awaitingCommands.remove(machine);
+      page.pendingCommandable.remove(machine);
       page.commandable.remove(machine);
       page.bytes -= estimatedBytes(machine);
       page.writeBy(nowMicros + OTHER_CHANGES_DELAY_MICROS);
@@ -169,7 +177,7 @@
   }
 
   private static int estimatedBytes(Machine machine) {
-    return ENTRY_BYTES
+    return ENTRY_OVERHEAD_BYTES
         + machine.name().length()
         + machine.type().name().length()
         + machine.zone().length();
@@ -177,13 +185,13 @@
 
   private void write(Page page, long nowMicros) {
     Set<Machine> commandable = new LinkedHashSet<>(page.commandable);
-    commandable.addAll(page.awaitingCommands);
+    commandable.addAll(page.pendingCommandable);
     String key = Keys.machinePage(page.number);
     ConditionalWrite write =
         new ConditionalWrite(
             List.of(Precondition.unchanged(key, page.revision)),
             List.of(Mutation.put(key, toRecord(page, commandable).encode())),
-            page.awaitingCommands.isEmpty()
+            page.pendingCommandable.isEmpty()
                 ? ConditionalWrite.Urgency.DEFERRABLE
                 : ConditionalWrite.Urgency.URGENT,
             (now, outcome, revision) -> onOutcome(page, commandable, outcome, revision, now));
@@ -225,15 +233,15 @@
       }
       case CONFLICT ->
           listener.onRecordConflict(
-              "machine page " + page.number + " was changed by another", nowMicros);
+              "machine page " + page.number + " was changed by another writer", nowMicros);
       case UNKNOWN -> {
-        // the term is over: the next leader reads what was applied
+        // The term is over; the next leader reads what was applied.
       }
     }
   }
 
   private static void markCommandable(Page page, Machine machine) {
-    page.awaitingCommands.remove(machine);
+    page.pendingCommandable.remove(machine);
     if (page.machines.contains(machine)) {
       page.commandable.add(machine);
       machine.commandable(true);
--- a/src/main/java/org/dewreach/state/MachineTypeCatalog.java
+++ b/src/main/java/org/dewreach/state/MachineTypeCatalog.java
@@ -17,37 +17,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine types that the cloud provider offers.
+ * The catalog of the machine types that the cloud offers.
  *
- * <p>The leader asks the provider and keeps a copy in the key-value store, so that a controller
- * that starts while the provider is down can still check submissions.
+ * <p>The leader requests the types from the cloud and stores a copy in the key-value store, so that
+ * a controller that starts during an outage of the cloud can still check submissions.
  */
 public final class MachineTypeCatalog {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
   private static final long REFRESH_INTERVAL_MICROS = 60_000_000;
-  private static final long PROVIDER_RETRY_MICROS = 2_000_000;
-  private static final long STORE_RETRY_MICROS = 500_000;
+  private static final long PROVIDER_RETRY_DELAY_MICROS = 2_000_000;
+  private static final long STORE_RETRY_DELAY_MICROS = 500_000;
 
   private final KeyValueStore store;
   private final CloudClient cloud;
   private List<MachineType> types = List.of();
-  private boolean requesting;
+  private boolean requestInFlight;
   private boolean storeTried;
   private boolean storedCopyOutdated;
   private long nextRequestAt;
 
-  /** A catalog without any type yet. */
+  /** Creates a catalog without types. */
   public MachineTypeCatalog(KeyValueStore store, CloudClient cloud) {
     this.store = store;
     this.cloud = cloud;
   }
 
-  /** All types; empty until they are known. */
+  /** Returns all types, or an empty list until they are known. */
   public List<MachineType> types() {
     return types;
   }
 
-  /** The type with the name, or null. */
+  /** Returns the type with the name, or null if there is none. */
   public MachineType type(String name) {
     for (MachineType type : types) {
       if (type.name().equals(name)) {
@@ -62,7 +62,10 @@
     return !types.isEmpty();
   }
 
-  /** Writes the copy in the key-value store if the provider has answered since the last time. */
+  /**
+   * Writes the copy in the key-value store if the types were received from the cloud since the last
+   * call.
+   */
   public void saveIfRefreshed(CommitQueue queue, long nowMicros) {
     if (!storedCopyOutdated) {
       return;
@@ -78,15 +81,15 @@
   }
 
   /**
-   * Requests the types if it is time: first the stored copy, then the provider's.
+   * Requests the types if a request is due: first the stored copy, then from the cloud.
    *
-   * @param leading true if this controller leads, and so keeps the types up to date
+   * @param leading true if this controller is the leader, which keeps the types up to date
    */
   public void tick(long nowMicros, boolean leading) {
-    if (requesting || nowMicros < nextRequestAt || known() && !leading) {
+    if (requestInFlight || nowMicros < nextRequestAt || known() && !leading) {
       return;
     }
-    requesting = true;
+    requestInFlight = true;
     if (!known() && !storeTried) {
       storeTried = true;
       store.get(Keys.CATALOG, (now, result) -> onStoredCopy(now, result, leading));
@@ -97,15 +100,15 @@
   }
 
   private void onStoredCopy(long nowMicros, ReadResult result, boolean leading) {
-    requesting = false;
+    requestInFlight = false;
     if (result instanceof KeyValue entry) {
       decodeStoredCopy(entry);
-      nextRequestAt = nowMicros + (leading ? STORE_RETRY_MICROS : REFRESH_INTERVAL_MICROS);
+      nextRequestAt = nowMicros + (leading ? STORE_RETRY_DELAY_MICROS : REFRESH_INTERVAL_MICROS);
     } else if (result instanceof ReadResult.Absent) {
       nextRequestAt = nowMicros;
     } else {
       storeTried = false;
-      nextRequestAt = nowMicros + STORE_RETRY_MICROS;
+      nextRequestAt = nowMicros + STORE_RETRY_DELAY_MICROS;
     }
   }
 
@@ -118,7 +121,7 @@
   }
 
   private void onProviderResult(long nowMicros, CatalogResult result) {
-    requesting = false;
+    requestInFlight = false;
     if (result instanceof CatalogResult.Catalog catalog) {
       types = catalog.types();
       storedCopyOutdated = true;
@@ -128,6 +131,6 @@
     if (result instanceof CloudFailure failure && failure.decodingFailed()) {
       LOG.error("catalog malformed: source=provider cause=\"{}\"", failure.decodingError());
     }
-    nextRequestAt = nowMicros + PROVIDER_RETRY_MICROS;
+    nextRequestAt = nowMicros + PROVIDER_RETRY_DELAY_MICROS;
   }
 }
--- a/src/main/java/org/dewreach/state/RecoveryDurationTracker.java
+++ b/src/main/java/org/dewreach/state/RecoveryDurationTracker.java
@@ -12,22 +12,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells for how long no leader has finished its recovery, counted over terms.
+ * Tracks for how long recovery has been open over consecutive terms, none of which finished it.
  *
- * <p>Whatever a leader counts from its own beginning is never over if leaders change often enough.
- * The time of day at which the first of them began to recover is therefore stored, and each leader
- * whose recovery is held up by silent machines notes that it is still open. A recovery that is not
- * held up costs neither a read nor a write.
+ * <p>A timeout that each leader measures from the start of its own term never expires if leaders
+ * change often enough. The wall-clock time at which the first of them began to recover is therefore
+ * stored, and each leader whose recovery is held up by silent machines records that recovery is
+ * still open. A recovery that is not held up costs neither a read nor a write.
  */
 public final class RecoveryDurationTracker {
   private static final Logger LOG = LoggerFactory.getLogger(RecoveryDurationTracker.class);
 
+  /** How often the record is updated while recovery is open. */
   private static final long RECORD_INTERVAL_MICROS = 10_000_000;
 
-  /** A recovery that nobody has noted for this long is over: its record was left behind. */
+  /**
+   * A record that no leader has updated for this long is stale: the recovery is over, and its
+   * record was left behind.
+   */
   private static final long RECORD_VALIDITY_MICROS = 45_000_000;
 
-  private static final long READ_RETRY_MICROS = 1_000_000;
+  private static final long READ_RETRY_DELAY_MICROS = 1_000_000;
   private static final long MICROS_PER_MS = 1_000;
 
   private enum Phase {
@@ -35,9 +39,9 @@
     READ_DUE,
     /** The record is being read. */
     READING,
-    /** What is stored is known. */
+    /** The stored record, or its absence, is known. */
     KNOWN,
-    /** A change of the record is on its way. */
+    /** A write of the record is in flight. */
     WRITING,
     /** The term is over. */
     CLOSED
@@ -51,9 +55,9 @@
   private long nextReadAt;
 
   /**
-   * A clock of one term.
+   * Creates a tracker for one term.
    *
-   * @param wallOffsetMicros time of day minus event time
+   * @param wallOffsetMicros wall-clock time minus event loop time
    */
   public RecoveryDurationTracker(KeyValueStore store, CommitQueue queue, long wallOffsetMicros) {
     this.store = store;
@@ -67,20 +71,23 @@
     }
   }
 
-  /** Ignores all later answers: the term is over. */
+  /** Ignores all later responses, because the term is over. */
   public void close() {
     become(Phase.CLOSED);
   }
 
-  /** For how long recovery has been open over all terms, as far as it was noted; or 0. */
+  /**
+   * Returns for how long recovery has been open over consecutive terms according to the record, or
+   * 0 if there is no valid record.
+   */
   public long openMicros(long nowMicros) {
     return stored == null ? 0 : Math.max(0, wallMicros(nowMicros) - stored.sinceWallMicros());
   }
 
   /**
-   * Notes that this term is still recovering, held up by machines that are silent.
+   * Records that the recovery of this term is still open, held up by silent machines.
    *
-   * @param recoveringSince when this term began to recover
+   * @param recoveringSince when the recovery of this term began
    */
   public void recordOpen(long recoveringSince, long nowMicros) {
     if (phase == Phase.READ_DUE && nowMicros >= nextReadAt) {
@@ -90,7 +97,7 @@
     }
   }
 
-  /** Notes that this term has finished its recovery. */
+  /** Records that this term has finished its recovery, by removing the record if there is one. */
   public void recordFinished(long nowMicros) {
     if (phase == Phase.KNOWN && stored != null) {
       LOG.info("recovery finished: open_ms={}", openMicros(nowMicros) / MICROS_PER_MS);
@@ -118,7 +125,7 @@
     } else if (result instanceof ReadResult.Absent) {
       become(Phase.KNOWN);
     } else {
-      nextReadAt = nowMicros + READ_RETRY_MICROS;
+      nextReadAt = nowMicros + READ_RETRY_DELAY_MICROS;
       become(Phase.READ_DUE);
     }
   }
@@ -132,7 +139,10 @@
     }
   }
 
-  /** Writes the record, or removes it if it is null. The leader alone changes it. */
+  /**
+   * Writes the record, or removes it if {@code next} is null. Needs no precondition on the record,
+   * because only the leader changes it.
+   */
   private void write(RecoveryRecord next, long nowMicros) {
     Mutation mutation =
         next == null ? Mutation.delete(Keys.RECOVERY) : Mutation.put(Keys.RECOVERY, next.encode());
--- a/src/main/java/org/dewreach/state/RecoveryRecord.java
+++ b/src/main/java/org/dewreach/state/RecoveryRecord.java
@@ -5,18 +5,19 @@
 import org.dewreach.wire.Codec;
 
 /**
- * Stored form of a recovery that is open over several terms.
+ * The stored form of a recovery that is open over several terms.
  *
- * @param sinceWallMicros time of day at which the first of these terms began to recover
- * @param lastOpenWallMicros time of day at which a leader last noted that it is open
+ * @param sinceWallMicros the wall-clock time at which the first of these terms began to recover
+ * @param lastOpenWallMicros the wall-clock time at which a leader last recorded that the recovery
+ *     is open
  */
 record RecoveryRecord(long sinceWallMicros, long lastOpenWallMicros) {
-  /** The value to store. */
+  /** Returns the value to store. */
   ObjectNode encode() {
     return Codec.map().put("since", sinceWallMicros).put("open", lastOpenWallMicros);
   }
 
-  /** Decodes a stored value; missing times are 0, which is long ago. */
+  /** Decodes a stored value; missing times are read as 0, which is long ago. */
   static RecoveryRecord decode(JsonNode value) {
     return new RecoveryRecord(value.path("since").asLong(0), value.path("open").asLong(0));
   }
--- a/src/test/java/org/dewreach/model/HeartbeatStateTest.java
+++ b/src/test/java/org/dewreach/model/HeartbeatStateTest.java
@@ -6,12 +6,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the heartbeats of a worker tell: {@link HeartbeatState}. */
+/** Tests the state that is derived from a worker's heartbeats: {@link HeartbeatState}. */
 class HeartbeatStateTest {
   private final HeartbeatState heartbeats = new HeartbeatState(0);
 
   @Test
-  void aHeartbeatIsNewerByItsIncarnationFirstAndThenByItsSequence() {
+  void heartbeatsAreOrderedByIncarnationThenBySequence() {
     heartbeats.recordSequence(4, 7);
     assertTrue(heartbeats.isNewer(5, 0));
     assertTrue(heartbeats.isNewer(4, 8));
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void twoMissedRepliesInARowShowThatNoneArrive() {
+  void twoConsecutiveLostResponsesMarkTheMachineAsMissingResponses() {
     heartbeats.recordResponseDelivery(false);
     assertFalse(heartbeats.missesResponses());
     heartbeats.recordResponseDelivery(false);
--- a/src/test/java/org/dewreach/model/JobTest.java
+++ b/src/test/java/org/dewreach/model/JobTest.java
@@ -12,7 +12,7 @@
 import org.dewreach.wire.JobState;
 import org.junit.jupiter.api.Test;
 
-/** The states of a job and the counts of its tasks: {@link Job}. */
+/** Tests the phases of a job and the counts of its tasks: {@link Job}. */
 class JobTest {
   private final Machine machine =
       ClusterFixture.newUpMachine("m1", ClusterFixture.type("box", 8, 32, 0), false);
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void aJobGoesThroughItsStatesInOrderOnly() {
+  void aJobRejectsPhaseTransitionsThatAreNotAllowed() {
     assertThrows(IllegalStateException.class, () -> job.become(JobPhase.CANCEL_REQUESTED));
     job.become(JobPhase.ACTIVE);
     assertThrows(IllegalStateException.class, () -> job.become(JobPhase.PERSISTING));
@@ -49,7 +49,8 @@
     assertTrue(job.mayStillComplete());
     job.become(JobPhase.FINALIZING);
     assertEquals(JobState.DONE, job.finalState());
-    assertEquals(JobState.PENDING, job.jobState(), "not done for its user until that is durable");
+    assertEquals(
+        JobState.PENDING, job.jobState(), "not reported as done until the final state is durable");
     job.become(JobPhase.ENDED);
     assertEquals(JobState.DONE, job.jobState());
   }
@@ -60,8 +61,8 @@
     assertEquals(2, job.pendingCount());
     assertEquals(1, job.nextPending());
     assertTrue(job.markDone(0));
-    assertFalse(job.markDone(0), "known already");
-    assertEquals(2, job.pendingCount(), "bound or done, it counts once");
+    assertFalse(job.markDone(0), "already marked as done");
+    assertEquals(2, job.pendingCount(), "a task that is bound and done is counted once");
     job.unbind(first);
     assertEquals(2, job.pendingCount());
     Task second = bind(1);
--- a/src/test/java/org/dewreach/model/MachineTest.java
+++ b/src/test/java/org/dewreach/model/MachineTest.java
@@ -12,7 +12,7 @@
 import org.dewreach.wire.TaskName;
 import org.junit.jupiter.api.Test;
 
-/** When a machine is idle, schedulable and what it has free: {@link Machine}. */
+/** Tests when a machine is idle or schedulable, and its free capacity: {@link Machine}. */
 class MachineTest {
   private static final long S = 1_000_000;
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
@@ -34,13 +34,13 @@
   }
 
   @Test
-  void aMachineIsIdleSinceItCameUpOrItsLastTaskLeft() {
+  void idleTimeBeginsWhenTheMachineComesUpOrItsLastTaskIsUnbound() {
     Machine booting = ClusterFixture.newMachine("m2", TYPE, false, MachinePhase.BOOTING);
     booting.become(MachinePhase.UP, 20 * S);
     assertEquals(20 * S, booting.idleSince());
     booting.become(MachinePhase.DRAINING, 30 * S);
     booting.become(MachinePhase.UP, 40 * S);
-    assertEquals(20 * S, booting.idleSince(), "it was up all the time");
+    assertEquals(20 * S, booting.idleSince(), "draining does not restart the idle time");
     booting.become(MachinePhase.LOST, 50 * S);
     booting.become(MachinePhase.UP, 60 * S);
     assertEquals(60 * S, booting.idleSince());
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void anEmptyMachineHasAllItsCapacityWhateverTheRounding() {
+  void anEmptyMachineHasItsFullCapacityDespiteRoundingErrors() {
     Task first = bind(0);
     Task second = bind(1);
     Task third = bind(2);
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void nothingIsPlacedOnAMachineThatCannotBeReliedOn() {
+  void unreliableMachinesAreNotSchedulable() {
     assertTrue(machine.schedulable());
     machine.cordoned(true);
     assertFalse(machine.schedulable());
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void aNewIncarnationForgetsDirectStarts() {
+  void aNewIncarnationClearsDirectStarts() {
     TaskName task = new TaskName("req-1", 0);
     machine.recordSequence(4, 1);
     machine.directCommands().recordStart(task, 7);
--- a/src/test/java/org/dewreach/model/RetryBackoffTest.java
+++ b/src/test/java/org/dewreach/model/RetryBackoffTest.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** When and where a job that failed is tried again: {@link RetryBackoff}. */
+/** Tests when and where the tasks of a job are retried after failures: {@link RetryBackoff}. */
 class RetryBackoffTest {
   private static final long S = 1_000_000;
 
@@ -19,11 +19,11 @@
     backoff.recordFailure("m1", 2 * S);
     assertTrue(backoff.failedOnce());
     assertFalse(backoff.failsRepeatedly());
-    assertEquals(0, backoff.notBefore(), "one machine says nothing about the job");
+    assertEquals(0, backoff.notBefore(), "failures on one machine do not point to the job");
   }
 
   @Test
-  void thePauseDoublesWithEachFurtherMachineUpToAMinute() {
+  void thePauseDoublesWithEachFurtherMachineUpToOneMinute() {
     backoff.recordFailure("m1", 0);
     backoff.recordFailure("m2", 0);
     assertTrue(backoff.failsRepeatedly());
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void theMachineAvoidedLongestIsForgottenWhenThereAreMany() {
+  void theMachineAvoidedLongestIsDroppedAboveTheLimit() {
     for (int i = 0; i < 9; i++) {
       backoff.avoidMachine("m" + i, 10 * S);
     }
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void aSuccessEndsThePauseAndForgetsTheFailures() {
+  void aSuccessClearsThePauseAndTheFailures() {
     backoff.recordFailure("m1", 0);
     backoff.recordFailure("m2", 0);
     backoff.recordSuccess();
--- a/src/test/java/org/dewreach/state/JobRecordTest.java
+++ b/src/test/java/org/dewreach/state/JobRecordTest.java
@@ -13,11 +13,11 @@
 import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
-/** What a job's record keeps of its progress. */
+/** Tests the size limits of a job's record, and the progress that it contains. */
 class JobRecordTest {
   private static final int VALUE_BYTES = 8192;
 
-  private static JobSpec largest() {
+  private static JobSpec largestSpec() {
     String longest = "x".repeat(200);
     return new JobSpec(
         "req-999999",
@@ -42,10 +42,10 @@
         900_000_000);
   }
 
-  /** A list of names that would not fit is malformed. */
+  /** Guards against accepting a job whose list of machine types does not fit into a record. */
   @Test
-  void moreNamesThanARecordHoldsAreMalformed() {
-    var body = largest().toNode();
+  void aListOfNamesTooLongForARecordIsMalformed() {
+    var body = largestSpec().toNode();
     var names = body.putArray("builds");
     for (int i = 0; i < 100; i++) {
       names.add("t" + "x".repeat(150) + i);
@@ -53,9 +53,12 @@
     assertThrows(MalformedException.class, () -> JobSpec.parse(body));
   }
 
-  /** Guards against a record that is refused for ever, so that its job is stuck. */
+  /**
+   * Guards against a record that exceeds the store's value limit: each write of it would be
+   * rejected, and the job would never progress.
+   */
   @Test
-  void theLargestJobFitsIntoAValueHoweverItGoes() throws Exception {
+  void theLargestJobFitsIntoAValueAtAnyProgress() throws Exception {
     Random random = new Random(3);
     for (int share = 0; share <= 100; share += 5) {
       BitSet done = new BitSet();
@@ -64,26 +67,29 @@
           done.set(i);
         }
       }
-      var value = new JobRecord(largest(), 1_764_633_715_123_456L, true, done).encode();
+      var value = new JobRecord(largestSpec(), 1_764_633_715_123_456L, true, done).encode();
       assertTrue(value.toString().length() < VALUE_BYTES, "bytes: " + value.toString().length());
       JobRecord read = JobRecord.decode(value);
-      assertEquals(largest(), read.spec());
+      assertEquals(largestSpec(), read.spec());
       BitSet wrong = (BitSet) read.done().clone();
       wrong.andNot(done);
-      assertTrue(wrong.isEmpty(), "nothing is taken for done that is not");
+      assertTrue(wrong.isEmpty(), "a task that is not done was decoded as done");
     }
   }
 
-  /** Guards against results that their workers are told to forget though no record has them. */
+  /**
+   * Guards against removing a task's result from its worker although no record contains the
+   * completion.
+   */
   @Test
-  void onlyWhatARecordHoldsCountsAsKept() throws Exception {
+  void onlyTasksInTheRecordCountAsStored() throws Exception {
     BitSet done = new BitSet();
     done.set(0, 40);
     done.set(50, 60_000, true);
-    BitSet read = JobRecord.decode(new JobRecord(largest(), 0, false, done).encode()).done();
+    BitSet read = JobRecord.decode(new JobRecord(largestSpec(), 0, false, done).encode()).done();
     BitSet kept = JobRecord.storedDoneTasks(done);
     kept.andNot(read);
-    assertTrue(kept.isEmpty(), "taken for kept, and not in the record: " + kept);
+    assertTrue(kept.isEmpty(), "reported as stored but missing in the record: " + kept);
     assertTrue(JobRecord.storedDoneTasks(done).cardinality() > 10_000);
   }
 }
--- a/src/test/java/org/dewreach/state/JobRecordWriterTest.java
+++ b/src/test/java/org/dewreach/state/JobRecordWriterTest.java
@@ -17,7 +17,7 @@
 import org.dewreach.testing.KeyValueStoreFixture;
 import org.junit.jupiter.api.Test;
 
-/** What is written of a job, when, and on which condition. */
+/** Tests which records of a job are written, when, and with which preconditions. */
 class JobRecordWriterTest {
   private static final long S = 1_000_000;
   private static final String ID = "req-1";
@@ -39,7 +39,7 @@
     return new Job(JobSpecBuilder.array(ID).tasks(tasks).build(), 0, true, JobPhase.PERSISTING);
   }
 
-  /** A job of two tasks whose record is at revision 100. */
+  /** Returns a job of two tasks whose record has revision 100. */
   private Job writtenJob() {
     return writtenJob(2);
   }
@@ -51,7 +51,7 @@
     return job;
   }
 
-  /** The preconditions of a transaction beside the leader key. */
+  /** Returns the preconditions of a transaction except the one on the leader key. */
   private static String preconditions(Effect.Call transaction) {
     StringBuilder text = new StringBuilder();
     for (JsonNode precondition : transaction.body().path("when")) {
@@ -63,7 +63,7 @@
     return text.toString().trim();
   }
 
-  /** The mutations of a transaction, without values. */
+  /** Returns the mutations of a transaction without their values. */
   private static String mutations(Effect.Call transaction) {
     StringBuilder text = new StringBuilder();
     for (JsonNode mutation : transaction.body().path("then")) {
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void anImportedJobMovesFromItsLeaderlessRecord() {
+  void importingAJobReplacesItsLeaderlessRecord() {
     Job job = newJob(2);
     writer.writeImportedJob(job, 40, true, S, () -> {});
     Effect.Call write = fixture.onlyRequest();
@@ -102,7 +102,7 @@
     assertEquals(
         "put dw/over/req-1 remove dw/job/req-1",
         mutations(fixture.onlyRequest()),
-        "its final state follows: nothing of it runs");
+        "the final state is written next, because no task runs");
   }
 
   @Test
@@ -123,17 +123,17 @@
   }
 
   @Test
-  void progressIsGatheredForAWhile() {
+  void progressWritesAreBatched() {
     Job job = writtenJob(3);
     job.markDone(0);
     writer.writeIfDue(job, 10 * S);
     fixture.commit(fixture.onlyRequest(), 101, 10 * S);
     assertEquals(1, job.storedState().doneTasks().cardinality());
     writer.writeIfDue(job, 20 * S);
-    assertEquals(List.of(), fixture.requests(), "there is no further progress");
+    assertEquals(List.of(), fixture.requests(), "there is no new progress");
     job.markDone(1);
     writer.writeIfDue(job, 13 * S);
-    assertEquals(List.of(), fixture.requests(), "it was written 3 s ago");
+    assertEquals(List.of(), fixture.requests(), "progress was written 3 s ago");
     writer.writeIfDue(job, 14 * S);
     assertEquals("dw/job/req-1@101", preconditions(fixture.onlyRequest()));
   }
@@ -154,13 +154,15 @@
     assertEquals(List.of("req-1 accepted", "req-1 cancelled"), listener.durable);
   }
 
-  /** Guards against telling an older state than another controller may have read. */
+  /**
+   * Guards against reporting an older job state than another controller may have read and reported.
+   */
   @Test
-  void anEndIsInDoubtWhileItsWriteIsInFlight() {
+  void theFinalStateIsInDoubtWhileItsWriteIsInFlight() {
     Job job = writtenJob();
     job.markDone(0);
     writer.writeIfDue(job, 10 * S);
-    assertFalse(writer.endInDoubt(job), "progress ends nothing");
+    assertFalse(writer.endInDoubt(job), "a progress write does not end the job");
     fixture.commit(fixture.onlyRequest(), 101, 10 * S);
     job.markDone(1);
     writer.writeIfDue(job, 20 * S);
@@ -180,7 +182,7 @@
   }
 
   @Test
-  void aRecordChangedByAnotherEndsTheTerm() {
+  void aRecordChangedByAnotherWriterEndsTheTerm() {
     Job job = writtenJob();
     job.markDone(0);
     job.markDone(1);
--- a/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
+++ b/src/test/java/org/dewreach/state/LeaderlessJobImporterTest.java
@@ -30,7 +30,7 @@
 import org.dewreach.wire.JobSubmission;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that are accepted while the leader is reading what else there is. */
+/** Tests jobs that are accepted while the leader reads the stored leaderless jobs. */
 class LeaderlessJobImporterTest {
   private static final long S = 1_000_000;
   private static final Settings SETTINGS = SettingsFixture.oneNode();
@@ -72,12 +72,13 @@
   }
 
   /**
-   * Guard: {@code LeaderlessJobImporter.firstPageRevision} is taken from the first page only. A job
-   * that is kept between the two pages under a key before the second one is on neither, and a watch
-   * from the second on would not tell of it.
+   * Guards against taking {@code LeaderlessJobImporter.firstPageRevision} from a later page than
+   * the first. A job that is stored between the reads of two pages, under a key before the second
+   * page, is on neither page, and a watch that begins at the revision of the second page would not
+   * report it.
    */
   @Test
-  void theWatchBeginsWhereTheFirstPageDid() {
+  void theWatchBeginsAtTheRevisionOfTheFirstPage() {
     jobImporter.tick(S);
     reply(fixture.onlyRequest("/keys?"), 200, page(50, true, "req-5"));
     reply(fixture.onlyRequest("/keys?"), 200, page(60, false, "req-7"));
@@ -86,20 +87,20 @@
   }
 
   /**
-   * Guard: the cluster state is looked at again in {@code SubmissionHandler.rejectUnlessKnown}. A
-   * submission that lacks a field is not called malformed once the job of that name has been
-   * accepted meanwhile.
+   * Guards against removing the second check of the cluster state in {@code
+   * SubmissionHandler.rejectUnlessKnown}. A submission that lacks a field must not be rejected as
+   * malformed if the job with its id has been accepted in the meantime.
    */
   @Test
-  void aSubmissionIsNotRefusedIfItsJobIsAcceptedWhileItIsLookedUp() {
+  void aSubmissionIsNotRejectedIfItsJobIsAcceptedDuringTheLookup() {
     UserRequest submit =
         new UserRequest.Submit("req-1", new JobSubmission(Codec.map().put("uid", "req-1")));
     requestHandler.handle(submit, response -> statuses.add(response.status()), S);
     reply(fixture.onlyRequest("/keys/" + Keys.leaderlessJob("req-1")), 404, Codec.map());
-    Effect.Call lastLook = fixture.onlyRequest("/keys/" + Keys.finalState("req-1"));
+    Effect.Call lastLookup = fixture.onlyRequest("/keys/" + Keys.finalState("req-1"));
     clusterState.addJob(new Job(spec("req-1"), 0, true, JobPhase.ACTIVE));
-    reply(lastLook, 404, Codec.map());
-    assertEquals(List.of(503), statuses, "to be retried");
+    reply(lastLookup, 404, Codec.map());
+    assertEquals(List.of(503), statuses, "the user has to retry");
     requestHandler.handle(submit, response -> statuses.add(response.status()), 3 * S);
     assertEquals(List.of(503, 200), statuses);
   }
--- a/src/test/java/org/dewreach/state/MachineRegistryTest.java
+++ b/src/test/java/org/dewreach/state/MachineRegistryTest.java
@@ -17,7 +17,7 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** What is durable about machines, and when. */
+/** Tests which machines are durably registered, and when. */
 class MachineRegistryTest {
   private static final long S = 1_000_000;
   private static final int VALUE_BYTES = 8192;
@@ -70,9 +70,9 @@
         machine -> assertFalse(machine.commandable(), "not registered for commands yet"));
   }
 
-  /** Guards against a command to a machine that a later leader would not wait for. */
+  /** Guards against sending a command to a machine that a later leader would not wait for. */
   @Test
-  void aMachineIsCommandableOnlyOnceThatIsDurable() {
+  void aMachineIsCommandableOnlyOnceItsRegistrationIsDurable() {
     Machine machine = machine(1);
     registry.register(machine, 0);
     registry.registerForCommands(machine, 0);
@@ -84,9 +84,11 @@
     assertTrue(machine.commandable());
   }
 
-  /** Guards against a late copy of a page that lacks machines registered since. */
+  /**
+   * Guards against applying a late copy of a page write that lacks machines registered since then.
+   */
   @Test
-  void eachWriteOfAPageIsConditionalOnTheOneBefore() {
+  void eachWriteOfAPageIsConditionalOnTheRevisionOfTheOneBefore() {
     registry.registerForCommands(machine(1), 0);
     registry.tick(S);
     Effect.Call first = fixture.requests().get(0);
@@ -102,7 +104,7 @@
   }
 
   @Test
-  void aPageChangedByAnotherEndsTheTerm() {
+  void aPageChangedByAnotherWriterEndsTheTerm() {
     registry.registerForCommands(machine(1), 0);
     registry.tick(S);
     Effect.Call commit = fixture.requests().get(0);
--- a/src/test/java/org/dewreach/state/RecordingListener.java
+++ b/src/test/java/org/dewreach/state/RecordingListener.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.dewreach.model.Job;
 
-/** Remembers what became durable, and which conflicts ended the term. */
+/** Records what became durable, and which conflicts were reported. */
 final class RecordingListener implements DurabilityListener {
   final List<String> durable = new ArrayList<>();
   final List<String> conflicts = new ArrayList<>();
--- a/src/test/java/org/dewreach/state/RecoveryDurationTrackerTest.java
+++ b/src/test/java/org/dewreach/state/RecoveryDurationTrackerTest.java
@@ -15,12 +15,14 @@
 import org.dewreach.wire.Codec;
 import org.junit.jupiter.api.Test;
 
-/** For how long recovery has been open over several terms: {@link RecoveryDurationTracker}. */
+/**
+ * Tests for how long recovery counts as open over several terms: {@link RecoveryDurationTracker}.
+ */
 class RecoveryDurationTrackerTest {
   private static final long S = 1_000_000;
 
-  /** Time of day less event time. */
-  private static final long WALL = 1_000 * S;
+  /** Wall-clock time minus event loop time. */
+  private static final long WALL_OFFSET = 1_000 * S;
 
   private final KeyValueStoreFixture fixture = new KeyValueStoreFixture();
   private final CommitQueue queue =
@@ -30,20 +32,24 @@
           24,
           new TokenBucket(100, 100),
           () -> {});
-  private final RecoveryDurationTracker clock =
-      new RecoveryDurationTracker(fixture.store(), queue, WALL);
+  private final RecoveryDurationTracker tracker =
+      new RecoveryDurationTracker(fixture.store(), queue, WALL_OFFSET);
 
-  /** A term begins at time 0, and finds what an earlier one noted at these event times. */
+  /**
+   * Begins a term at time 0 that reads the record of an earlier term, with the given event loop
+   * times.
+   */
   private void beginWith(long since, long lastOpen) {
-    clock.recordOpen(0, 0);
-    JsonNode value = Codec.map().put("since", since + WALL).put("open", lastOpen + WALL);
+    tracker.recordOpen(0, 0);
+    JsonNode value =
+        Codec.map().put("since", since + WALL_OFFSET).put("open", lastOpen + WALL_OFFSET);
     JsonNode entry =
         Codec.map().put("path", Keys.RECOVERY).put("stamp", 70).put("hold", 0).set("data", value);
     fixture.reply(fixture.onlyRequest("/keys/dw/recovery"), 200, entry, 0);
   }
 
   private void beginWithNothing() {
-    clock.recordOpen(0, 0);
+    tracker.recordOpen(0, 0);
     fixture.reply(fixture.onlyRequest(), 404, Codec.map().put("ledger_rev", 80), 0);
   }
 
@@ -58,61 +64,61 @@
   }
 
   @Test
-  void aRecoveryThatIsNotHeldUpCostsNothing() {
-    clock.recordFinished(3 * S);
+  void aRecoveryThatIsNotHeldUpNeitherReadsNorWrites() {
+    tracker.recordFinished(3 * S);
     assertNoRequest();
-    assertEquals(0, clock.openMicros(3 * S));
+    assertEquals(0, tracker.openMicros(3 * S));
   }
 
   @Test
-  void oneThatIsHeldUpIsNotedAndNotedAgain() {
+  void aRecoveryThatIsHeldUpIsRecordedPeriodically() {
     beginWithNothing();
-    clock.recordOpen(0, 3 * S);
-    JsonNode noted = onlyChange();
-    assertEquals(Keys.RECOVERY, noted.get("put").textValue());
-    assertEquals(WALL, noted.get("data").get("since").longValue());
-    assertEquals(WALL + 3 * S, noted.get("data").get("open").longValue());
-    clock.recordOpen(0, 13 * S - 1);
+    tracker.recordOpen(0, 3 * S);
+    JsonNode first = onlyChange();
+    assertEquals(Keys.RECOVERY, first.get("put").textValue());
+    assertEquals(WALL_OFFSET, first.get("data").get("since").longValue());
+    assertEquals(WALL_OFFSET + 3 * S, first.get("data").get("open").longValue());
+    tracker.recordOpen(0, 13 * S - 1);
     assertNoRequest();
-    clock.recordOpen(0, 13 * S);
-    JsonNode again = onlyChange();
-    assertEquals(WALL, again.get("data").get("since").longValue());
-    assertEquals(WALL + 13 * S, again.get("data").get("open").longValue());
+    tracker.recordOpen(0, 13 * S);
+    JsonNode second = onlyChange();
+    assertEquals(WALL_OFFSET, second.get("data").get("since").longValue());
+    assertEquals(WALL_OFFSET + 13 * S, second.get("data").get("open").longValue());
   }
 
   @Test
-  void theNextTermGoesOnCounting() {
+  void theNextTermContinuesTheCount() {
     beginWith(-50 * S, -8 * S);
-    assertEquals(52 * S, clock.openMicros(2 * S));
-    clock.recordOpen(0, 3 * S);
-    assertEquals(WALL - 50 * S, onlyChange().get("data").get("since").longValue());
+    assertEquals(52 * S, tracker.openMicros(2 * S));
+    tracker.recordOpen(0, 3 * S);
+    assertEquals(WALL_OFFSET - 50 * S, onlyChange().get("data").get("since").longValue());
   }
 
   @Test
-  void theTermThatFinishesRemovesIt() {
+  void theTermThatFinishesRecoveryRemovesTheRecord() {
     beginWith(-50 * S, -8 * S);
-    clock.recordFinished(S);
+    tracker.recordFinished(S);
     assertEquals(Keys.RECOVERY, onlyChange().get("remove").textValue());
-    assertEquals(0, clock.openMicros(2 * S));
-    clock.recordFinished(2 * S);
+    assertEquals(0, tracker.openMicros(2 * S));
+    tracker.recordFinished(2 * S);
     assertNoRequest();
   }
 
   @Test
-  void whatWasLeftBehindLongAgoDoesNotCount() {
+  void aStaleRecordIsIgnored() {
     beginWith(-500 * S, -45 * S);
-    assertEquals(0, clock.openMicros(S));
-    clock.recordOpen(0, 3 * S);
-    assertEquals(WALL, onlyChange().get("data").get("since").longValue());
+    assertEquals(0, tracker.openMicros(S));
+    tracker.recordOpen(0, 3 * S);
+    assertEquals(WALL_OFFSET, onlyChange().get("data").get("since").longValue());
   }
 
   @Test
-  void aFailedReadIsRepeated() {
-    clock.recordOpen(0, 0);
+  void aFailedReadIsRetried() {
+    tracker.recordOpen(0, 0);
     fixture.reply(fixture.onlyRequest(), 503, null, 0);
-    clock.recordOpen(0, S - 1);
+    tracker.recordOpen(0, S - 1);
     assertNoRequest();
-    clock.recordOpen(0, S);
+    tracker.recordOpen(0, S);
     assertTrue(fixture.onlyRequest().path().endsWith(Keys.RECOVERY));
   }
 }
--- a/src/test/java/org/dewreach/state/StoredFormTest.java
+++ b/src/test/java/org/dewreach/state/StoredFormTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Stored records, field by field. Guards against a release that cannot read what the one before it
- * has stored.
+ * Tests the stored records field by field. Guards against a release that cannot read the records
+ * that the previous release stored.
  */
 class StoredFormTest {
   private static final JobSpec SPEC = JobSpecBuilder.array("req-1").tasks(20).build();
@@ -75,9 +75,12 @@
     assertEquals(stored, MachinePageRecord.decode(stored.encode()));
   }
 
-  /** Guards against starting tasks again beside a machine whose entry is damaged. */
+  /**
+   * Guards against starting tasks again while they may still run on a machine whose entry is
+   * damaged.
+   */
   @Test
-  void aMachineWithADamagedEntryMayHaveBeenCommanded() {
+  void aMachineWithADamagedEntryCountsAsCommandable() {
     var damaged = Codec.map();
     damaged.putObject("machines").put("vm-1", "?");
     assertTrue(MachinePageRecord.decode(damaged).entries().get(0).commandable());
