--- a/src/main/java/org/dewreach/history/FinalState.java
+++ b/src/main/java/org/dewreach/history/FinalState.java
@@ -3,9 +3,9 @@
 import org.dewreach.wire.JobState;
 
 /**
- * How a job ended.
+ * The final state of a job.
  *
  * @param jobState done or cancelled
- * @param done how many of its tasks were done
+ * @param done the number of its tasks that were completed
  */
 public record FinalState(JobState jobState, int done) {}
--- a/src/main/java/org/dewreach/history/FinalStateRecord.java
+++ b/src/main/java/org/dewreach/history/FinalStateRecord.java
@@ -6,14 +6,14 @@
 import org.dewreach.wire.JobState;
 import org.dewreach.wire.MalformedException;
 
-/** Stored form of a final state. */
+/** The stored form of a final state. */
 public final class FinalStateRecord {
   private static final String STATE = "standing";
   private static final String DONE = "done";
 
   private FinalStateRecord() {}
 
-  /** The value to store. */
+  /** Returns the value to store. */
   public static ObjectNode encode(FinalState finalState) {
     return Codec.map().put(STATE, finalState.jobState().word()).put(DONE, finalState.done());
   }
@@ -21,7 +21,7 @@
   /**
    * Decodes a stored value.
    *
-   * @throws MalformedException if it names no state of a job
+   * @throws MalformedException if it does not contain a valid job state
    */
   public static FinalState decode(JsonNode value) throws MalformedException {
     JobState jobState = JobState.of(value.path(STATE).asText());
--- a/src/main/java/org/dewreach/history/FinalStateWatcher.java
+++ b/src/main/java/org/dewreach/history/FinalStateWatcher.java
@@ -12,24 +12,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the final states in the key-value store, on every controller and through all terms.
+ * Watches the final states in the key-value store, on every controller and across all terms.
  *
- * <p>After a start it lists what is stored, as far as there is room, and then watches for more from
- * the revision at which the list began. Guards against jobs of which only the leader knew how they
- * ended: when it was gone and the store unreachable, nothing could be told about them.
+ * <p>After a start it lists the stored states until its memory limit is reached, and then watches
+ * for further ones from the revision at which the list began. Guards against final states that only
+ * the leader has in memory: with the leader gone and the store unreachable, no query for such a job
+ * could be answered.
  */
 public final class FinalStateWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(FinalStateWatcher.class);
 
-  /** About 50 KiB a page. */
+  /** About 50 KiB per page. */
   private static final int PAGE_SIZE = 500;
 
   private static final long MAX_WATCH_WAIT_MS = 10_000;
 
-  /**
-   * Pause between two requests: at most two of them a second from each controller. A default of
-   * this project.
-   */
+  /** The delay between two requests, so that each controller sends at most two per second. */
   private static final long REQUEST_PAUSE_MICROS = 500_000;
 
   private static final long RETRY_DELAY_MICROS = 1_000_000;
@@ -52,7 +50,7 @@
   private String lastKey;
   private long revision = -1;
 
-  /** A watcher that adds what it finds to the given states. */
+  /** Creates a watcher that adds the states it reads to the given ones. */
   public FinalStateWatcher(KeyValueStore store, FinalStates finalStates) {
     this.store = store;
     this.finalStates = finalStates;
@@ -63,7 +61,7 @@
     nextRequestAtMicros = notBefore;
   }
 
-  /** Sends the next request if it is time. */
+  /** Sends the next request if it is due. */
   public void tick(long nowMicros) {
     if (nowMicros < nextRequestAtMicros) {
       return;
@@ -83,7 +81,10 @@
     }
   }
 
-  /** The store's revision up to which the final states are known; -1 if none is. */
+  /**
+   * Returns the store's revision up to which the final states are known, or -1 before the first
+   * page.
+   */
   public long revision() {
     return revision;
   }
@@ -113,7 +114,7 @@
 
   private void onChanges(long nowMicros, WatchResult result) {
     if (result instanceof WatchResult.Compacted) {
-      LOG.info("watch of final states compacted, listing anew: revision={}", revision);
+      LOG.info("watch of final states compacted, listing again: revision={}", revision);
       lastKey = null;
       schedule(Phase.READ_DUE, nowMicros);
       return;
@@ -140,7 +141,7 @@
     try {
       return FinalStateRecord.decode(entry.value());
     } catch (MalformedException e) {
-      LOG.error("record malformed, left alone: key={} cause=\"{}\"", entry.key(), e.getMessage());
+      LOG.error("final state malformed, ignored: key={} cause=\"{}\"", entry.key(), e.getMessage());
       return null;
     }
   }
--- a/src/main/java/org/dewreach/history/FinalStates.java
+++ b/src/main/java/org/dewreach/history/FinalStates.java
@@ -5,20 +5,20 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 
 /**
- * The final states that this controller knows to be durable, in whichever term the jobs ended.
+ * The durable final states that this controller has in memory, in whichever term the jobs ended.
  *
- * <p>A final state never changes, so any controller may tell it at any time, with or without
+ * <p>A final state never changes, so any controller may report it at any time, with or without
  * authority. Only durable states are added: those read from the key-value store, or written to it
  * with its confirmation.
  *
- * <p>The states of the jobs that ended last are kept in the order of their ends; those of older
- * jobs that users asked about are cached by how often they are asked for. Both are bounded; what is
- * not here is read from the key-value store.
+ * <p>The states of the jobs that ended most recently are kept in the order in which the jobs ended;
+ * those of older jobs that users queried are cached by how often they are queried. Both collections
+ * are bounded; other states are read from the key-value store.
  */
 public final class FinalStates {
   /**
-   * About 200 bytes each, so 2 MB of the smallest controller's heap; half an hour of five ends a
-   * second. A default of this project.
+   * About 200 bytes each, so 2 MB of the smallest controller's heap; enough for half an hour in
+   * which five jobs end per second.
    */
   static final int MAX_RECENT = 10_000;
 
@@ -29,13 +29,13 @@
   private final Cache<String, FinalState> lookedUp =
       Caffeine.newBuilder().maximumSize(MAX_LOOKED_UP).executor(Runnable::run).build();
 
-  /** The final state of the job, or null if it is not known here. */
+  /** Returns the final state of the job, or null if it is not in memory. */
   public FinalState get(String jobId) {
     FinalState known = recent.get(jobId);
     return known != null ? known : lookedUp.getIfPresent(jobId);
   }
 
-  /** Adds the state of a job that has just ended; the oldest gives way to it. */
+  /** Adds the state of a job that has just ended, and evicts the oldest one if there is no room. */
   public void addEnded(String jobId, FinalState finalState) {
     recent.putAndMoveToLast(jobId, finalState);
     if (recent.size() > MAX_RECENT) {
@@ -43,26 +43,28 @@
     }
   }
 
-  /** Adds the state of a job that ended at some time and was looked up in the key-value store. */
+  /**
+   * Adds the state of a job that ended at an unknown time and was looked up in the key-value store.
+   */
   public void addLookedUp(String jobId, FinalState finalState) {
     if (!recent.containsKey(jobId)) {
       lookedUp.put(jobId, finalState);
     }
   }
 
-  /** Adds the state of a job that ended at some time, unless there is no room beside later ones. */
+  /** Adds the state of a job that ended at an unknown time as the oldest one, if there is room. */
   void addListed(String jobId, FinalState finalState) {
     if (!full()) {
       recent.putAndMoveToFirst(jobId, finalState);
     }
   }
 
-  /** True if a further end drops the oldest one. */
+  /** True if adding another ended job evicts the oldest one. */
   boolean full() {
     return recent.size() >= MAX_RECENT;
   }
 
-  /** How many final states are kept in the order of their ends. */
+  /** Returns how many final states are kept in the order in which their jobs ended. */
   public int size() {
     return recent.size();
   }
--- a/src/main/java/org/dewreach/peer/ContactRequest.java
+++ b/src/main/java/org/dewreach/peer/ContactRequest.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * A leader that hears hardly any worker asks another controller which of them it hears.
+ * Request of a leader that receives heartbeats from hardly any worker: asks another controller how
+ * many of the named machines send heartbeats to it.
  *
- * @param machines some of the machines that the leader does not hear
- * @param maxHeartbeatAgeMicros the age up to which a heartbeat counts
+ * @param machines some of the machines from which the leader receives no heartbeats
+ * @param maxHeartbeatAgeMicros the age up to which a received heartbeat counts
  */
 public record ContactRequest(List<String> machines, long maxHeartbeatAgeMicros) {}
--- a/src/main/java/org/dewreach/peer/ContactResponse.java
+++ b/src/main/java/org/dewreach/peer/ContactResponse.java
@@ -1,9 +1,9 @@
 package org.dewreach.peer;
 
 /**
- * The answer to a {@link ContactRequest}.
+ * The response to a {@link ContactRequest}.
  *
- * @param reachableMachines how many of the machines sent the answering controller a heartbeat in
- *     that time
+ * @param reachableMachines how many of the machines sent the responding controller a heartbeat
+ *     within that time
  */
 public record ContactResponse(int reachableMachines) {}
--- a/src/main/java/org/dewreach/peer/ForwardedReply.java
+++ b/src/main/java/org/dewreach/peer/ForwardedReply.java
@@ -7,12 +7,14 @@
   /** The leader handled the request; the follower relays the response to its user. */
   record Handled(UserResponse response) implements ForwardedReply {}
 
-  /** The node leads, and turns the request away because it has too many. */
+  /** The controller leads, but sheds the request because too many are in progress. */
   record Busy() implements ForwardedReply {}
 
-  /** The node does not lead, or not yet, or no more. */
+  /** The controller does not lead, does not lead yet, or no longer leads. */
   record NotLeading() implements ForwardedReply {}
 
-  /** The node did not reply, or not as expected; it is never encoded. */
+  /**
+   * The controller did not reply, or its reply was not as expected; this outcome is never encoded.
+   */
   record NoReply() implements ForwardedReply {}
 }
--- a/src/main/java/org/dewreach/peer/GrantRequest.java
+++ b/src/main/java/org/dewreach/peer/GrantRequest.java
@@ -1,7 +1,8 @@
 package org.dewreach.peer;
 
 /**
- * A leader whose lease renewals fail asks another controller to let no later term act for a while.
+ * Request of a leader whose lease renewals fail: asks another controller to let no later term act
+ * for a while.
  *
  * @param term the term that the leader holds
  */
--- a/src/main/java/org/dewreach/peer/GrantResponse.java
+++ b/src/main/java/org/dewreach/peer/GrantResponse.java
@@ -1,8 +1,8 @@
 package org.dewreach.peer;
 
 /**
- * The answer to a {@link GrantRequest}.
+ * The response to a {@link GrantRequest}.
  *
- * @param granted true if no later term acts at the answering controller while the grant runs
+ * @param granted true if the responding controller lets no later term act while the grant lasts
  */
 public record GrantResponse(boolean granted) {}
--- a/src/main/java/org/dewreach/peer/KnownLeader.java
+++ b/src/main/java/org/dewreach/peer/KnownLeader.java
@@ -1,9 +1,9 @@
 package org.dewreach.peer;
 
 /**
- * Whom a node takes for the leader, as it tells other nodes that ask.
+ * The current leader from the view of a controller, as reported to other controllers.
  *
- * @param leader the leader's name, or null if the node knows none
- * @param term the latest term that the node knows of
+ * @param leader the leader's name, or null if the controller has no known leader
+ * @param term the latest term that the controller has seen
  */
 public record KnownLeader(String leader, long term) {}
--- a/src/main/java/org/dewreach/peer/MessagePackCodec.java
+++ b/src/main/java/org/dewreach/peer/MessagePackCodec.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** MessagePack bodies to trees and back, for the messages between controllers. */
+/** Converts message bodies between MessagePack and trees, for the messages between controllers. */
 public final class MessagePackCodec {
   private static final ObjectMapper MESSAGE_PACK = new ObjectMapper(new MessagePackFactory());
 
@@ -26,7 +26,8 @@
     try {
       return MESSAGE_PACK.writeValueAsBytes(body);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree of plain values always encodes", e);
+      throw new IllegalStateException(
+          "a tree of plain values could not be encoded as MessagePack", e);
     }
   }
 }
--- a/src/main/java/org/dewreach/peer/PeerMessageCodec.java
+++ b/src/main/java/org/dewreach/peer/PeerMessageCodec.java
@@ -13,19 +13,19 @@
 
 /** Paths and field names of the messages between controllers. */
 public final class PeerMessageCodec {
-  /** Where the leader takes forwarded requests. */
+  /** The path at which the leader accepts forwarded requests. */
   public static final String FORWARD_PATH = "/peer/user";
 
-  /** Where a node tells whom it takes for the leader. */
+  /** The path at which a controller reports its known leader. */
   public static final String LEADER_PATH = "/peer/leader";
 
-  /** Where a controller takes requests for grants. */
+  /** The path at which a controller accepts requests for grants. */
   public static final String GRANT_PATH = "/peer/promise";
 
-  /** Where the leader takes requests for delegations. */
+  /** The path at which the leader accepts requests for delegations. */
   public static final String DELEGATION_PATH = "/peer/stand-in";
 
-  /** Where a controller tells which workers it hears. */
+  /** The path at which a controller reports how many of the named workers send heartbeats to it. */
   public static final String CONTACTS_PATH = "/peer/contacts";
 
   private PeerMessageCodec() {}
@@ -37,7 +37,7 @@
     return map;
   }
 
-  /** Decodes a user's request; absent fields are empty texts, which name no request. */
+  /** Decodes a user's request; missing fields become empty texts, which match no request. */
   public static ForwardedRequest decodeForwardedRequest(JsonNode body) {
     return new ForwardedRequest(
         body.path("method").asText(), body.path("path").asText(), body.get("body"));
@@ -88,13 +88,13 @@
             status, empty ? null : new UserResponse.Relayed(inner), body.path("retry").asInt(0)));
   }
 
-  /** Encodes whom a node takes for the leader. */
+  /** Encodes a controller's known leader. */
   public static ObjectNode encode(KnownLeader known) {
     return Codec.map().put("leader", known.leader()).put("term", known.term());
   }
 
   /**
-   * Decodes whom a node takes for the leader; empty if it knows none or did not reply.
+   * Decodes a controller's known leader; empty if it has none or did not reply.
    *
    * @param httpStatus the status of the call, or 0 if no response came
    * @param body the body of the call's response, or null
@@ -112,7 +112,7 @@
     return Codec.map().put("term", request.term());
   }
 
-  /** Decodes a request for a grant; a missing term is 0, to which nothing is granted. */
+  /** Decodes a request for a grant; a missing term becomes 0, for which nothing is granted. */
   public static GrantRequest decodeGrantRequest(JsonNode body) {
     return new GrantRequest(body.path("term").asLong());
   }
@@ -122,7 +122,7 @@
     return Codec.map().put("given", response.granted());
   }
 
-  /** Decodes the response to a request for a grant; without a body nothing is granted. */
+  /** Decodes the response to a request for a grant; no body means that nothing is granted. */
   public static GrantResponse decodeGrantResponse(JsonNode body) {
     return new GrantResponse(body != null && body.path("given").asBoolean(false));
   }
@@ -145,7 +145,7 @@
         body.path("echo").asLong(DelegationRequest.NONE));
   }
 
-  /** Encodes the response to a request for a delegation; a refusal has the term 0 alone. */
+  /** Encodes the response to a request for a delegation; a refusal consists of the term 0 alone. */
   public static ObjectNode encode(DelegationResponse response) {
     ObjectNode map = Codec.map().put("term", response.term());
     return response.term() == 0
@@ -159,7 +159,7 @@
         body.path("term").asLong(), body.path("lent").asLong(), body.path("at").asLong());
   }
 
-  /** Encodes a question for the workers that another controller hears. */
+  /** Encodes a request for how many workers send heartbeats to another controller. */
   public static ObjectNode encode(ContactRequest request) {
     ObjectNode map = Codec.map().put("within", request.maxHeartbeatAgeMicros());
     ArrayNode hosts = map.putArray("hosts");
@@ -167,20 +167,21 @@
     return map;
   }
 
-  /** Decodes a question for the workers that this controller hears. */
+  /** Decodes a request for how many workers send heartbeats to this controller. */
   public static ContactRequest decodeContactRequest(JsonNode body) {
     List<String> machines = new ArrayList<>();
     body.path("hosts").forEach(machine -> machines.add(machine.asText()));
     return new ContactRequest(machines, body.path("within").asLong(0));
   }
 
-  /** Encodes how many of the workers this controller hears. */
+  /** Encodes how many of the workers send heartbeats to this controller. */
   public static ObjectNode encode(ContactResponse response) {
     return Codec.map().put("heard", response.reachableMachines());
   }
 
   /**
-   * Decodes how many of the workers another controller hears; empty if it did not tell.
+   * Decodes how many of the workers send heartbeats to another controller; empty if it did not
+   * report this.
    *
    * @param httpStatus the status of the call, or 0 if no response came
    * @param body the body of the call's response, or null
--- a/src/main/java/org/dewreach/request/CancellationHandler.java
+++ b/src/main/java/org/dewreach/request/CancellationHandler.java
@@ -11,11 +11,11 @@
 import org.dewreach.wire.JobStatus;
 import org.dewreach.wire.UserResponse;
 
-/** The leader's handling of cancellations. */
+/** Handles cancellations on the leader. */
 final class CancellationHandler {
   /**
-   * After how long users no longer wait for tasks to stop. They wait 5 s; stops that are received
-   * at all take less than this. A default of this project.
+   * The longest time for which a response waits for the job's tasks to stop. Users wait 5 s; a stop
+   * command that reaches its worker takes less than this.
    */
   private static final long MAX_STOP_WAIT_MICROS = 1_500_000;
 
@@ -65,12 +65,13 @@
     }
   }
 
-  /** Responds for a job that the cluster state did not have. */
+  /** Responds with the result of a lookup of a job that the cluster state did not contain. */
   private void respondFound(String jobId, Optional<JobLookup.FoundJob> found, Responder responder) {
     if (found.isPresent() && found.get().jobState() != JobState.PENDING) {
       responder.respond(finalResponse(jobId, found.get().jobState()));
     } else if (found.isPresent() || clusterState.jobs().containsKey(jobId)) {
-      // Accepted during the lookup, or without this leader and just imported.
+      // The job was accepted during the lookup, or it was accepted without this leader and has just
+      // been imported.
       responder.respondRetry(RetryReason.BEING_ACCEPTED);
     } else {
       responder.respond(UserResponse.empty(HttpStatus.NOT_FOUND));
@@ -84,8 +85,8 @@
   private void startCancellation(Job job, long nowMicros) {
     job.become(JobPhase.CANCEL_REQUESTED);
     job.cancelRequestedAt(nowMicros);
-    // At once, not with the next heartbeats, and also while nothing can be written: the user is
-    // told when the tasks are gone.
+    // Stops the tasks now rather than with the next heartbeats, and also while writes are stalled:
+    // the user gets a response only when the tasks are gone.
     List.copyOf(job.bound().values())
         .forEach(task -> clusterState.stop(task, "job cancelled", nowMicros));
     clusterState.requestPlacement();
@@ -96,27 +97,30 @@
     return nowMicros - job.cancelRequestedAt() > MAX_STOP_WAIT_MICROS;
   }
 
-  /** The job's tasks are not gone yet: its user is told to retry if that takes long. */
+  /**
+   * Called while the job's tasks are not gone yet. Sends a retry response to the waiting users if
+   * that takes too long.
+   */
   void onStillStopping(Job job, long nowMicros) {
     if (isStoppingTooLong(job, nowMicros)) {
       awaitingCancellation.respondRetry(job.id(), RetryReason.TASKS_NOT_GONE);
     }
   }
 
-  /** The job's cancellation, or another end of it, is durable. */
+  /** Called once the job's cancellation, or another final state of it, is durable. */
   void onEndDurable(Job job, JobState jobState) {
     awaitingCancellation.respond(job.id(), finalResponse(job.id(), jobState));
   }
 
   /**
-   * Guards against responses held back while writes do not get through: users are told at once to
-   * retry.
+   * Sends a retry response to all waiting users without further delay. Guards against responses
+   * that are held back while writes to the key-value store are stalled.
    */
   void onWritesStalled() {
     awaitingCancellation.respondRetryToAll(RetryReason.WRITES_STALLED);
   }
 
-  /** The term is over: users are told to retry. */
+  /** Ends the term: sends a retry response to all waiting users. */
   void close() {
     awaitingCancellation.respondRetryToAll(RetryReason.NO_AUTHORITY);
   }
--- a/src/main/java/org/dewreach/request/ConcurrencyLimiter.java
+++ b/src/main/java/org/dewreach/request/ConcurrencyLimiter.java
@@ -8,22 +8,19 @@
 /**
  * Limits how many users' requests are in progress at once, and measures how long they take.
  *
- * <p>The limit adjusts itself to measured durations: it grows while requests complete in time and
- * shrinks when they do not. It is fed with event time, so the core stays free of clocks. Health
- * checks and heartbeats are not counted, and so never shed.
+ * <p>The limit adapts to the measured durations: it grows while requests complete in time and
+ * shrinks when they do not. Callers pass event time, so that this class reads no clock. Health
+ * checks and heartbeats are not counted, and therefore never shed.
  */
 public final class ConcurrencyLimiter {
-  /** After how many seconds a user whose request was shed is to retry. */
+  /** The seconds after which a user whose request was shed is told to retry. */
   public static final int BUSY_RETRY_S = 2;
 
   private static final int INITIAL_LIMIT = 100;
   private static final int MIN_LIMIT = 20;
   private static final int MAX_LIMIT = 400;
 
-  /**
-   * A request that took longer is a sign of overload. A default of this project; users wait for 2 s
-   * at least.
-   */
+  /** A request that takes longer is a sign of overload; users wait at least 2 s. */
   private static final long SLOW_REQUEST_MICROS = 1_500_000;
 
   private static final long MAX_DURATION_MICROS = 60_000_000;
@@ -31,10 +28,10 @@
   private static final double P99 = 99;
 
   /**
-   * A request that was admitted.
+   * An admitted request.
    *
    * @param sinceMicros when it was admitted
-   * @param inProgress how many were in progress then, itself included
+   * @param inProgress how many requests were in progress then, including this one
    */
   record Admitted(long sinceMicros, int inProgress) {}
 
@@ -51,7 +48,7 @@
   private long toldToRetry;
   private long shed;
 
-  /** True if one more request would exceed the limit; it is counted as shed then. */
+  /** Returns true, and counts a request as shed, if one more request would exceed the limit. */
   boolean shedIfAtLimit() {
     boolean atLimit = inProgress >= limit.getLimit();
     if (atLimit) {
@@ -65,13 +62,14 @@
     return new Admitted(nowMicros, ++inProgress);
   }
 
-  /** Ends a request. */
+  /** Ends a request, and adds its duration to the measurements. */
   void complete(Admitted request, UserResponse response, long nowMicros) {
     inProgress--;
     long duration = Math.min(MAX_DURATION_MICROS, Math.max(0, nowMicros - request.sinceMicros()));
     durations.recordValue(duration);
     if (response.isServerError()) {
-      // Told to retry for another reason than load: the duration says nothing about load.
+      // The user is told to retry for a reason other than load, so the duration is no measure of
+      // load.
       toldToRetry++;
       return;
     }
--- a/src/main/java/org/dewreach/request/ConcurrencyStats.java
+++ b/src/main/java/org/dewreach/request/ConcurrencyStats.java
@@ -1,11 +1,11 @@
 package org.dewreach.request;
 
 /**
- * Numbers of one {@link ConcurrencyLimiter} for operators. Durations are of the requests since the
- * start of the process.
+ * Statistics of one {@link ConcurrencyLimiter} for operators. The durations are those of all
+ * requests since the process started.
  *
  * @param inProgress requests without a response yet
- * @param limit how many may be in progress now
+ * @param limit how many requests may be in progress now
  * @param answered requests that were carried out or rejected
  * @param toldToRetry admitted requests whose users were told to retry
  * @param shed requests that the limit did not admit
@@ -23,7 +23,7 @@
     long p99Micros,
     long maxMicros) {
 
-  /** One line for the log. */
+  /** Returns the statistics as {@code key=value} pairs for a log line. */
   String summary() {
     return "in_progress="
         + inProgress
--- a/src/main/java/org/dewreach/request/CountingResponder.java
+++ b/src/main/java/org/dewreach/request/CountingResponder.java
@@ -3,10 +3,10 @@
 import org.dewreach.wire.UserResponse;
 
 /**
- * Counts why users are told to retry.
+ * Passes responses on, and counts the reasons for which users are told to retry.
  *
- * @param target where the response goes
- * @param counts where the reason is counted
+ * @param target sends the response
+ * @param counts the counts by reason
  */
 record CountingResponder(Responder target, RetryCounts counts) implements Responder {
   @Override
--- a/src/main/java/org/dewreach/request/JobLookup.java
+++ b/src/main/java/org/dewreach/request/JobLookup.java
@@ -20,18 +20,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Looks up jobs that neither the leader's cluster state nor the known final states have. */
+/**
+ * Looks up jobs in the key-value store that are neither in the leader's cluster state nor among the
+ * known final states.
+ */
 final class JobLookup {
   private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
 
-  /** Share of the key-value store's rate that lookups may take. A default of this project. */
+  /** Share of the key-value store's rate limit that lookups may use. */
   private static final double STORE_RATE_SHARE = 0.3;
 
   /**
-   * A job that was found.
+   * The result of a successful lookup.
    *
-   * @param jobState its state
-   * @param done how many of its tasks are done
+   * @param jobState the job's state
+   * @param done the number of its completed tasks
    */
   record FoundJob(JobState jobState, int done) {}
 
@@ -56,54 +59,54 @@
   }
 
   /**
-   * Reads a job that the cluster state does not have: accepted without this leader, or ended. A job
-   * moves from the new records into the cluster state, and from there to the final records, so
-   * looking in this order misses none.
+   * Reads a job that the cluster state does not contain: one that was accepted without this leader,
+   * or one that has ended. A job moves from the records of jobs accepted without a leader into the
+   * cluster state, and from there to the final states, so reads in this order miss none.
    *
-   * @param onResult receives the job, or nothing if it does not exist
-   * @param onUnknown receives why it could not be found out
+   * @param onResult receives the job, or an empty value if it does not exist
+   * @param onFailure receives the reason if the lookup failed
    */
   void find(
       String jobId,
       Consumer<Optional<FoundJob>> onResult,
-      Consumer<RetryReason> onUnknown,
+      Consumer<RetryReason> onFailure,
       long nowMicros) {
     if (!readBudget.tryAcquire(nowMicros)) {
-      onUnknown.accept(RetryReason.STATE_RATE);
+      onFailure.accept(RetryReason.STATE_RATE);
       return;
     }
     store.get(
         Keys.leaderlessJob(jobId),
         (now, result) -> {
-          if (result instanceof KeyValue newJob) {
-            onResult.accept(Optional.of(importNewJob(newJob, now)));
+          if (result instanceof KeyValue leaderlessJob) {
+            onResult.accept(Optional.of(importLeaderlessJob(leaderlessJob, now)));
           } else if (result instanceof RequestFailure) {
-            onUnknown.accept(RetryReason.READ_FAILED);
+            onFailure.accept(RetryReason.READ_FAILED);
           } else if (clusterState.jobs().containsKey(jobId)) {
-            onUnknown.accept(RetryReason.BEING_ACCEPTED);
+            onFailure.accept(RetryReason.BEING_ACCEPTED);
           } else {
-            findEnded(jobId, onResult, onUnknown);
+            findEnded(jobId, onResult, onFailure);
           }
         });
   }
 
-  private FoundJob importNewJob(KeyValue newJob, long nowMicros) {
-    boolean cancelled = LeaderlessJobRecord.isCancelled(newJob.value());
-    jobImporter.importJob(newJob, nowMicros);
+  private FoundJob importLeaderlessJob(KeyValue leaderlessJob, long nowMicros) {
+    boolean cancelled = LeaderlessJobRecord.isCancelled(leaderlessJob.value());
+    jobImporter.importJob(leaderlessJob, nowMicros);
     return new FoundJob(cancelled ? JobState.CANCELLED : JobState.PENDING, 0);
   }
 
   private void findEnded(
-      String jobId, Consumer<Optional<FoundJob>> onResult, Consumer<RetryReason> onUnknown) {
+      String jobId, Consumer<Optional<FoundJob>> onResult, Consumer<RetryReason> onFailure) {
     store.get(
         Keys.finalState(jobId),
         (now, result) -> {
           if (result instanceof ReadResult.Absent) {
             onResult.accept(Optional.empty());
           } else if (result instanceof KeyValue ended) {
-            decodeEnded(jobId, ended, onResult, onUnknown);
+            decodeEnded(jobId, ended, onResult, onFailure);
           } else {
-            onUnknown.accept(RetryReason.READ_FAILED);
+            onFailure.accept(RetryReason.READ_FAILED);
           }
         });
   }
@@ -112,13 +115,13 @@
       String jobId,
       KeyValue ended,
       Consumer<Optional<FoundJob>> onResult,
-      Consumer<RetryReason> onUnknown) {
+      Consumer<RetryReason> onFailure) {
     FinalState finalState;
     try {
       finalState = FinalStateRecord.decode(ended.value());
     } catch (MalformedException e) {
       LOG.error("final state malformed: job={} cause=\"{}\"", jobId, e.getMessage());
-      onUnknown.accept(RetryReason.RECORD_MALFORMED);
+      onFailure.accept(RetryReason.RECORD_MALFORMED);
       return;
     }
     finalStates.addLookedUp(jobId, finalState);
--- a/src/main/java/org/dewreach/request/JobRequestHandler.java
+++ b/src/main/java/org/dewreach/request/JobRequestHandler.java
@@ -16,7 +16,7 @@
 import org.dewreach.wire.JobStatus;
 import org.dewreach.wire.UserResponse;
 
-/** The leader's handling of users' requests. Users are told nothing that is not durable. */
+/** Handles users' requests on the leader. Responses report durable state only. */
 public final class JobRequestHandler {
   private final ClusterState clusterState;
   private final JobRecordWriter recordWriter;
@@ -27,9 +27,9 @@
   private final CancellationHandler cancellations;
 
   /**
-   * A handler for one term.
+   * Creates a handler for one term.
    *
-   * @param wallOffsetMicros time of day minus event time
+   * @param wallOffsetMicros wall-clock time minus event time
    */
   public JobRequestHandler(
       ClusterState clusterState,
@@ -90,14 +90,14 @@
     }
   }
 
-  /** Responds for a job that the cluster state did not have. */
+  /** Responds with the result of a lookup of a job that the cluster state did not contain. */
   private void respondFound(String jobId, Optional<JobLookup.FoundJob> found, Responder responder) {
     if (found.isPresent()) {
       JobState jobState = found.get().jobState();
       JobStatus jobStatus = JobStatus.withCounts(jobId, jobState, found.get().done(), 0);
       responder.respond(UserResponse.ok(jobStatus));
     } else if (clusterState.jobs().containsKey(jobId)) {
-      // Accepted during the lookup.
+      // The job was accepted during the lookup.
       responder.respondRetry(RetryReason.BEING_ACCEPTED);
     } else {
       responder.respond(UserResponse.empty(HttpStatus.NOT_FOUND));
@@ -119,40 +119,43 @@
     pendingQueries.tick(nowMicros);
   }
 
-  /** A cancellation cannot be written yet, as the job's tasks may still run or start. */
+  /**
+   * Called while a cancellation cannot be written yet because tasks of the job may still run or
+   * start.
+   */
   public void onStillStopping(Job job, long nowMicros) {
     cancellations.onStillStopping(job, nowMicros);
   }
 
-  /** The job's acceptance is durable. */
+  /** Called once the job's acceptance is durable. */
   public void onAccepted(Job job) {
     submissions.onAccepted(job);
   }
 
   /**
-   * A job accepted without a leader was not imported.
+   * Called when a job that was accepted without a leader was not imported.
    *
-   * <p>Guards against users that wait for ever: a job is imported from a record that may be gone
-   * already, and then nothing more comes of that.
+   * <p>Guards against responses that are never sent: the record that a job is imported from may be
+   * deleted already, and then no further event of that job follows.
    */
   public void onImportFailed(String jobId) {
     submissions.onImportFailed(jobId);
   }
 
-  /** The job's cancellation is durable. */
+  /** Called once the job's cancellation is durable. */
   public void onCancelled(Job job) {
     cancellations.onEndDurable(job, JobState.CANCELLED);
     pendingQueries.onEndDurable(job.id());
   }
 
-  /** The job's final state is durable. */
+  /** Called once the job's final state is durable. */
   public void onEnded(Job job) {
     finalStates.addEnded(job.id(), new FinalState(job.finalState(), job.doneCount()));
     cancellations.onEndDurable(job, job.finalState());
     pendingQueries.onEndDurable(job.id());
   }
 
-  /** The term is over: users are told to retry. */
+  /** Ends the term: sends a retry response to all waiting users. */
   public void close() {
     submissions.close();
     cancellations.close();
--- a/src/main/java/org/dewreach/request/LeaderDiscovery.java
+++ b/src/main/java/org/dewreach/request/LeaderDiscovery.java
@@ -8,16 +8,21 @@
 import org.dewreach.port.Outbox;
 import org.dewreach.port.Target;
 
-/** Asks the other nodes who leads while the key-value store does not tell. */
+/**
+ * Asks the other controllers for the current leader while the key-value store does not provide it.
+ */
 public final class LeaderDiscovery {
-  /** A node started in an outage asks the others soon. */
+  /**
+   * A controller without contact to the key-value store since its start asks the others after this
+   * time, so that one started in an outage finds the leader soon.
+   */
   private static final long STARTUP_GRACE_MICROS = 1_000_000;
 
   private static final long REQUEST_INTERVAL_MICROS = 500_000;
 
   private static final long REQUEST_TIMEOUT_MICROS = 1_000_000;
 
-  /** Longer than a watch of the leader key stays open without an answer. */
+  /** Longer than a watch of the leader key stays open without a response. */
   private static final long STORE_CONTACT_TIMEOUT_MICROS = 10_000_000;
 
   private final Outbox outbox;
@@ -28,7 +33,7 @@
   private long nextRequestAtMicros;
   private int nextPeer;
 
-  /** A discovery that starts with the first tick. */
+  /** Creates a discovery that starts with the first tick. */
   public LeaderDiscovery(
       Outbox outbox, Settings settings, Election election, DelegateRenewer delegateRenewer) {
     this.outbox = outbox;
@@ -38,21 +43,21 @@
   }
 
   /**
-   * Asks the next node if it is due.
+   * Asks the next controller if a request is due.
    *
-   * @param hasTerm true if this node was elected and has not noticed the end of its term
-   * @param suspectsLeader true if a recent request to the known leader was not handled by it
+   * @param hasTerm true if this controller was elected and has not detected the end of its term
+   * @param suspectsLeader true if the known leader did not handle a recent request
    */
   public void tick(boolean hasTerm, boolean suspectsLeader, long nowMicros) {
     if (startedAtMicros < 0) {
       startedAtMicros = nowMicros;
     }
-    // A leader without authority may have been followed by another one without noticing.
-    boolean ask =
+    // A leader without authority may have a successor that it has not detected.
+    boolean shouldAsk =
         hasTerm
             ? !election.hasAuthority(nowMicros)
             : isStoreUnresponsive(nowMicros) || suspectsLeader;
-    if (!ask || nowMicros < nextRequestAtMicros || settings.members().isEmpty()) {
+    if (!shouldAsk || nowMicros < nextRequestAtMicros || settings.members().isEmpty()) {
       return;
     }
     nextRequestAtMicros = nowMicros + REQUEST_INTERVAL_MICROS;
--- a/src/main/java/org/dewreach/request/LeaderForwarder.java
+++ b/src/main/java/org/dewreach/request/LeaderForwarder.java
@@ -8,28 +8,37 @@
 import org.dewreach.wire.HttpStatus;
 import org.dewreach.wire.UserResponse;
 
-/** Forwards users' requests to the leader; has them served without it if it does not reply. */
+/**
+ * Forwards users' requests to the leader, and has them served without the leader if it does not
+ * reply.
+ */
 public final class LeaderForwarder {
-  /** Users wait 2 s for the response to a query, of which some is left for reading the record. */
+  /**
+   * Users wait 2 s for the response to a query; the rest of that time is for reading the record
+   * from the key-value store.
+   */
   private static final long FORWARD_TIMEOUT_MICROS = 1_200_000;
 
   /**
-   * A leader that has been silent lately is not waited for longer than this: the job can be kept
-   * without it. One that replies is only slow, and keeping jobs without it would add to its load:
-   * each then takes three state changes instead of one.
+   * Timeout of a submission to a leader that has not replied recently: the job can be stored
+   * without it. A leader that replies is only slow, and storing jobs without it would add to its
+   * load, because each job then takes three state changes instead of one.
    */
   private static final long SILENT_LEADER_SUBMIT_TIMEOUT_MICROS = 150_000;
 
-  /** As long as the leader replies to others. */
+  /** Timeout of a submission to a leader that replies to other requests. */
   private static final long LIVE_LEADER_SUBMIT_TIMEOUT_MICROS = 600_000;
 
-  /** A leader that replied within this time is alive. */
+  /** A leader that replied within this time is live. */
   private static final long RECENT_REPLY_MICROS = 300_000;
 
-  /** A leader that did not reply is left alone for this long, where there is another way. */
+  /**
+   * For this long after a forwarded request got no reply, or one from a controller that does not
+   * lead, only requests that need the leader are forwarded.
+   */
   private static final long FORWARDING_PAUSE_MICROS = 500_000;
 
-  /** After a request that no leader took, the other nodes are asked who leads. */
+  /** For this long after such a request, the other controllers are asked for the leader. */
   private static final long LEADER_SUSPECT_MICROS = 3_000_000;
 
   private final Outbox outbox;
@@ -40,9 +49,9 @@
   private long leaderSuspectUntilMicros;
 
   /**
-   * A forwarder.
+   * Creates a forwarder.
    *
-   * @param leaderlessHandler serves the requests that the leader does not
+   * @param leaderlessHandler serves the requests that the leader does not handle
    */
   public LeaderForwarder(Outbox outbox, LeaderlessRequestHandler leaderlessHandler) {
     this.outbox = outbox;
@@ -50,19 +59,23 @@
   }
 
   /**
-   * True if the request is not to be forwarded just now, as it can be served without the leader.
+   * True if the request should not be forwarded now; only for requests that can be served without
+   * the leader.
    */
   public boolean isForwardingPausedFor(UserRequest request, long nowMicros) {
     return !(request instanceof UserRequest.Cancel) && nowMicros < forwardingPausedUntilMicros;
   }
 
-  /** True for a while after a request that no leader took. */
+  /**
+   * True for a while after a forwarded request got no reply, or one from a controller that does not
+   * lead.
+   */
   public boolean suspectsLeader(long nowMicros) {
     return nowMicros < leaderSuspectUntilMicros;
   }
 
   /**
-   * Sends a request to the leader, whose response is relayed to the user.
+   * Sends a request to the leader, and relays its response to the user.
    *
    * @param message the request as it was received
    * @param request the same request, parsed
@@ -74,7 +87,7 @@
       Responder responder,
       long nowMicros) {
     if (!leader.equals(lastLeader)) {
-      // A new leader is taken to be alive.
+      // A new leader is assumed to be live.
       lastLeader = leader;
       leaderRepliedAtMicros = nowMicros;
     }
@@ -99,7 +112,7 @@
   private void onReply(
       UserRequest request, Responder responder, ForwardedReply reply, long nowMicros) {
     if (reply instanceof ForwardedReply.Busy) {
-      // It leads, and has more to do than it can: going round it would not help.
+      // The leader is overloaded. Serving the request without it would not reduce its load.
       leaderRepliedAtMicros = nowMicros;
       responder.respond(UserResponse.unavailable(ConcurrencyLimiter.BUSY_RETRY_S));
       return;
@@ -111,8 +124,9 @@
         return;
       }
     } else {
-      // Only then. Guards against polls that fail for a while because the leader could not answer
-      // one of them: in an outage it still knows most jobs, and nobody else knows any.
+      // Not after a 503 from the leader itself. Guards against queries that fail for a while
+      // because the leader could not answer one of them: in an outage of the key-value store it
+      // still has most jobs in memory, and no other controller has any.
       forwardingPausedUntilMicros = nowMicros + FORWARDING_PAUSE_MICROS;
       leaderSuspectUntilMicros = nowMicros + LEADER_SUSPECT_MICROS;
     }
--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -26,21 +26,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves users straight from the key-value store while no leader is reachable.
+ * Serves users' requests directly from the key-value store while no leader is reachable.
  *
- * <p>Reading is always safe. A new job is written under a key of its own, from which only a leader
- * imports it, in one transaction; so it needs no leader to be accepted or cancelled, and nobody
- * starts it before. Other jobs are changed by leaders alone.
+ * <p>Reading is always safe. A new job is written under a separate key, from which only a leader
+ * imports it, in one transaction; until then it can be accepted and cancelled without a leader, and
+ * no controller starts it. Other jobs are changed by the leader only.
  */
 public final class LeaderlessRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderlessRequestHandler.class);
 
   private static final long WRITE_TIMEOUT_MICROS = 1_500_000;
 
-  /**
-   * Share of the key-value store's rates that one node without a leader takes. A default of this
-   * project.
-   */
+  /** Share of the key-value store's rate limits that one controller uses without a leader. */
   private static final double STORE_RATE_SHARE = 0.25;
 
   private final KeyValueStore store;
@@ -54,11 +51,11 @@
   private long lastWriteNumber;
 
   /**
-   * A handler.
+   * Creates a handler.
    *
-   * @param bootId a text that no other process has, also not an earlier one of this node
-   * @param clock tells event time
-   * @param wallOffsetMicros time of day minus event time
+   * @param bootId an id unique to this process; an earlier process of this node has another one
+   * @param clock returns event time
+   * @param wallOffsetMicros wall-clock time minus event time
    */
   public LeaderlessRequestHandler(
       KeyValueStore store,
@@ -80,9 +77,13 @@
     this.writeBudget = new TokenBucket(writeRps, writeRps);
   }
 
-  /** Serves queries by reading, and writes what no leader has imported yet. */
+  /**
+   * Serves queries by reading, and submissions and cancellations by writing to records that no
+   * leader has imported yet.
+   */
   public void handle(UserRequest request, Responder responder) {
-    // Renewals of the lead come first: polls in a bad moment must not use up the rate.
+    // Renewals of the leader lease take precedence: a burst of users' requests must not use up the
+    // store's rate limit.
     boolean writes = request instanceof UserRequest.Submit;
     boolean admitted = writes ? writeBudget.tryAcquire(clock.getAsLong()) : reader.hasReadBudget();
     if (!admitted) {
@@ -141,18 +142,21 @@
         });
   }
 
-  /** A repeat of a known job is answered with its state, even if it would be rejected now. */
-  private void respondUnlessKnown(String jobId, Responder responder, Runnable respond) {
+  /**
+   * Responds to a repeated submission of a known job with its state, even if it would be rejected
+   * now; otherwise runs {@code ifUnknown}.
+   */
+  private void respondUnlessKnown(String jobId, Responder responder, Runnable ifUnknown) {
     reader.read(
         jobId,
         job -> responder.respond(UserResponse.ok(job.status())),
-        respond,
+        ifUnknown,
         responder::respondRetry);
   }
 
   private void createJob(JobSpec spec, Responder responder) {
     String jobId = spec.id();
-    // The time of acceptance is only used for ordering; a node's wall clock is good enough.
+    // The acceptance time is used for ordering only, so the local wall clock is accurate enough.
     long acceptedWallMicros = clock.getAsLong() + wallOffsetMicros;
     Mutation put =
         new Mutation(
@@ -175,7 +179,8 @@
             respondUnlessKnown(
                 jobId, responder, () -> responder.respondRetry(RetryReason.BEING_ACCEPTED));
           } else {
-            // Unclear or refused: the user's next try finds out.
+            // The outcome is unknown or the write was refused; the user's next attempt reads the
+            // outcome.
             responder.respondRetry(RetryReason.WRITE_NOT_CONFIRMED);
           }
         });
@@ -188,7 +193,8 @@
       return;
     }
     if (!job.key().equals(Keys.leaderlessJob(job.jobId()))) {
-      // Its tasks may run: only a leader knows when they are sure to be gone in time.
+      // Its tasks may be running, and only a leader can determine in time when they are certainly
+      // gone.
       responder.respondRetry(RetryReason.NEEDS_LEADER);
       return;
     }
--- a/src/main/java/org/dewreach/request/PendingQueries.java
+++ b/src/main/java/org/dewreach/request/PendingQueries.java
@@ -11,29 +11,29 @@
 import org.dewreach.wire.JobState;
 
 /**
- * Queries, and repeated submissions, of jobs whose end is being written: they wait for the outcome
- * for a moment.
+ * Queries, and repeated submissions, of jobs whose final state is being written. They wait for the
+ * outcome of the write for a bounded time.
  *
- * <p>If it takes longer, the job's last durable state is told, for as long as the write is
- * certainly not applied. Guards against jobs that cannot be queried while nothing can be written:
- * their ends wait for as long as an outage of the key-value store lasts.
+ * <p>After that time, the response reports the job's last durable state if the write is certainly
+ * not applied. Guards against jobs that cannot be queried while writes are stalled: their final
+ * states wait for as long as an outage of the key-value store lasts.
  *
- * <p>While the write may be applied without our knowing, the user is told to retry. Guards against
- * telling an older state than another node has told: it may have read the new record while the
- * response to our write was still on its way.
+ * <p>While the write may have been applied without a response, the user is told to retry. Guards
+ * against reporting an older state than another controller has reported: that controller may have
+ * read the new record while the response to the write was still in transit.
  */
 final class PendingQueries {
-  /** Users wait 2 s, and a node that forwards a query 1.2 s. A default of this project. */
+  /** Users wait 2 s for a response, and a controller that forwards a query waits 1.2 s. */
   private static final long MAX_WAIT_MICROS = 1_000_000;
 
   /**
-   * A query.
+   * A waiting query or repeated submission.
    *
-   * @param job the job whose end is being written
-   * @param responder where the response goes
+   * @param job the job whose final state is being written
+   * @param responder sends the response
    * @param respondLastDurable responds with the job's last durable state
-   * @param handleAgain handles the request again once the end is durable
-   * @param sinceMicros since when it waits
+   * @param handleAgain handles the request again once the final state is durable
+   * @param sinceMicros when it began to wait
    */
   private record PendingQuery(
       Job job,
@@ -56,10 +56,11 @@
   }
 
   /**
-   * Adds a query, which is responded to once the job's end is durable, or after a moment without.
+   * Adds a query. Its response is sent once the job's final state is durable, or without it after a
+   * bounded time.
    *
    * @param respondLastDurable responds with the job's last durable state
-   * @param handleAgain handles the request again once the end is durable
+   * @param handleAgain handles the request again once the final state is durable
    */
   void add(
       Job job,
@@ -84,7 +85,7 @@
     }
   }
 
-  /** Responds to queries that have waited for too long, or to all if writes are stalled. */
+  /** Responds to queries that have waited for too long, or to all queries if writes are stalled. */
   void tick(long nowMicros) {
     boolean stalled = recordWriter.stalled(nowMicros);
     for (Iterator<List<PendingQuery>> lists = pendingByJob.values().iterator(); lists.hasNext(); ) {
@@ -103,7 +104,7 @@
     }
   }
 
-  /** The job's end is durable. */
+  /** Called once the job's final state is durable. */
   void onEndDurable(String jobId) {
     List<PendingQuery> ofJob = pendingByJob.remove(jobId);
     if (ofJob != null) {
@@ -111,7 +112,7 @@
     }
   }
 
-  /** The term is over: users are told to retry. */
+  /** Ends the term: sends a retry response to all waiting users. */
   void close() {
     for (List<PendingQuery> ofJob : pendingByJob.values()) {
       ofJob.forEach(pending -> pending.responder().respondRetry(RetryReason.NO_AUTHORITY));
--- a/src/main/java/org/dewreach/request/RetryCounts.java
+++ b/src/main/java/org/dewreach/request/RetryCounts.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** How often users were told to retry, by reason, since the start of the process. */
+/** Counts, by reason, how often users were told to retry since the process started. */
 final class RetryCounts {
   private final Map<RetryReason, Long> counts = new EnumMap<>(RetryReason.class);
 
@@ -18,7 +18,7 @@
     counts.merge(reason, 1L, Long::sum);
   }
 
-  /** The reasons that occurred, with their counts. */
+  /** Returns the reasons that occurred, with their counts, as {@code key=value} pairs. */
   String summary() {
     return counts.entrySet().stream()
         .filter(entry -> entry.getValue() > 0)
@@ -26,7 +26,7 @@
         .collect(Collectors.joining(" "));
   }
 
-  /** The counts of all reasons, in the order of the reasons. */
+  /** Returns the counts of all reasons, in the order of the enum. */
   Map<RetryReason, Long> snapshot() {
     return new EnumMap<>(counts);
   }
--- a/src/main/java/org/dewreach/request/StoredJobReader.java
+++ b/src/main/java/org/dewreach/request/StoredJobReader.java
@@ -18,7 +18,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads jobs from the key-value store, wherever their records are. */
+/** Reads jobs from the key-value store, whichever kind of record they have. */
 final class StoredJobReader {
   private static final Logger LOG = LoggerFactory.getLogger(StoredJobReader.class);
 
@@ -28,10 +28,10 @@
   private final LongSupplier clock;
 
   /**
-   * A reader.
+   * Creates a reader.
    *
-   * @param rps reads per second that it may make
-   * @param clock tells event time
+   * @param rps the maximum number of reads per second
+   * @param clock returns event time
    */
   StoredJobReader(KeyValueStore store, FinalStates finalStates, double rps, LongSupplier clock) {
     this.store = store;
@@ -48,30 +48,32 @@
    * @param revision the record's revision
    * @param liveRecord its record, or null if the job has ended
    * @param jobState its state
-   * @param done how many of its tasks are done
+   * @param done the number of its completed tasks
    */
   record StoredJob(
       String jobId, String key, long revision, JobRecord liveRecord, JobState jobState, int done) {
-    /** The status in responses to submissions and cancellations. */
+    /** Returns the status in responses to submissions and cancellations. */
     JobStatus status() {
       return JobStatus.withoutCounts(jobId, jobState);
     }
 
-    /** The status in the response to a query. */
+    /** Returns the status in the response to a query. */
     JobStatus statusWithCounts() {
       return JobStatus.withCounts(jobId, jobState, done, 0);
     }
   }
 
-  /** True if the rate for reading is not used up. */
+  /** True if the rate limit allows another read. */
   boolean hasReadBudget() {
     return readBudget.available(clock.getAsLong()) >= 1;
   }
 
   /**
-   * Where a job may be. It moves from the new records to the live ones and from there to the final
-   * ones, each in one transaction. Most are live, so those are read first, and again after the new
-   * ones: a job that existed at the start is found then, however it moves meanwhile.
+   * Returns the keys under which a job may be stored, in the order in which to read them. A job
+   * moves from the record of a job accepted without a leader to a live record, and from there to a
+   * final state, each in one transaction. Most jobs are live, so the live record is read first, and
+   * once more after the leaderless one: this finds every job that existed at the start, even if it
+   * moves between the reads.
    */
   private static List<String> keysToRead(String jobId) {
     return List.of(
@@ -79,60 +81,62 @@
   }
 
   /**
-   * Reads a job. All reads are paid for at the start, and those not needed are refunded.
+   * Reads a job. All reads are charged to the rate limit at the start, and those not needed are
+   * refunded.
    *
-   * <p>Guards against the requests that reach a controller while it stands still: each was counted
-   * as one read and took up to four, so all at once were more than the key-value store allows.
+   * <p>Guards against exceeding the key-value store's rate limit when a controller resumes after a
+   * pause: each request that had arrived in the meantime was counted as one read and took up to
+   * four, and all were handled at once.
    *
-   * @param onUnknown receives why the job could not be read
+   * @param onFailure receives the reason if the job could not be read
    */
   void read(
       String jobId,
       Consumer<StoredJob> onFound,
       Runnable onAbsent,
-      Consumer<RetryReason> onUnknown) {
+      Consumer<RetryReason> onFailure) {
     List<String> keys = keysToRead(jobId);
     readBudget.consume(clock.getAsLong(), keys.size());
-    readFirst(keys, jobId, onFound, onAbsent, onUnknown);
+    readFirst(keys, jobId, onFound, onAbsent, onFailure);
   }
 
-  /** Reads the first of the keys, and the rest of them if it does not exist. */
+  /** Reads the first of the keys, and continues with the rest if it does not exist. */
   private void readFirst(
       List<String> keys,
       String jobId,
       Consumer<StoredJob> onFound,
       Runnable onAbsent,
-      Consumer<RetryReason> onUnknown) {
+      Consumer<RetryReason> onFailure) {
     if (keys.isEmpty()) {
       onAbsent.run();
       return;
     }
-    List<String> rest = keys.subList(1, keys.size());
+    List<String> remainingKeys = keys.subList(1, keys.size());
     store.get(
         keys.get(0),
         (now, result) -> {
           if (result instanceof ReadResult.Absent) {
-            readFirst(rest, jobId, onFound, onAbsent, onUnknown);
+            readFirst(remainingKeys, jobId, onFound, onAbsent, onFailure);
             return;
           }
-          readBudget.refund(rest.size());
+          readBudget.refund(remainingKeys.size());
           if (result instanceof KeyValue entry) {
-            decode(jobId, entry, onFound, onUnknown);
+            decode(jobId, entry, onFound, onFailure);
           } else {
-            onUnknown.accept(RetryReason.READ_FAILED);
+            onFailure.accept(RetryReason.READ_FAILED);
           }
         });
   }
 
   private void decode(
-      String jobId, KeyValue entry, Consumer<StoredJob> onFound, Consumer<RetryReason> onUnknown) {
+      String jobId, KeyValue entry, Consumer<StoredJob> onFound, Consumer<RetryReason> onFailure) {
     StoredJob job;
     try {
       boolean ended = entry.key().equals(Keys.finalState(jobId));
       job = ended ? decodeEnded(jobId, entry) : decodeLive(jobId, entry);
     } catch (MalformedException e) {
       LOG.error("job record malformed: key={} cause=\"{}\"", entry.key(), e.getMessage());
-      onUnknown.accept(RetryReason.RECORD_MALFORMED);
+      onFailure.accept(RetryReason.RECORD_MALFORMED);
       return;
     }
     onFound.accept(job);
--- a/src/main/java/org/dewreach/request/SubmissionHandler.java
+++ b/src/main/java/org/dewreach/request/SubmissionHandler.java
@@ -17,7 +17,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The leader's handling of submissions. */
+/** Handles submissions on the leader. */
 final class SubmissionHandler {
   private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
 
@@ -88,7 +88,7 @@
     }
   }
 
-  /** A repeated submission of a job that the cluster state has. */
+  /** Handles a repeated submission of a job that the cluster state contains. */
   private void handleRepeat(
       UserRequest.Submit submit, Job known, Responder responder, long nowMicros) {
     if (known.phase() == JobPhase.PERSISTING) {
@@ -110,8 +110,8 @@
   }
 
   /**
-   * A record exists although the cluster state lacks it: the job has ended, or was accepted without
-   * this leader.
+   * Called when the job already has a record although the cluster state did not contain it: the job
+   * has ended, or was accepted without this leader.
    */
   private void onRecordExists(Job job, long nowMicros) {
     clusterState.removeJob(job);
@@ -136,13 +136,16 @@
     }
   }
 
-  /** A repeat of a known job is answered with its state, even if it would be rejected now. */
+  /**
+   * Rejects a submission. A repeated submission of a known job gets the job's state as its
+   * response, even if it would be rejected now.
+   */
   private void rejectUnlessKnown(
       String jobId, Responder responder, int status, String error, long nowMicros) {
     lookup.find(
         jobId,
         found -> {
-          // One that the cluster state has now was accepted during the lookup.
+          // A job that the cluster state contains now was accepted during the lookup.
           if (found.isPresent() || clusterState.jobs().containsKey(jobId)) {
             respondFound(jobId, found, responder);
           } else {
@@ -155,15 +158,15 @@
   }
 
   /**
-   * Guards against responses held back while writes do not get through: users are told at once to
-   * retry.
+   * Sends a retry response to all waiting users without further delay. Guards against responses
+   * that are held back while writes to the key-value store are stalled.
    */
   void onWritesStalled() {
     awaitingAcceptance.respondRetryToAll(RetryReason.WRITES_STALLED);
   }
 
   void onAccepted(Job job) {
-    // One that was accepted without this leader may have been cancelled without it too.
+    // A job that was accepted without this leader may have been cancelled without it too.
     JobStatus jobStatus = JobStatus.withoutCounts(job.id(), job.jobState());
     awaitingAcceptance.respond(job.id(), UserResponse.created(jobStatus));
   }
@@ -172,7 +175,7 @@
     awaitingAcceptance.respondRetry(jobId, RetryReason.BEING_ACCEPTED);
   }
 
-  /** The term is over: users are told to retry. */
+  /** Ends the term: sends a retry response to all waiting users. */
   void close() {
     awaitingAcceptance.respondRetryToAll(RetryReason.NO_AUTHORITY);
   }
--- a/src/main/java/org/dewreach/request/UserRequestLimits.java
+++ b/src/main/java/org/dewreach/request/UserRequestLimits.java
@@ -5,12 +5,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The users' requests in progress on this controller, their limits, and why users were told to
+ * Limits the users' requests in progress on this controller, and counts why users were told to
  * retry.
  *
- * <p>Queries have a limit of their own. Guards against queries, which need no write, being shed for
- * as long as requests that wait for writes fill the limit, as after an outage or while more jobs
- * come than can be written.
+ * <p>Queries have a separate limit. Guards against queries, which need no write, being shed for as
+ * long as requests that wait for writes fill the limit, as after an outage or while jobs are
+ * submitted faster than they can be written.
  */
 public final class UserRequestLimits {
   private static final Logger LOG = LoggerFactory.getLogger(UserRequestLimits.class);
@@ -23,9 +23,9 @@
   private final LongSupplier clock;
 
   /**
-   * Limits without any request in progress.
+   * Creates limits without any request in progress.
    *
-   * @param clock tells event time
+   * @param clock returns event time
    */
   public UserRequestLimits(LongSupplier clock) {
     this.clock = clock;
@@ -35,16 +35,16 @@
     return request instanceof UserRequest.Query ? queries : changes;
   }
 
-  /** True if the request exceeds its limit; it is counted as shed then. */
+  /** Returns true, and counts the request as shed, if it would exceed its limit. */
   public boolean shedIfAtLimit(UserRequest request) {
-    boolean sheds = limiterOf(request).shedIfAtLimit();
-    if (sheds) {
+    boolean shed = limiterOf(request).shedIfAtLimit();
+    if (shed) {
       retries.add(RetryReason.LOAD_LIMIT);
     }
-    return sheds;
+    return shed;
   }
 
-  /** Counts the request as in progress until its response, which goes to the target. */
+  /** Counts the request as in progress until its response, which is passed on to the target. */
   public Responder admit(UserRequest request, Responder target) {
     ConcurrencyLimiter limiter = limiterOf(request);
     ConcurrencyLimiter.Admitted admitted = limiter.admit(clock.getAsLong());
@@ -63,7 +63,7 @@
     LOG.info("users told to retry: {}", retries.summary());
   }
 
-  /** Numbers for operators. */
+  /** Returns statistics for operators. */
   public UserRequestStats stats() {
     return new UserRequestStats(changes.stats(), queries.stats(), retries.snapshot());
   }
--- a/src/main/java/org/dewreach/request/UserRequestParser.java
+++ b/src/main/java/org/dewreach/request/UserRequestParser.java
@@ -11,7 +11,7 @@
   private UserRequestParser() {}
 
   /**
-   * Returns the typed request, or null if there is none of this method and path.
+   * Returns the typed request, or null if no request has this method and path.
    *
    * <p>A submission without a valid job id is returned with a null id.
    *
--- a/src/main/java/org/dewreach/request/UserRequestStats.java
+++ b/src/main/java/org/dewreach/request/UserRequestStats.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 
 /**
- * Numbers of users' requests for operators.
+ * Statistics of users' requests for operators.
  *
  * @param changes submissions and cancellations
  * @param queries queries
- * @param retries how often users were told to retry, for every reason in order
+ * @param retries how often users were told to retry, for every reason in the order of the enum
  */
 public record UserRequestStats(
     ConcurrencyStats changes, ConcurrencyStats queries, Map<RetryReason, Long> retries) {}
--- a/src/main/java/org/dewreach/request/WaitingResponders.java
+++ b/src/main/java/org/dewreach/request/WaitingResponders.java
@@ -20,17 +20,17 @@
     return responders == null ? List.of() : responders;
   }
 
-  /** Sends the response to all that wait for the job. */
+  /** Sends the response to all users who wait for the job. */
   void respond(String jobId, UserResponse response) {
     remove(jobId).forEach(responder -> responder.respond(response));
   }
 
-  /** Tells all that wait for the job to retry. */
+  /** Sends a retry response to all users who wait for the job. */
   void respondRetry(String jobId, RetryReason reason) {
     remove(jobId).forEach(responder -> responder.respondRetry(reason));
   }
 
-  /** Tells all that wait for any job to retry. */
+  /** Sends a retry response to all users who wait for any job. */
   void respondRetryToAll(RetryReason reason) {
     List.copyOf(waiting.keySet()).forEach(jobId -> respondRetry(jobId, reason));
   }
--- a/src/main/java/org/dewreach/store/CommitQueue.java
+++ b/src/main/java/org/dewreach/store/CommitQueue.java
@@ -7,30 +7,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's writes, in groups: those that wait at the same time share one transaction.
+ * Queue of the leader's writes. Writes that wait at the same time share one transaction.
  *
  * <p>One transaction is in flight at a time, and each is conditional on the revision of the leader
- * key. A transaction without a response is sent again unchanged until its outcome is known.
+ * key. A transaction that gets no response is sent again unchanged until its outcome is known.
  */
 public final class CommitQueue {
   private static final Logger LOG = LoggerFactory.getLogger(CommitQueue.class);
   private static final long COMMIT_TIMEOUT_MICROS = 1_200_000;
   private static final long RETRY_DELAY_MICROS = 150_000;
 
-  /** A transaction that is older than this keeps new writes waiting for long. */
+  /** Writes count as stalled if the current transaction is older than this. */
   private static final long STALL_THRESHOLD_MICROS = 1_500_000;
 
-  /** Field of every stored value that holds the id of the transaction that wrote it. */
+  /** The field of every stored value that contains the id of the transaction that wrote it. */
   public static final String TRANSACTION_ID_FIELD = "w";
 
   private enum Phase {
-    /** No transaction is under way. */
+    /** There is no current transaction. */
     IDLE,
     /** A transaction was sent and has no outcome yet. */
     SENT,
-    /** Reading whether an earlier copy of the transaction was applied. */
+    /** A read is in flight that shows whether an earlier copy of the transaction was applied. */
     VERIFYING,
-    /** The transaction is to be sent again after a pause. */
+    /** The transaction will be sent again after a delay. */
     BACKING_OFF,
     /** The term is over. */
     CLOSED
@@ -45,19 +45,19 @@
   private Phase phase = Phase.IDLE;
   private long retryAtMicros;
 
-  /** The transaction under way, or null. */
+  /** The current transaction, or null. */
   private GroupedTransaction transaction;
 
   private long lastTransactionNumber;
 
   /**
-   * An empty queue.
+   * Creates an empty queue.
    *
    * @param leaderKey a precondition of every transaction: the leader key at the revision of this
    *     term
-   * @param maxMutations the most mutations of a transaction
+   * @param maxMutations the maximum number of mutations in a transaction
    * @param mutationBudget the share of the store's write rate that this queue may use
-   * @param onLeaderLost called when the leader key turns out to have changed
+   * @param onLeaderLost called if the leader key has changed
    */
   public CommitQueue(
       KeyValueStore store,
@@ -72,25 +72,25 @@
     this.backlog = new WriteBacklog(maxMutations);
   }
 
-  /** How many writes have no outcome yet. */
+  /** Returns the number of writes that have no outcome yet. */
   public int pendingWrites() {
     return backlog.size() + (transaction == null ? 0 : transaction.writes().size());
   }
 
-  /** True while writes are not carried out: a user who waits for one had better retry later. */
+  /** True while writes make no progress, so that a user who waits for one should retry later. */
   public boolean stalled(long nowMicros) {
     return transactionAgeMicros(nowMicros) > STALL_THRESHOLD_MICROS;
   }
 
-  /** For how long the transaction under way has had no outcome; 0 if there is none. */
+  /** Returns for how long the current transaction has had no outcome, or 0 if there is none. */
   public long transactionAgeMicros(long nowMicros) {
     return transaction == null ? 0 : transaction.ageMicros(nowMicros);
   }
 
   /**
-   * True while the write may be applied without our knowing: it is in flight, or an earlier copy of
-   * it got no response. A write that waits, or that the store answered as not executed, is
-   * certainly not applied.
+   * True while the write may have been applied although its outcome is not known: it is in flight,
+   * or an earlier copy of it got no response. A write that is still queued, or that the store
+   * reported as not executed, is certainly not applied.
    */
   public boolean inDoubt(ConditionalWrite write) {
     return transaction != null
@@ -98,7 +98,7 @@
         && transaction.contains(write);
   }
 
-  /** Adds a write; false if the queue is full or closed, and the write was not added. */
+  /** Adds a write. Returns false, without adding it, if the queue is full or closed. */
   public boolean offer(long nowMicros, ConditionalWrite write) {
     if (phase == Phase.CLOSED || !backlog.offer(write)) {
       return false;
@@ -107,12 +107,12 @@
     return true;
   }
 
-  /** Called when time has passed. */
+  /** Sends what is due; called periodically. */
   public void tick(long nowMicros) {
     sendNext(nowMicros);
   }
 
-  /** Ends all writes with an unknown outcome: the term is over. */
+  /** Ends the term: reports the outcome of all pending writes as unknown. */
   public void close(long nowMicros) {
     if (phase == Phase.CLOSED) {
       return;
@@ -203,7 +203,7 @@
     GroupedTransaction rejected = transaction;
     List<ConditionalWrite> writes = endTransaction();
     if (writes.size() > 1) {
-      // Guards against one write that the store rejects taking others with it.
+      // Guards against a rejected write causing the other writes of its transaction to fail.
       LOG.warn(
           "transaction rejected, sending its writes separately: transaction={} cause={} writes={}",
           rejected.id(),
@@ -211,9 +211,10 @@
           writes.size());
       backlog.requeueSeparately(writes);
     } else {
-      // A transaction that the store calls malformed would block the queue for ever.
+      // A transaction that the store rejects as malformed would block the queue for ever if
+      // retried.
       LOG.error(
-          "write rejected and dropped: transaction={} cause={} keys={}",
+          "write rejected and dropped: transaction={} cause={} keys=\"{}\"",
           rejected.id(),
           failure,
           rejected.keys());
@@ -233,7 +234,7 @@
       dropConflicting(nowMicros, conflict);
       return;
     }
-    // An earlier copy may have been applied: its id tells.
+    // An earlier copy may have been applied; the transaction id in the stored value shows it.
     setPhase(Phase.VERIFYING);
     store.get(keyToVerify.get(), (now, result) -> onVerified(now, result, conflict));
   }
@@ -263,7 +264,8 @@
       (failed ? dropped : kept).add(write);
     }
     if (dropped.isEmpty()) {
-      // The store may name only some keys; without any of ours the group cannot make progress.
+      // The store may name only some of the failed keys. If none of them belongs to these writes,
+      // the group cannot make progress.
       dropped = kept;
       kept = List.of();
     }
@@ -272,7 +274,7 @@
     sendNext(nowMicros);
   }
 
-  /** Ends the transaction under way; returns its writes, which have no outcome yet. */
+  /** Ends the current transaction; returns its writes, which have no outcome yet. */
   private List<ConditionalWrite> endTransaction() {
     List<ConditionalWrite> writes = transaction.writes();
     transaction = null;
--- a/src/main/java/org/dewreach/store/ConditionalWrite.java
+++ b/src/main/java/org/dewreach/store/ConditionalWrite.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Changes that take effect together or not at all.
+ * Mutations that are applied together or not at all.
  *
- * @param preconditions what has to hold for them, beside the leader key
+ * @param preconditions what must hold for them, in addition to the precondition on the leader key
  * @param mutations the puts and deletes
- * @param urgency whether somebody waits for it
+ * @param urgency whether a user or a command to a machine waits for it
  * @param callback receives the outcome
  */
 public record ConditionalWrite(
@@ -15,11 +15,11 @@
     List<Mutation> mutations,
     Urgency urgency,
     Callback callback) {
-  /** Order among writes that wait for a transaction. */
+  /** Priority among the writes that wait for a transaction. */
   public enum Urgency {
     /** A user, or a command to a machine, waits for it. */
     URGENT,
-    /** Nobody waits for it: it is sent after all urgent ones. */
+    /** Nothing waits for it; it is sent after all urgent writes. */
     DEFERRABLE
   }
 
@@ -27,7 +27,10 @@
   public enum Outcome {
     /** It is durable, at the revision given. */
     WRITTEN,
-    /** A precondition of its own failed; nothing was changed, and nothing of it will be. */
+    /**
+     * One of its preconditions failed, or the store rejected it; none of its mutations was or will
+     * be applied.
+     */
     CONFLICT,
     /** The queue was closed; whether the write is applied is unknown. */
     UNKNOWN
--- a/src/main/java/org/dewreach/store/GroupedTransaction.java
+++ b/src/main/java/org/dewreach/store/GroupedTransaction.java
@@ -7,8 +7,8 @@
 /**
  * Writes that share one transaction, which is sent unchanged until its outcome is known.
  *
- * <p>Each value that it puts carries the transaction's id, by which an earlier copy that was
- * applied without a response is recognized.
+ * <p>Each value that it puts contains the transaction's id, which identifies an earlier copy that
+ * was applied without a response.
  */
 final class GroupedTransaction {
   private final String id;
@@ -17,7 +17,7 @@
   private boolean responseMissed;
 
   /**
-   * A transaction of these writes; their values get its id.
+   * Creates a transaction of the given writes, and adds its id to the values that they put.
    *
    * @param id unique among all transactions
    */
@@ -44,7 +44,7 @@
     return nowMicros - createdAtMicros;
   }
 
-  /** True if a copy of it was sent and got no response: that copy may be applied. */
+  /** True if a copy of it was sent and got no response, so that the copy may have been applied. */
   boolean responseMissed() {
     return responseMissed;
   }
@@ -53,7 +53,7 @@
     responseMissed = true;
   }
 
-  /** True if it contains this very write. */
+  /** True if it contains the given write, compared by identity. */
   boolean contains(ConditionalWrite write) {
     return writes.stream().anyMatch(other -> other == write);
   }
@@ -71,7 +71,10 @@
     return mutations;
   }
 
-  /** The key at which an applied copy of the transaction can be recognized. */
+  /**
+   * Returns the key whose value shows whether a copy of the transaction was applied, if it puts
+   * any.
+   */
   Optional<String> firstPutKey() {
     return mutations().stream()
         .filter(mutation -> !mutation.isDelete())
@@ -84,7 +87,7 @@
     return id.equals(entry.value().path(CommitQueue.TRANSACTION_ID_FIELD).asText());
   }
 
-  /** Keys that it changes, for log lines. */
+  /** Returns the keys that it changes, for log lines. */
   List<String> keys() {
     return mutations().stream().map(Mutation::key).toList();
   }
--- a/src/main/java/org/dewreach/store/KeyValueCodec.java
+++ b/src/main/java/org/dewreach/store/KeyValueCodec.java
@@ -12,10 +12,10 @@
 
 /** The paths, bodies and field names of the key-value store's HTTP interface. */
 final class KeyValueCodec {
-  /** Path of granting a lease. */
+  /** The path for granting a lease. */
   static final String GRANT_LEASE_PATH = "/holds";
 
-  /** Path of a transaction. */
+  /** The path for a transaction. */
   static final String TRANSACTION_PATH = "/commit";
 
   private static final String STORE_REVISION = "ledger_rev";
@@ -169,10 +169,14 @@
     return keys;
   }
 
-  /** A success without a readable body is a fault of the store that this process cannot work on. */
+  /**
+   * Returns the body of a successful response. A success without a readable body is a fault of the
+   * store from which this process cannot continue.
+   */
   private static JsonNode required(JsonNode body) {
     if (body == null) {
-      throw new IllegalStateException("the key-value store answered 200 without a readable body");
+      throw new IllegalStateException(
+          "key-value store response with status 200 has no readable body");
     }
     return body;
   }
--- a/src/main/java/org/dewreach/store/KeyValueStore.java
+++ b/src/main/java/org/dewreach/store/KeyValueStore.java
@@ -20,12 +20,12 @@
   private final Outbox outbox;
   private final ConnectionPool pool;
 
-  /** A client that uses the general connections. */
+  /** Creates a client that uses the general connections. */
   public KeyValueStore(Outbox outbox) {
     this(outbox, ConnectionPool.GENERAL);
   }
 
-  /** A client that uses the connections of the given pool. */
+  /** Creates a client that uses the connections of the given pool. */
   public KeyValueStore(Outbox outbox, ConnectionPool pool) {
     this.outbox = outbox;
     this.pool = pool;
@@ -44,8 +44,8 @@
   /**
    * Reads a page of the keys that begin with a prefix, in order.
    *
-   * @param afterKey the last key of the page before, or null for the first page
-   * @param pageSize the most entries of a page; the store may return fewer
+   * @param afterKey the last key of the previous page, or null for the first page
+   * @param pageSize the maximum number of entries; the store may return fewer
    */
   public void range(
       String prefix, String afterKey, int pageSize, ResultHandler<RangeResult> handler) {
@@ -60,8 +60,8 @@
   /**
    * Waits for changes of keys that begin with a prefix (long poll).
    *
-   * @param afterRevision the last revision that the caller knows
-   * @param waitMs how long the store may wait for a change before it answers
+   * @param afterRevision the last revision that the caller has seen
+   * @param waitMs how long the store may wait for a change before it responds
    */
   public void watch(
       String prefix, long afterRevision, long waitMs, ResultHandler<WatchResult> handler) {
@@ -83,7 +83,7 @@
         (now, status, body) -> handler.onResult(now, KeyValueCodec.decodeGrantLease(status, body)));
   }
 
-  /** Renews a lease for its full time. */
+  /** Renews a lease for its full TTL. */
   public void renewLease(long leaseId, long timeoutMicros, ResultHandler<LeaseResult> handler) {
     send(
         "POST",
@@ -94,7 +94,10 @@
             handler.onResult(now, KeyValueCodec.decodeRenewLease(leaseId, status)));
   }
 
-  /** Revokes a lease and deletes the keys written with it; it is expired then, or was before. */
+  /**
+   * Revokes a lease and deletes the keys written with it. The result is the same if the lease had
+   * already expired.
+   */
   public void revokeLease(long leaseId, ResultHandler<LeaseResult> handler) {
     send(
         "DELETE",
--- a/src/main/java/org/dewreach/store/Keys.java
+++ b/src/main/java/org/dewreach/store/Keys.java
@@ -1,11 +1,14 @@
 package org.dewreach.store;
 
-/** The layout of the keys. */
+/** The layout of the keys in the key-value store. */
 public final class Keys {
-  /** The leader key: the revision of its write is the term, its value names the leader. */
+  /** The leader key. The revision of its write is the term, and its value names the leader. */
   public static final String LEADER = "dw/leader";
 
-  /** The last catalog that a leader fetched, for a start while the cloud provider is down. */
+  /**
+   * The last machine type catalog that a leader fetched; used by a controller that starts while the
+   * cloud provider is down.
+   */
   public static final String CATALOG = "dw/catalog";
 
   /** Prefix of the jobs that have not ended: spec, cancellation, completed tasks. */
@@ -17,30 +20,30 @@
   /** Prefix of the final states of jobs, which are kept for ever. */
   public static final String FINAL_STATES = "dw/over/";
 
-  /** Prefix of the pages of machines that were rented, or may have been given commands. */
+  /** Prefix of the pages that list the machines that were rented or may have received commands. */
   public static final String MACHINE_PAGES = "dw/machines/";
 
-  /** A recovery that is open over several terms: since when. */
+  /** The time since which a recovery has been open over several terms. */
   public static final String RECOVERY = "dw/recovery";
 
   private Keys() {}
 
-  /** Key of a job that was accepted without a leader. */
+  /** Returns the key of a job that was accepted without a leader. */
   public static String leaderlessJob(String jobId) {
     return LEADERLESS_JOBS + jobId;
   }
 
-  /** Key of a job that has not ended. */
+  /** Returns the key of a job that has not ended. */
   public static String job(String jobId) {
     return JOBS + jobId;
   }
 
-  /** Key of a job's final state. */
+  /** Returns the key of a job's final state. */
   public static String finalState(String jobId) {
     return FINAL_STATES + jobId;
   }
 
-  /** Key of a page of machines. */
+  /** Returns the key of a page of machines. */
   public static String machinePage(int number) {
     return MACHINE_PAGES + number;
   }
--- a/src/main/java/org/dewreach/store/RequestFailure.java
+++ b/src/main/java/org/dewreach/store/RequestFailure.java
@@ -3,27 +3,27 @@
 import org.dewreach.wire.HttpStatus;
 
 /**
- * A request to the key-value store that has no result.
+ * The failure of a request to the key-value store.
  *
- * @param cause why it has none
+ * @param cause why the request failed
  * @param status the HTTP status, or 0 if no response came
  */
 public record RequestFailure(Cause cause, int status)
     implements ReadResult, RangeResult, WatchResult, LeaseResult, TransactionResult {
 
-  /** Why a request has no result. */
+  /** Why a request failed. */
   public enum Cause {
     /** No response came in time: the request may have been executed, or may yet be. */
     NO_RESPONSE,
-    /** The store limits the caller's rate; the request was not executed. */
+    /** The caller exceeded the store's rate limit; the request was not executed. */
     RATE_LIMITED,
-    /** The store cannot serve now; the request was not executed. */
+    /** The store is unavailable for now; the request was not executed. */
     UNAVAILABLE,
-    /** The store does not accept the request as it is. */
+    /** The store does not accept this request. */
     REJECTED
   }
 
-  /** The failure that a status stands for. */
+  /** Returns the failure for an HTTP status. */
   public static RequestFailure ofStatus(int status) {
     Cause cause =
         switch (status) {
@@ -35,7 +35,7 @@
     return new RequestFailure(cause, status);
   }
 
-  /** The cause and the status, for log lines. */
+  /** Returns the cause and the status, for log lines. */
   @Override
   public String toString() {
     return status == 0 ? cause.name() : cause + "(" + status + ")";
--- a/src/main/java/org/dewreach/store/ResultHandler.java
+++ b/src/main/java/org/dewreach/store/ResultHandler.java
@@ -3,7 +3,7 @@
 /**
  * Receives the outcome of a request to the key-value store.
  *
- * @param <T> the outcomes that the request can have
+ * @param <T> the type of the outcome
  */
 @FunctionalInterface
 public interface ResultHandler<T> {
--- a/src/main/java/org/dewreach/store/TokenBucket.java
+++ b/src/main/java/org/dewreach/store/TokenBucket.java
@@ -10,10 +10,10 @@
   private long refilledAtMicros;
 
   /**
-   * A full bucket.
+   * Creates a full bucket.
    *
-   * @param perSecond tokens that are added each second
-   * @param burst how many tokens it holds, at least 1
+   * @param perSecond the number of tokens added per second
+   * @param burst the capacity in tokens; a value below 1 counts as 1
    */
   public TokenBucket(double perSecond, double burst) {
     this.tokensPerMicro = perSecond / MICROS_PER_SECOND;
@@ -28,24 +28,30 @@
     }
   }
 
-  /** Whole tokens that are available now; negative while the bucket is in debt. */
+  /**
+   * Returns the number of whole tokens available now, which is negative while the bucket is in
+   * debt.
+   */
   public int available(long nowMicros) {
     refill(nowMicros);
     return (int) tokens;
   }
 
-  /** Consumes tokens, also into debt, so that a large request is possible but paid for. */
+  /**
+   * Consumes tokens. The balance may become negative, so that a large request is possible and
+   * delays later ones.
+   */
   public void consume(long nowMicros, double count) {
     refill(nowMicros);
     tokens -= count;
   }
 
-  /** Returns tokens that were consumed and turned out not to be needed. */
+  /** Gives back tokens that were consumed but not needed. */
   public void refund(double count) {
     tokens = Math.min(capacity, tokens + count);
   }
 
-  /** Consumes one token if one is available. */
+  /** Consumes one token and returns true if one is available; returns false otherwise. */
   public boolean tryAcquire(long nowMicros) {
     if (available(nowMicros) < 1) {
       return false;
--- a/src/main/java/org/dewreach/store/TransactionResult.java
+++ b/src/main/java/org/dewreach/store/TransactionResult.java
@@ -13,7 +13,7 @@
   record Committed(long revision) implements TransactionResult {}
 
   /**
-   * Nothing was changed, because keys are not at their expected revisions.
+   * Nothing was changed, because some keys do not have their expected revisions.
    *
    * @param keys the keys that the store names; it may name only some
    */
--- a/src/main/java/org/dewreach/store/WatchBatch.java
+++ b/src/main/java/org/dewreach/store/WatchBatch.java
@@ -9,7 +9,7 @@
  * @param storeRevision the revision from which the next watch continues
  */
 public record WatchBatch(List<WatchEvent> events, long storeRevision) implements WatchResult {
-  /** The values that were put, in order; deletions are left out. */
+  /** Returns the entries that were put, in order, without deletions. */
   public List<KeyValue> puts() {
     return events.stream()
         .filter(event -> event.type() == WatchEvent.Type.PUT)
--- a/src/main/java/org/dewreach/store/WriteBacklog.java
+++ b/src/main/java/org/dewreach/store/WriteBacklog.java
@@ -6,31 +6,36 @@
 import java.util.List;
 import org.dewreach.wire.Codec;
 
-/** Writes that wait for a transaction: urgent ones first, then in the order of their arrival. */
+/**
+ * The writes that wait for a transaction: urgent ones first, then in the order of their arrival.
+ */
 final class WriteBacklog {
-  /** Writes that wait at most; more are refused, and their users asked to retry. */
+  /**
+   * The maximum number of waiting writes. Further writes are refused, and their users told to
+   * retry.
+   */
   private static final int MAX_WAITING_WRITES = 4_000;
 
-  /** Size of a transaction, as estimated here. */
+  /** The maximum size of a transaction, as estimated here. */
   private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
-  /** Estimate of what a write, or a mutation beside its value, takes in a transaction. */
+  /** The estimated size of a write, or of a mutation without its value, in a transaction. */
   private static final int OVERHEAD_BYTES = 100;
 
-  /** Preconditions of a transaction, for each of its mutations. */
+  /** The maximum number of preconditions in a transaction, for each mutation that it may have. */
   private static final int PRECONDITIONS_PER_MUTATION = 4;
 
   private final int maxMutations;
   private final Deque<ConditionalWrite> urgent = new ArrayDeque<>();
   private final Deque<ConditionalWrite> deferrable = new ArrayDeque<>();
 
-  /** How many of the next writes are to be sent in a transaction of their own. */
+  /** How many of the next writes are each sent in a separate transaction. */
   private int separateWrites;
 
   /**
-   * An empty backlog.
+   * Creates an empty backlog.
    *
-   * @param maxMutations the most mutations of a transaction
+   * @param maxMutations the maximum number of mutations in a transaction
    */
   WriteBacklog(int maxMutations) {
     this.maxMutations = maxMutations;
@@ -40,7 +45,7 @@
     return urgent.size() + deferrable.size();
   }
 
-  /** Adds a write; false if there are too many already. */
+  /** Adds a write; returns false if too many are waiting already. */
   boolean offer(ConditionalWrite write) {
     return size() < MAX_WAITING_WRITES && queueOf(write).add(write);
   }
@@ -52,14 +57,14 @@
     };
   }
 
-  /** Puts writes back before all others of their urgency, in their order. */
+  /** Puts writes back ahead of all others of their urgency, in the given order. */
   void requeueFirst(List<ConditionalWrite> writes) {
     for (int i = writes.size() - 1; i >= 0; i--) {
       queueOf(writes.get(i)).addFirst(writes.get(i));
     }
   }
 
-  /** As {@link #requeueFirst}; each of them then goes into a transaction of its own. */
+  /** Like {@link #requeueFirst}, but each of the writes is then sent in a separate transaction. */
   void requeueSeparately(List<ConditionalWrite> writes) {
     separateWrites = writes.size();
     requeueFirst(writes);
@@ -77,10 +82,10 @@
   /**
    * Removes and returns the writes of the next transaction, possibly none.
    *
-   * @param affordableMutations how many mutations the write rate allows now
+   * @param allowedMutations how many mutations the write rate limit allows now
    */
-  List<ConditionalWrite> pollBatch(int affordableMutations) {
-    Batch batch = new Batch(Math.min(maxMutations, affordableMutations));
+  List<ConditionalWrite> pollBatch(int allowedMutations) {
+    Batch batch = new Batch(Math.min(maxMutations, allowedMutations));
     for (Deque<ConditionalWrite> queue : List.of(urgent, deferrable)) {
       while (!queue.isEmpty()) {
         if (!batch.offer(queue.peek())) {
@@ -107,13 +112,13 @@
     return bytes;
   }
 
-  /** The writes of one transaction while it is put together. */
+  /** The writes of one transaction while it is assembled. */
   private final class Batch {
     private final int mutationLimit;
     private final List<ConditionalWrite> writes = new ArrayList<>();
     private int mutations;
 
-    /** The leader key's is one. */
+    /** Starts with the precondition on the leader key. */
     private int preconditions = 1;
 
     private int bytes;
@@ -122,7 +127,10 @@
       this.mutationLimit = mutationLimit;
     }
 
-    /** Adds a write if it fits; the first one may exceed all limits but that of mutations. */
+    /**
+     * Adds a write if it fits. The first write may exceed all limits except the number of
+     * mutations.
+     */
     boolean offer(ConditionalWrite write) {
       int writeBytes = estimatedBytes(write);
       boolean accepted =
--- a/src/test/java/org/dewreach/history/FinalStateWatcherTest.java
+++ b/src/test/java/org/dewreach/history/FinalStateWatcherTest.java
@@ -13,7 +13,7 @@
 import org.dewreach.wire.JobState;
 import org.junit.jupiter.api.Test;
 
-/** What a controller knows of jobs that ended, and how much of it it keeps. */
+/** Tests which final states a controller reads from the key-value store, and how many it keeps. */
 class FinalStateWatcherTest {
   private static final long S = 1_000_000;
   private static final FinalState DONE = new FinalState(JobState.DONE, 3);
@@ -23,7 +23,7 @@
   private final FinalStateWatcher watcher = new FinalStateWatcher(fixture.store(), finalStates);
   private long now;
 
-  /** The next request, whenever it comes. */
+  /** Advances the time until the next request and returns it. */
   private Effect.Call nextRequest() {
     for (int waited = 0; waited < 100; waited++) {
       watcher.tick(now);
@@ -34,7 +34,7 @@
       }
       now += S / 10;
     }
-    throw new AssertionError("nothing was asked for");
+    throw new AssertionError("no request was sent");
   }
 
   private void reply(Effect.Call request, int status, JsonNode body) {
@@ -67,7 +67,9 @@
     assertTrue(watch.path().startsWith("/changes"), watch.path());
     assertTrue(watch.path().contains("after=40&"), watch.path());
     reply(watch, 200, changes(50, "req-4"));
-    assertTrue(nextRequest().path().contains("after=50&"), "it goes on from what it was told");
+    assertTrue(
+        nextRequest().path().contains("after=50&"),
+        "continues from the revision of the last response");
     for (String id : List.of("req-1", "req-2", "req-3", "req-4")) {
       assertEquals(DONE, finalStates.get(id), id);
     }
@@ -94,7 +96,8 @@
     assertTrue(list.path().startsWith("/keys?"), list.path());
     assertTrue(!list.path().contains("after="), list.path());
     reply(list, 200, page(20_000, false, "req-1"));
-    assertTrue(nextRequest().path().contains("after=20000&"), "it watches from the new list");
+    assertTrue(
+        nextRequest().path().contains("after=20000&"), "watches from the revision of the new list");
     assertEquals(DONE, finalStates.get("req-1"));
   }
 
@@ -118,6 +121,6 @@
     assertNull(finalStates.get("req-listed"));
     assertEquals(DONE, finalStates.get("req-early"));
     finalStates.addListed("req-more", DONE);
-    assertNull(finalStates.get("req-more"), "there is no room");
+    assertNull(finalStates.get("req-more"), "no room for older states");
   }
 }
--- a/src/test/java/org/dewreach/peer/PeerMessageCodecTest.java
+++ b/src/test/java/org/dewreach/peer/PeerMessageCodecTest.java
@@ -12,7 +12,7 @@
 import org.dewreach.wire.UserResponse;
 import org.junit.jupiter.api.Test;
 
-/** The messages between controllers, with the order of their fields. */
+/** Tests the messages between controllers, including the order of their fields. */
 class PeerMessageCodecTest {
   private static final ObjectNode JOB = Codec.map().put("uid", "req-1");
 
@@ -136,7 +136,9 @@
         Optional.of(new ContactResponse(1)), PeerMessageCodec.decodeContactResponse(200, answer));
   }
 
-  /** An earlier version answers 404, and a node that is down nothing. */
+  /**
+   * A controller of an earlier version responds with 404, and one that is down does not respond.
+   */
   @Test
   void aMissingContactCountDecodesAsEmpty() {
     assertEquals(Optional.empty(), PeerMessageCodec.decodeContactResponse(404, null));
--- a/src/test/java/org/dewreach/request/ConcurrencyLimiterTest.java
+++ b/src/test/java/org/dewreach/request/ConcurrencyLimiterTest.java
@@ -9,21 +9,24 @@
 import org.dewreach.wire.UserResponse;
 import org.junit.jupiter.api.Test;
 
-/** How the limit follows the durations of requests, and what counts as a sign of load. */
+/** Tests how the limit adapts to the durations of requests, and which requests count for it. */
 class ConcurrencyLimiterTest {
   private static final long MS = 1_000;
-  private static final UserResponse ANSWERED = UserResponse.empty(200);
+  private static final UserResponse OK = UserResponse.empty(200);
 
   private final ConcurrencyLimiter limiter = new ConcurrencyLimiter();
 
-  /** Admits arrivals 1 ms apart, each completed after the given time; returns how many are shed. */
+  /**
+   * Admits requests that arrive 1 ms apart and complete after the given time; returns how many are
+   * shed.
+   */
   private int burst(int arrivals, long tookMicros) {
     Deque<ConcurrencyLimiter.Admitted> open = new ArrayDeque<>();
     int shed = 0;
     long now = 0;
     for (int i = 0; i < arrivals; i++, now += MS) {
       while (!open.isEmpty() && open.peek().sinceMicros() + tookMicros <= now) {
-        limiter.complete(open.poll(), ANSWERED, now);
+        limiter.complete(open.poll(), OK, now);
       }
       if (limiter.shedIfAtLimit()) {
         shed++;
@@ -33,7 +36,7 @@
     }
     while (!open.isEmpty()) {
       ConcurrencyLimiter.Admitted entry = open.poll();
-      limiter.complete(entry, ANSWERED, entry.sinceMicros() + tookMicros);
+      limiter.complete(entry, OK, entry.sinceMicros() + tookMicros);
     }
     return shed;
   }
@@ -54,7 +57,10 @@
     assertTrue(limiter.limit() > before, "limit " + limiter.limit());
   }
 
-  /** Guards against an outage elsewhere, answered 503 after long waits, shrinking the limit. */
+  /**
+   * Guards against an outage of another service, which causes 503 responses after long waits,
+   * shrinking the limit.
+   */
   @Test
   void retryResponsesDoNotChangeTheLimit() {
     int before = limiter.limit();
--- a/src/test/java/org/dewreach/request/LeaderForwarderTest.java
+++ b/src/test/java/org/dewreach/request/LeaderForwarderTest.java
@@ -28,7 +28,7 @@
 import org.dewreach.wire.UserResponseCodec;
 import org.junit.jupiter.api.Test;
 
-/** What a follower does with the leader's replies to forwarded requests. */
+/** Tests how a follower handles the leader's replies to forwarded requests. */
 class LeaderForwarderTest {
   private static final long S = 1_000_000;
   private static final Settings SETTINGS = SettingsFixture.oneNode();
@@ -65,7 +65,10 @@
     reply(call, 200, PeerMessageCodec.encode(reply), nowMicros);
   }
 
-  /** True if the request was given to the handler that needs no leader, which reads the job. */
+  /**
+   * True if the request was passed to the leaderless handler, which reads the job from the
+   * key-value store.
+   */
   private boolean servedWithoutLeader() {
     List<Effect> effects = outbox.drain();
     return effects.size() == 1
@@ -99,7 +102,7 @@
     assertTrue(forwarder.isForwardingPausedFor(QUERY, S));
     assertTrue(forwarder.isForwardingPausedFor(SUBMIT, S));
     assertFalse(
-        forwarder.isForwardingPausedFor(CANCEL, S), "only the leader can cancel a job that runs");
+        forwarder.isForwardingPausedFor(CANCEL, S), "only the leader can cancel a running job");
     assertTrue(forwarder.suspectsLeader(S));
     assertFalse(forwarder.isForwardingPausedFor(QUERY, S + S / 2));
     assertTrue(forwarder.suspectsLeader(3 * S));
@@ -114,7 +117,9 @@
     assertTrue(forwarder.suspectsLeader(S));
   }
 
-  /** Guards against polls that fail for a while because the leader could not answer one of them. */
+  /**
+   * Guards against queries that fail for a while because the leader could not answer one of them.
+   */
   @Test
   void forwardingContinuesAfterOneUnavailableResponse() {
     reply(forward(QUERY, S), new ForwardedReply.Handled(UserResponse.unavailable(1)), S);
@@ -129,7 +134,9 @@
     long silentMicros = forward(SUBMIT, 2 * S).timeoutMicros();
     assertTrue(silentMicros < aliveMicros, silentMicros + " and " + aliveMicros);
     reply(forward(QUERY, 2 * S), new ForwardedReply.Busy(), 2 * S);
-    assertEquals(aliveMicros, forward(SUBMIT, 2 * S).timeoutMicros(), "it replied");
-    assertTrue(forward(QUERY, 9 * S).timeoutMicros() > aliveMicros, "queries wait in any case");
+    assertEquals(aliveMicros, forward(SUBMIT, 2 * S).timeoutMicros(), "the leader has replied");
+    assertTrue(
+        forward(QUERY, 9 * S).timeoutMicros() > aliveMicros,
+        "the timeout of queries does not depend on the leader's replies");
   }
 }
--- a/src/test/java/org/dewreach/store/CommitQueueTest.java
+++ b/src/test/java/org/dewreach/store/CommitQueueTest.java
@@ -12,7 +12,7 @@
 import org.dewreach.wire.Codec;
 import org.junit.jupiter.api.Test;
 
-/** Outcomes, retries and rejections of grouped writes. */
+/** Tests outcomes, retries and rejections of grouped writes. */
 class CommitQueueTest {
   private static final long NOW = 1_000_000;
 
@@ -43,7 +43,7 @@
     Effect.Call first = fixture.onlyRequest();
     add("b");
     add("c");
-    assertTrue(fixture.requests().isEmpty(), "one in flight");
+    assertTrue(fixture.requests().isEmpty(), "one transaction is in flight");
     fixture.commit(first, 10, NOW);
     Effect.Call second = fixture.onlyRequest();
     assertEquals(2, second.body().path("then").size());
@@ -66,7 +66,7 @@
     assertEquals(List.of("x WRITTEN", "a CONFLICT", "b WRITTEN"), outcomes);
   }
 
-  /** Guards against telling a user "conflict" for a write that was applied without a response. */
+  /** Guards against reporting a conflict for a write that was applied without a response. */
   @Test
   void anEarlierCopyThatWasAppliedIsRecognized() {
     add("a");
@@ -94,7 +94,10 @@
     assertEquals(List.of("a UNKNOWN"), outcomes);
   }
 
-  /** Guards against one write that is always rejected ending the term by taking others with it. */
+  /**
+   * Guards against one write that is always rejected ending the term by causing the other writes of
+   * its transaction to fail.
+   */
   @Test
   void aRejectedWriteFailsAlone() {
     add("first");
@@ -121,16 +124,16 @@
           (now, outcome, revision) -> outcomes.add("ending " + outcome));
 
   @Test
-  void aWaitingWriteIsNotInDoubt() {
+  void aQueuedWriteIsNotInDoubt() {
     add("a");
     Effect.Call first = fixture.onlyRequest();
     queue.offer(0, ending);
-    assertFalse(queue.inDoubt(ending), "it was not sent");
+    assertFalse(queue.inDoubt(ending), "not sent yet");
     fixture.commit(first, 10, NOW);
     Effect.Call second = fixture.onlyRequest();
-    assertTrue(queue.inDoubt(ending), "it is on its way");
+    assertTrue(queue.inDoubt(ending), "in flight");
     fixture.commit(second, 11, NOW);
-    assertFalse(queue.inDoubt(ending), "it is written");
+    assertFalse(queue.inDoubt(ending), "written");
   }
 
   @Test
@@ -140,7 +143,7 @@
     assertFalse(queue.inDoubt(ending), "503: not executed");
     queue.tick(2_000_000);
     Effect.Call again = fixture.onlyRequest();
-    assertTrue(queue.inDoubt(ending), "it is on its way again");
+    assertTrue(queue.inDoubt(ending), "in flight again");
     fixture.reply(again, 429, null, NOW);
     assertFalse(queue.inDoubt(ending), "429: not executed");
   }
@@ -149,12 +152,12 @@
   void aWriteWithoutAResponseStaysInDoubtUntilItsOutcomeIsKnown() {
     queue.offer(0, ending);
     fixture.reply(fixture.onlyRequest(), 0, null, NOW);
-    assertTrue(queue.inDoubt(ending), "it may have been applied");
+    assertTrue(queue.inDoubt(ending), "may have been applied");
     queue.tick(2_000_000);
     fixture.reply(fixture.onlyRequest(), 503, null, NOW);
-    assertTrue(queue.inDoubt(ending), "the copy before it may have been applied");
+    assertTrue(queue.inDoubt(ending), "the earlier copy may have been applied");
     queue.tick(4_000_000);
     fixture.commit(fixture.onlyRequest(), 11, NOW);
-    assertFalse(queue.inDoubt(ending), "it is written");
+    assertFalse(queue.inDoubt(ending), "written");
   }
 }
--- a/src/test/java/org/dewreach/store/KeyValueCodecTest.java
+++ b/src/test/java/org/dewreach/store/KeyValueCodecTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The key-value store's interface as other programs see it, field by field. */
+/** Tests the paths and fields of the key-value store's HTTP interface. */
 class KeyValueCodecTest {
   private static JsonNode json(String text) throws Exception {
     return new ObjectMapper().readTree(text.replace('\'', '"'));
@@ -134,7 +134,7 @@
     assertEquals(failure, KeyValueCodec.decodeTransaction(status, null));
   }
 
-  /** Guards against an unreadable page that is taken for the end of all pages. */
+  /** Guards against an unreadable page being taken for the last one. */
   @Test
   void aSuccessWithoutABodyIsNotTakenForAnEmptyResult() {
     assertThrows(IllegalStateException.class, () -> KeyValueCodec.decodeRange(200, null));
