--- a/src/main/java/org/dewreach/request/CancellationHandler.java
+++ b/src/main/java/org/dewreach/request/CancellationHandler.java
@@ -87,7 +87,7 @@
     job.cancelRequestedAt(nowMicros);
     // Stops the tasks now rather than with the next heartbeats, and also while writes are stalled:
     // the user gets a response only when the tasks are gone.
-    List.copyOf(job.bound().values())
+    List.copyOf(job.boundTasks().values())
         .forEach(task -> clusterState.stop(task, "job cancelled", nowMicros));
     clusterState.requestPlacement();
     recordWriter.writeIfDue(job, nowMicros);
