--- a/src/main/java/org/dewreach/request/LeaderDiscovery.java
+++ b/src/main/java/org/dewreach/request/LeaderDiscovery.java
@@ -46,7 +46,7 @@
    * Asks the next controller if a request is due.
    *
    * @param hasTerm true if this controller was elected and has not detected the end of its term
-   * @param suspectsLeader true if the known leader did not handle a recent request
+   * @param suspectsLeader true if a recently forwarded request got no reply from a leader
    */
   public void tick(boolean hasTerm, boolean suspectsLeader, long nowMicros) {
     if (startedAtMicros < 0) {
--- a/src/main/java/org/dewreach/request/LeaderForwarder.java
+++ b/src/main/java/org/dewreach/request/LeaderForwarder.java
@@ -29,7 +29,7 @@
   /** Timeout of a submission to a leader that replies to other requests. */
   private static final long LIVE_LEADER_SUBMIT_TIMEOUT_MICROS = 600_000;
 
-  /** A leader that replied within this time is live. */
+  /** A leader that replied within this time counts as live. */
   private static final long RECENT_REPLY_MICROS = 300_000;
 
   /**
