--- a/src/main/java/org/dewreach/cli/Main.java
+++ b/src/main/java/org/dewreach/cli/Main.java
@@ -38,7 +38,7 @@
   private static final long STARTED_NANOS = System.nanoTime();
 
   /** True once the controller runs; its own thread continues after main returns. */
-  private static boolean started;
+  private static boolean controllerStarted;
 
   @Option(names = "--config", paramLabel = "FILE", description = "Settings file (TOML).")
   private Path config;
@@ -83,7 +83,7 @@
     boolean bypassParser = args.length == 2 && args[0].equals("--config");
     int status =
         bypassParser ? new Main().run(Path.of(args[1])) : new CommandLine(new Main()).execute(args);
-    if (status != 0 || !started) {
+    if (status != 0 || !controllerStarted) {
       System.exit(status);
     }
   }
@@ -116,7 +116,7 @@
     }
     try {
       new Node(settings, tuning, STARTED_NANOS).start();
-      started = true;
+      controllerStarted = true;
       return 0;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/org/dewreach/port/Target.java
+++ b/src/main/java/org/dewreach/port/Target.java
@@ -3,13 +3,13 @@
 /** The recipient of a call. */
 public sealed interface Target {
   /** The key-value store. */
-  Target STORE = new Store();
+  Target STATE = new State();
 
   /** The cloud. */
   Target CLOUD = new Cloud();
 
   /** The key-value store. */
-  record Store() implements Target {}
+  record State() implements Target {}
 
   /** The cloud. */
   record Cloud() implements Target {}
--- a/src/main/java/org/dewreach/store/KeyValueStore.java
+++ b/src/main/java/org/dewreach/store/KeyValueStore.java
@@ -129,6 +129,6 @@
 
   private void send(
       String method, String path, JsonNode body, long timeoutMicros, Outbox.ReplyHandler handler) {
-    outbox.call(Target.STORE, pool, method, path, body, timeoutMicros, handler);
+    outbox.call(Target.STATE, pool, method, path, body, timeoutMicros, handler);
   }
 }
--- a/src/test/java/org/dewreach/request/LeaderForwarderTest.java
+++ b/src/test/java/org/dewreach/request/LeaderForwarderTest.java
@@ -73,7 +73,7 @@
     List<Effect> effects = outbox.drain();
     return effects.size() == 1
         && effects.get(0) instanceof Effect.Call call
-        && call.target() == Target.STORE;
+        && call.target() == Target.STATE;
   }
 
   @Test
