--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -34,8 +34,8 @@
    */
   private static final long ATTEMPT_CONFLICT_BACKOFF_MICROS = 10_000_000;
 
-  /** The backoff of a job whose image does not exist. */
-  private static final long MISSING_IMAGE_BACKOFF_MICROS = 2_000_000;
+  /** The backoff of a job after a worker rejected a start because it does not know the job. */
+  private static final long UNKNOWN_JOB_BACKOFF_MICROS = 2_000_000;
 
   private final ClusterState clusterState;
   private final QuarantinePolicy quarantine;
@@ -119,7 +119,7 @@
       case INSUFFICIENT_RESOURCES -> machine.startRefusedAt(nowMicros);
       case OTHER_ATTEMPT_RUNNING ->
           job.backoff().avoidMachine(machine.name(), nowMicros + ATTEMPT_CONFLICT_BACKOFF_MICROS);
-      case IMAGE_NOT_FOUND -> job.backoff().delayUntil(nowMicros + MISSING_IMAGE_BACKOFF_MICROS);
+      case JOB_NOT_FOUND -> job.backoff().delayUntil(nowMicros + UNKNOWN_JOB_BACKOFF_MICROS);
       case STOPPED, NONE -> {
         // the task is queued again
       }
--- a/src/main/java/org/dewreach/wire/Heartbeat.java
+++ b/src/main/java/org/dewreach/wire/Heartbeat.java
@@ -45,22 +45,33 @@
     EXITED
   }
 
-  /** Why a task exited. */
+  /** Why a task exited. Its text, as in log lines, is the outer name. */
   public enum ExitCause {
     /** The task has not exited. */
-    NONE,
+    NONE("NONE"),
     /** The task completed. */
-    DONE,
+    DONE("DONE"),
     /** The task was stopped, or exited for a cause that this version does not know. */
-    STOPPED,
+    STOPPED("STOPPED"),
     /** The task failed by itself. */
-    ERROR,
+    ERROR("ERROR"),
     /** The machine had too few free resources for the task. */
-    INSUFFICIENT_RESOURCES,
+    INSUFFICIENT_RESOURCES("FULL"),
     /** Another attempt of the task runs on the machine. */
-    OTHER_ATTEMPT_RUNNING,
-    /** The task's image does not exist. */
-    IMAGE_NOT_FOUND
+    OTHER_ATTEMPT_RUNNING("IN_USE"),
+    /** The worker rejected the start: the job or task does not exist, or was not submitted. */
+    JOB_NOT_FOUND("NO_SUCH");
+
+    private final String outerName;
+
+    ExitCause(String outerName) {
+      this.outerName = outerName;
+    }
+
+    @Override
+    public String toString() {
+      return outerName;
+    }
   }
 
   /**
@@ -137,7 +148,7 @@
       case "error" -> ExitCause.ERROR;
       case "full" -> ExitCause.INSUFFICIENT_RESOURCES;
       case "in_use" -> ExitCause.OTHER_ATTEMPT_RUNNING;
-      case "no_such" -> ExitCause.IMAGE_NOT_FOUND;
+      case "no_such" -> ExitCause.JOB_NOT_FOUND;
       default -> ExitCause.STOPPED;
     };
   }
