--- a/src/test/java/org/dewreach/sim/EffectDelivery.java
+++ b/src/test/java/org/dewreach/sim/EffectDelivery.java
@@ -84,8 +84,8 @@
     String to = hostOf(call.target());
     Random messageRandom = isBackground(call) ? backgroundRandom : simulation.random;
     Reply back =
-        (status, answer) -> {
-          JsonNode copied = Simulation.copyThroughCodec(answer);
+        (status, response) -> {
+          JsonNode copied = Simulation.copyThroughCodec(response);
           network.send(
               to,
               process.name,
@@ -127,7 +127,7 @@
     if (call.path().equals("/commit") || call.path().equals("/rentals")) {
       JsonNode repeated = Simulation.copyThroughCodec(body);
       simulation.staleMessages.maybeRepeat(
-          () -> serveByService(name, call, repeated, (status, answer) -> {}));
+          () -> serveByService(name, call, repeated, (status, response) -> {}));
     }
     if (call.target() instanceof Target.Member member) {
       simulation.controllers.receive(
--- a/src/test/java/org/dewreach/sim/SimCloud.java
+++ b/src/test/java/org/dewreach/sim/SimCloud.java
@@ -168,10 +168,10 @@
       }
       rentals.put(request, names);
     }
-    ObjectNode answer = Codec.map();
-    ArrayNode list = answer.putArray("hosts");
+    ObjectNode response = Codec.map();
+    ArrayNode list = response.putArray("hosts");
     names.forEach(list::add);
-    reply.send(200, answer);
+    reply.send(200, response);
   }
 
   /** Rents as many of the requested machines as there is capacity for, and returns their names. */
@@ -243,8 +243,8 @@
     int at = path.indexOf("after=");
     String after = at < 0 ? "" : path.substring(at + 6, path.indexOf('&', at));
     long describedAt = describedAt();
-    ObjectNode answer = Codec.map();
-    ArrayNode list = answer.putArray("hosts");
+    ObjectNode response = Codec.map();
+    ArrayNode list = response.putArray("hosts");
     boolean more = false;
     for (Host host : listedAt(describedAt)) {
       boolean shown = host.name().compareTo(after) > 0;
@@ -259,8 +259,8 @@
         item.put("age_s", (describedAt - host.since()) / 1e6);
       }
     }
-    answer.put("more", more);
-    reply.send(200, answer);
+    response.put("more", more);
+    reply.send(200, response);
   }
 
   /** Draws the time that a page of the machine list describes. */
--- a/src/test/java/org/dewreach/sim/SimControllers.java
+++ b/src/test/java/org/dewreach/sim/SimControllers.java
@@ -199,7 +199,8 @@
       return;
     }
     Reply answered =
-        (status, answer) -> simulation.network.send(name, from, () -> reply.send(status, answer));
+        (status, response) ->
+            simulation.network.send(name, from, () -> reply.send(status, response));
     receive(name, new IncomingRequest(Event.Source.PUBLIC, method, path, body, answered));
   }
 }
--- a/src/test/java/org/dewreach/sim/SimKeyValueStore.java
+++ b/src/test/java/org/dewreach/sim/SimKeyValueStore.java
@@ -139,7 +139,7 @@
     if (inOutage()) {
       clock.at(outageUntil, () -> commitLate(body));
     } else {
-      commit(body, (status, answer) -> {});
+      commit(body, (status, response) -> {});
     }
   }
 
@@ -160,7 +160,7 @@
           endLease(entry.getKey());
         }
       }
-      answerWatches();
+      respondToWatches();
     }
     clock.in(20_000 + random.nextInt(60_000), this::expireLeases);
   }
@@ -183,7 +183,7 @@
     }
   }
 
-  private void answerWatches() {
+  private void respondToWatches() {
     List<Watch> left = new ArrayList<>();
     for (Watch watch : watches) {
       // The watches of a controller that is refused get no response, as in an outage.
@@ -191,7 +191,7 @@
           served(watch.controller())
               && clock.now() >= watchesLagUntil.getOrDefault(watch.controller(), 0L);
       if (responds && (clock.now() >= watch.until() || !missedMutations(watch).isEmpty())) {
-        answer(watch);
+        respond(watch);
       } else {
         left.add(watch);
       }
@@ -210,7 +210,7 @@
     return missed;
   }
 
-  private void answer(Watch watch) {
+  private void respond(Watch watch) {
     ObjectNode body = Codec.map().put("ledger_rev", revision);
     ArrayNode list = body.putArray("log");
     for (Mutation change : missedMutations(watch)) {
@@ -230,11 +230,11 @@
     return counts.merge(second, more, Integer::sum) <= 2 * perSecond;
   }
 
-  void handle(String controller, String method, String path, JsonNode body, Reply answer) {
-    Reply reply = answer;
+  void handle(String controller, String method, String path, JsonNode body, Reply receiver) {
+    Reply reply = receiver;
     if (clock.now() < slowUntil) {
       long delay = 100_000 + random.nextInt(1_400_000);
-      reply = (status, found) -> clock.in(delay, () -> answer.send(status, found));
+      reply = (status, found) -> clock.in(delay, () -> receiver.send(status, found));
     }
     boolean served = withinRateLimit(requestsPerSecond, 1, size.stateRps());
     served &=
@@ -300,7 +300,7 @@
       long lease = Long.parseLong(path.split("/")[2]);
       boolean known = leases.containsKey(lease);
       endLease(lease);
-      answerWatches();
+      respondToWatches();
       reply.send(known ? 200 : 404, Codec.map());
     } else {
       reply.send(400, null);
@@ -316,8 +316,8 @@
   }
 
   private void listKeys(Map<String, String> query, Reply reply) {
-    ObjectNode answer = Codec.map().put("ledger_rev", revision).put("more", false);
-    ArrayNode entries = answer.putArray("entries");
+    ObjectNode response = Codec.map().put("ledger_rev", revision).put("more", false);
+    ArrayNode entries = response.putArray("entries");
     String prefix = query.get("under");
     String after = query.getOrDefault("after", "");
     // Pages smaller than requested, so that every run reads lists of several pages.
@@ -330,7 +330,7 @@
         continue;
       }
       if (entries.size() >= most) {
-        answer.put("more", true);
+        response.put("more", true);
         break;
       }
       recordsRead++;
@@ -338,7 +338,7 @@
       item.put("stamp", entry.getValue().revision());
       item.set("data", entry.getValue().data());
     }
-    reply.send(200, answer);
+    reply.send(200, response);
   }
 
   private void commit(JsonNode body, Reply reply) {
@@ -378,7 +378,7 @@
         log.add(new Mutation(op.path("remove").asText(), null, revision));
       }
     }
-    answerWatches();
+    respondToWatches();
     reply.send(200, Codec.map().put("ledger_rev", revision));
   }
 }
--- a/src/test/java/org/dewreach/sim/SimWorker.java
+++ b/src/test/java/org/dewreach/sim/SimWorker.java
@@ -214,9 +214,9 @@
         "POST",
         "/hello",
         heartbeat(),
-        (status, answer) -> {
+        (status, response) -> {
           if (awaits(number, sentIncarnation)) {
-            onResponse(status, answer, sentAt, number, sentIncarnation);
+            onResponse(status, response, sentAt, number, sentIncarnation);
           }
         });
     clock.in(HEARTBEAT_TIMEOUT_MICROS, () -> onTimeout(number));
@@ -227,9 +227,9 @@
   }
 
   private void onResponse(
-      int status, JsonNode answer, long sentAt, long number, long sentIncarnation) {
+      int status, JsonNode response, long sentAt, long number, long sentIncarnation) {
     if (!hung()) {
-      handleResponse(status, answer, sentAt);
+      handleResponse(status, response, sentAt);
       return;
     }
     // A worker that hangs handles the response when it resumes, unless that is after the timeout.
@@ -237,7 +237,7 @@
         hungUntil,
         () -> {
           if (awaits(number, sentIncarnation) && clock.now() - sentAt < HEARTBEAT_TIMEOUT_MICROS) {
-            handleResponse(status, answer, sentAt);
+            handleResponse(status, response, sentAt);
           }
         });
   }
@@ -254,11 +254,11 @@
     scheduleHeartbeat(RETRY_PAUSE_MICROS);
   }
 
-  private void handleResponse(int status, JsonNode answer, long sentAt) {
+  private void handleResponse(int status, JsonNode response, long sentAt) {
     inFlight = false;
     int leader =
-        status == 421 && answer != null
-            ? Simulation.CONTROLLERS.indexOf(answer.path("steward").asText())
+        status == 421 && response != null
+            ? Simulation.CONTROLLERS.indexOf(response.path("steward").asText())
             : -1;
     if (leader >= 0 && leader != controllerIndex) {
       controllerIndex = leader;
@@ -269,14 +269,14 @@
       tryNextController();
       return;
     }
-    long given = answer.path("warrant").asLong(-1);
+    long given = response.path("warrant").asLong(-1);
     if (given >= fencingToken) {
       if (given > fencingToken) {
         fencingToken = given;
         changed = true;
       }
       leaseRenewedAt = sentAt;
-      answer.path("orders").forEach(tasks::execute);
+      response.path("orders").forEach(tasks::execute);
     }
     long next = simulation.settings.workers().reportMicros() * (75 + random.nextInt(50)) / 100;
     scheduleHeartbeat(changed ? earliestNext() : next);
--- a/src/test/java/org/dewreach/sim/StaleMessages.java
+++ b/src/test/java/org/dewreach/sim/StaleMessages.java
@@ -79,7 +79,7 @@
     simulation.controllers.receive(
         controller,
         new IncomingRequest(
-            Event.Source.PUBLIC, "POST", "/hello", heartbeat, (status, answer) -> {}));
+            Event.Source.PUBLIC, "POST", "/hello", heartbeat, (status, response) -> {}));
   }
 
   /** Called when a heartbeat is sent; may deliver a copy later or keep one for the next leader. */
@@ -111,7 +111,7 @@
         () -> {
           if (worker.processRestarts == restartsBefore) {
             staleCommandsDelivered += simulation.state.leaderKeyWrites > writesBefore ? 1 : 0;
-            worker.command(command, (status, answer) -> {});
+            worker.command(command, (status, response) -> {});
           }
         });
   }
@@ -127,7 +127,7 @@
           random.nextLong(40_000_000),
           () -> {
             if (worker.processRestarts == restartsBefore) {
-              worker.command(command, (status, answer) -> {});
+              worker.command(command, (status, response) -> {});
             }
           });
     }
