--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -20,7 +20,7 @@
 import org.dewreach.wire.TaskName;
 import org.junit.jupiter.api.Test;
 
-/** What one pass places: {@link TaskPlacer}. */
+/** Which tasks one placement pass places: {@link TaskPlacer}. */
 class TaskPlacerTest {
   private static final MachineType BOX = ClusterFixture.type("box", 16, 64, 0);
   private static final Map<String, Settings.Team> TEAMS = ClusterFixture.teams(4, 10);
@@ -43,22 +43,27 @@
   }
 
   /**
-   * Guards against starting what may run on a machine that sends no heartbeats, and against
-   * exceeding the quota.
+   * Guards against starting tasks that may already run on a machine that sends no heartbeats, and
+   * against exceeding the quota.
    */
   @Test
   void unreconciledJobsAreNotStartedAndCountAgainstTheQuota() {
     box("m1", true);
-    Job unseen = loaded("req-1", 7);
-    Job seen = loaded("req-2", 6);
-    placer.placeTasks(S, job -> job != unseen, 5 * S);
-    assertEquals(0, unseen.boundTasks().size());
-    assertEquals(3, seen.boundTasks().size(), "10 CPUs at most, of which 7 may be in use unseen");
+    Job unreconciled = loaded("req-1", 7);
+    Job reconciled = loaded("req-2", 6);
+    placer.placeTasks(S, job -> job != unreconciled, 5 * S);
+    assertEquals(0, unreconciled.boundTasks().size());
+    assertEquals(
+        3,
+        reconciled.boundTasks().size(),
+        "the quota is 10 CPUs, of which unreconciled tasks may use 7");
     placer.placeTasks(2 * S, job -> true, 5 * S);
-    assertEquals(10, unseen.boundTasks().size() + seen.boundTasks().size());
+    assertEquals(10, unreconciled.boundTasks().size() + reconciled.boundTasks().size());
   }
 
-  /** Guards against a job that others always go before: it gets a first task after a while. */
+  /**
+   * Guards against a job that always has others ahead of it: it gets a first task after a while.
+   */
   @Test
   void aStarvedJobGetsItsFirstTask() {
     box("m1", true);
@@ -68,11 +73,12 @@
     }
     placer.placeTasks(200 * S, job -> true, 5 * S);
     assertTrue(large.hasBoundTasks());
-    assertEquals(1, large.boundTasks().size(), "the others of this pass begin too");
+    assertEquals(1, large.boundTasks().size(), "the other jobs of this pass start too");
   }
 
   /**
-   * Guards against a task that may not return to a machine and keeps all like it away from there.
+   * Guards against a task that may not return to a machine and blocks all equivalent tasks from
+   * that machine.
    */
   @Test
   void aTaskExcludedFromAMachineDoesNotBlockOtherTasks() {
@@ -85,7 +91,7 @@
     assertTrue(clusterState.jobs().get("req-2").hasBoundTasks());
   }
 
-  /** Guards against a job that waits for ever beside room that is kept for services. */
+  /** Guards against a job that waits forever although it fits into the headroom for services. */
   @Test
   void aLongWaitingJobGetsItsFirstTaskFromTheServiceHeadroom() {
     box("m1", false);
@@ -97,10 +103,13 @@
     placer.placeTasks(30 * S, each -> true, 60 * S);
     assertEquals(0, job.boundTasks().size());
     placer.placeTasks(61 * S, each -> true, 60 * S);
-    assertEquals(1, job.boundTasks().size(), "a first task, no more");
+    assertEquals(1, job.boundTasks().size(), "only the first task");
   }
 
-  /** Guards against replicas that need each other's zone, lost when they are old, for ever. */
+  /**
+   * Guards against replicas that must share a zone and are never replaced once the service loses
+   * them long after its acceptance.
+   */
   @Test
   void sameZoneReplicasAreReplacedTogether() {
     box("m1", false);
@@ -110,7 +119,9 @@
     assertEquals(3, service.boundTasks().size());
   }
 
-  /** Guards against a job that waits beside the only machine, where a task of it failed once. */
+  /**
+   * Guards against a job that waits forever because a task of it failed once on the only machine.
+   */
   @Test
   void aJobMayReturnToAMachineAfterItsFailureBackoff() {
     box("m1", true);
@@ -122,19 +133,21 @@
     assertEquals(1, job.boundTasks().size());
   }
 
-  /** Guards against a job that fails everywhere holding room, or having machines rented for it. */
+  /**
+   * Guards against a job that fails everywhere but holds capacity or has machines rented for it.
+   */
   @Test
   void aRepeatedlyFailingJobRunsOneTaskAtATime() {
     box("m1", true);
     Job job = submitted("req-1", 50);
     job.backoff().recordFailure("m8", S);
     placer.placeTasks(2 * S, each -> true, 5 * S);
-    assertEquals(10, job.boundTasks().size(), "one machine says little");
+    assertEquals(10, job.boundTasks().size(), "failures on one machine do not limit the job");
     List.copyOf(job.boundTasks().values())
         .forEach(task -> clusterState.unbind(task, "test", 3 * S));
     job.backoff().recordFailure("m9", 3 * S);
     assertEquals(List.of(), placer.placeTasks(4 * S, each -> true, 5 * S));
-    assertEquals(0, job.boundTasks().size(), "it rests");
+    assertEquals(0, job.boundTasks().size(), "the job backs off");
     assertEquals(List.of(), placer.placeTasks(6 * S, each -> true, 5 * S));
     assertEquals(1, job.boundTasks().size());
     // Guards against one more task in each pass while the first has not failed yet.
@@ -142,10 +155,13 @@
     assertEquals(1, job.boundTasks().size(), "one at a time");
     clusterState.markDone(job, 7);
     placer.placeTasks(7 * S, each -> true, 5 * S);
-    assertEquals(10, job.boundTasks().size(), "it got somewhere");
+    assertEquals(10, job.boundTasks().size(), "a completed task ends the limit");
   }
 
-  /** Guards against long tasks that wait for each other, since two faulty machines were met. */
+  /**
+   * Guards against long tasks that run one after the other because the job failed on two faulty
+   * machines.
+   */
   @Test
   void aProbeTaskThatKeepsRunningLetsAFailingJobStartTheNext() {
     box("m1", true);
@@ -155,8 +171,8 @@
     placer.placeTasks(5 * S, each -> true, 5 * S);
     assertEquals(1, job.boundTasks().size());
     placer.placeTasks(34 * S, each -> true, 5 * S);
-    assertEquals(1, job.boundTasks().size(), "it may still fail");
+    assertEquals(1, job.boundTasks().size(), "the probe task may still fail");
     placer.placeTasks(36 * S, each -> true, 5 * S);
-    assertEquals(2, job.boundTasks().size(), "it runs on");
+    assertEquals(2, job.boundTasks().size(), "the probe task keeps running");
   }
 }
--- a/src/test/java/org/dewreach/sim/FleetTest.java
+++ b/src/test/java/org/dewreach/sim/FleetTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A fleet of 1,600 machines; the rules are checked after each step. Load is bounded by request
- * and record counts, not by wall-clock time, so that the result does not depend on the machine that
+ * A fleet of 1,600 machines; the rules are checked after each step. Load is bounded by request and
+ * record counts, not by wall-clock time, so that the result does not depend on the machine that
  * runs the test.
  */
 class FleetTest {
