--- a/src/test/java/org/dewreach/membership/StalledRecoveryResolverTest.java
+++ b/src/test/java/org/dewreach/membership/StalledRecoveryResolverTest.java
@@ -24,14 +24,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which machines are released when a recovery stays open over terms: {@link
+ * Tests which machines are released when a recovery stays open over several terms: {@link
  * StalledRecoveryResolver}.
  */
 class StalledRecoveryResolverTest {
   private static final long S = 1_000_000;
   private static final MachineType TYPE = ClusterFixture.type("box", 8, 32, 0);
 
-  /** Heartbeats come each second, leases last 10 s: a machine is silent after 4.5 s. */
+  /** The heartbeat interval is 1 s, leases last 10 s: a machine is silent after 4.5 s. */
   private static final Settings SETTINGS = SettingsFixture.twoControllers(10 * S);
 
   private final KeyValueStoreFixture fixture = new KeyValueStoreFixture();
@@ -44,7 +44,7 @@
           24,
           new TokenBucket(100, 100),
           () -> {});
-  private final RecoveryDurationTracker clock =
+  private final RecoveryDurationTracker durationTracker =
       new RecoveryDurationTracker(fixture.store(), queue, 0);
   private final FleetManager fleet =
       new FleetManager(
@@ -60,15 +60,18 @@
           0);
   private final RecoveryTracker recovery = new RecoveryTracker(cluster.state(), fleet);
   private final StalledRecoveryResolver stalledRecovery =
-      new StalledRecoveryResolver(recovery, fleet, clock, SETTINGS);
+      new StalledRecoveryResolver(recovery, fleet, durationTracker, SETTINGS);
 
   private Machine unknownMachine(String name) {
     return cluster.add(ClusterFixture.newMachine(name, TYPE, false, MachinePhase.UNKNOWN));
   }
 
-  /** An earlier term noted 5 s ago that recovery has been open for this long. */
+  /**
+   * Simulates a record of an earlier term, written 5 s ago, that recovery has been open for this
+   * long.
+   */
   private void recordOpenFor(long micros) {
-    clock.recordOpen(0, 0);
+    durationTracker.recordOpen(0, 0);
     JsonNode value = Codec.map().put("since", -micros).put("open", -5 * S);
     JsonNode entry =
         Codec.map().put("path", Keys.RECOVERY).put("stamp", 70).put("hold", 0).set("data", value);
@@ -78,16 +81,16 @@
   @Test
   void onlySilentMachinesThatBlockTheRecoveryAreReleased() {
     Machine silent = unknownMachine("silent");
-    Machine heard = unknownMachine("heard");
+    Machine reachable = unknownMachine("reachable");
     recovery.start();
     recovery.update(0);
     recordOpenFor(85 * S);
-    heard.heartbeats().recordHeartbeat(3 * S);
+    reachable.heartbeats().recordHeartbeat(3 * S);
     stalledRecovery.tick(0, 4_500_000);
     assertEquals(MachinePhase.UNKNOWN, silent.phase(), "not silent for long enough");
     stalledRecovery.tick(0, 5 * S);
     assertEquals(MachinePhase.TERMINATING, silent.phase());
-    assertEquals(MachinePhase.UNKNOWN, heard.phase());
+    assertEquals(MachinePhase.UNKNOWN, reachable.phase());
   }
 
   @Test
@@ -102,7 +105,10 @@
     assertEquals(MachinePhase.TERMINATING, silent.phase());
   }
 
-  /** Red when all that the tracker had at its last update was marked: the controller failed. */
+  /**
+   * Guards against a controller failure: the resolver marked all machines of the tracker's last
+   * update for release, including one that had gone since.
+   */
   @Test
   void aMachineRemovedSinceTheTrackersLastUpdateIsIgnored() {
     Machine gone = unknownMachine("gone");
