--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -149,7 +149,7 @@
     return new SpareCapacity(
         clusterState.freeCpus(false),
         clusterState.freeCpus(true),
-        clusterState.serviceRate().headroomCpus(typicalBootMicros(), nowMicros));
+        clusterState.serviceArrivalRate().headroomCpus(typicalBootMicros(), nowMicros));
   }
 
   /** Returns the CPUs used by tasks that may run only on on-demand machines. */
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -245,7 +245,7 @@
   public void onAccepted(Job job, long nowMicros) {
     LOG.info("job accepted: job={} tasks={}", job.id(), job.spec().tasks());
     if (job.spec().jobKind() == JobKind.SERVICE) {
-      components.clusterState.serviceRate().recordArrival(job.spec(), nowMicros);
+      components.clusterState.serviceArrivalRate().recordArrival(job.spec(), nowMicros);
     }
     components.clusterState.requestPlacement();
     components.requestHandler.onAccepted(job);
--- a/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
@@ -126,7 +126,7 @@
       return;
     }
     for (Task task : started) {
-      task.become(TaskPhase.STARTING, nowMicros);
+      task.changePhase(TaskPhase.STARTING, nowMicros);
       task.directStart(DirectStart.SENT);
     }
     send(machine, commands, started);
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatReconciler.java
@@ -126,7 +126,7 @@
     if (command instanceof WorkerCommand.Start) {
       Task task = machine.task(command.task());
       if (task.phase() == TaskPhase.ASSIGNED) {
-        task.become(TaskPhase.STARTING, nowMicros);
+        task.changePhase(TaskPhase.STARTING, nowMicros);
       }
     }
   }
--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -179,7 +179,7 @@
     if (task.phase() == TaskPhase.STOPPING) {
       return;
     }
-    task.become(phase(state), nowMicros);
+    task.changePhase(phase(state), nowMicros);
     boolean replicaRuns = state == TaskState.RUNNING && task.spec().jobKind() == JobKind.SERVICE;
     if (replicaRuns && nowMicros - task.startedAt() > REPLICA_HEALTHY_AFTER_MICROS) {
       // A service never completes, so running for a while counts as a success.
--- a/src/main/java/org/dewreach/model/Job.java
+++ b/src/main/java/org/dewreach/model/Job.java
@@ -50,7 +50,7 @@
   }
 
   /** Changes the phase, which is done only here, and rejects transitions that are not allowed. */
-  public void become(JobPhase next) {
+  public void changePhase(JobPhase next) {
     boolean legal =
         switch (next) {
           case PERSISTING -> false;
--- a/src/main/java/org/dewreach/model/Machine.java
+++ b/src/main/java/org/dewreach/model/Machine.java
@@ -61,7 +61,7 @@
   }
 
   /** Changes the phase, which is done only here. */
-  public void become(MachinePhase next, long nowMicros) {
+  public void changePhase(MachinePhase next, long nowMicros) {
     if (phase == MachinePhase.GONE) {
       throw new IllegalStateException(name + " is gone and cannot become " + next);
     }
--- a/src/main/java/org/dewreach/model/Task.java
+++ b/src/main/java/org/dewreach/model/Task.java
@@ -31,7 +31,7 @@
   }
 
   /** Changes the phase, which is done only here. */
-  public void become(TaskPhase next, long nowMicros) {
+  public void changePhase(TaskPhase next, long nowMicros) {
     if (phase == TaskPhase.GONE) {
       throw new IllegalStateException(name() + " is gone and cannot become " + next);
     }
--- a/src/main/java/org/dewreach/request/CancellationHandler.java
+++ b/src/main/java/org/dewreach/request/CancellationHandler.java
@@ -83,7 +83,7 @@
   }
 
   private void startCancellation(Job job, long nowMicros) {
-    job.become(JobPhase.CANCEL_REQUESTED);
+    job.changePhase(JobPhase.CANCEL_REQUESTED);
     job.cancelRequestedAt(nowMicros);
     // Stops the tasks now rather than with the next heartbeats, and also while writes are stalled:
     // the user gets a response only when the tasks are gone.
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -128,7 +128,7 @@
       this.wallMicros = nowMicros + wallOffsetMicros;
       this.headroom =
           new ServiceHeadroom(
-              clusterState, clusterState.serviceRate().headroomCpus(bootMicros, nowMicros));
+              clusterState, clusterState.serviceArrivalRate().headroomCpus(bootMicros, nowMicros));
     }
 
     boolean isFull() {
--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -43,14 +43,14 @@
 
   private final SortFirstFit sortedMachines = new SortFirstFit();
   private final Quotas quotas;
-  private final ServiceArrivalRate serviceRate;
+  private final ServiceArrivalRate serviceArrivalRate;
   private final Set<Machine> machinesToCommand = new LinkedHashSet<>();
   private long lastAttemptNumber;
   private boolean placementRequested = true;
 
   /** Creates the empty state of a term. */
   public ClusterState(long term, Map<String, Settings.Team> teams, Tuning tuning) {
-    this.serviceRate = new ServiceArrivalRate(tuning.headroomDeviations());
+    this.serviceArrivalRate = new ServiceArrivalRate(tuning.headroomDeviations());
     this.term = term;
     this.quotas = new Quotas(teams);
   }
@@ -84,8 +84,8 @@
   }
 
   /** Returns the rate at which services are submitted. */
-  public ServiceArrivalRate serviceRate() {
-    return serviceRate;
+  public ServiceArrivalRate serviceArrivalRate() {
+    return serviceArrivalRate;
   }
 
   /**
@@ -169,7 +169,7 @@
         task.attempt(),
         task.machine().name(),
         reason);
-    task.become(TaskPhase.GONE, nowMicros);
+    task.changePhase(TaskPhase.GONE, nowMicros);
     task.machine().unbind(task, nowMicros);
     Job job = task.job();
     job.unbind(task);
@@ -196,7 +196,7 @@
         machine.phase(),
         next,
         reason);
-    machine.become(next, nowMicros);
+    machine.changePhase(next, nowMicros);
     requestPlacement();
   }
 
@@ -204,7 +204,7 @@
   public void removeMachine(Machine machine, String reason, long nowMicros) {
     unbindAll(machine, reason, nowMicros);
     LOG.info("machine removed: machine={} reason=\"{}\"", machine.name(), reason);
-    machine.become(MachinePhase.GONE, nowMicros);
+    machine.changePhase(MachinePhase.GONE, nowMicros);
     machines.remove(machine.name());
     machinesToCommand.remove(machine);
     sortedMachines.remove(machine);
@@ -229,7 +229,7 @@
             task.name(),
             task.machine().name(),
             reason);
-        task.become(TaskPhase.STOPPING, nowMicros);
+        task.changePhase(TaskPhase.STOPPING, nowMicros);
         machinesToCommand.add(task.machine());
       }
       case STOPPING, GONE -> {
--- a/src/main/java/org/dewreach/state/JobRecordWriter.java
+++ b/src/main/java/org/dewreach/state/JobRecordWriter.java
@@ -146,7 +146,7 @@
                 job,
                 (now, revision) -> {
                   job.storedState().revision(revision);
-                  job.become(phaseOnceWritten);
+                  job.changePhase(phaseOnceWritten);
                   listener.onAccepted(job, now);
                   writeIfDue(job, now);
                 },
@@ -167,7 +167,7 @@
         if (job.allTasksDone()) {
           writeFinalState(job, nowMicros);
         } else if (cancellationCheck.tasksEndInTime(job, nowMicros)) {
-          job.become(JobPhase.CANCEL_COMMITTING);
+          job.changePhase(JobPhase.CANCEL_COMMITTING);
           job.cancelledAt(nowMicros);
           writeCancellation(job, nowMicros);
         }
@@ -210,7 +210,7 @@
             true,
             Urgency.URGENT,
             now -> {
-              job.become(JobPhase.CANCELLED);
+              job.changePhase(JobPhase.CANCELLED);
               listener.onCancelled(job, now);
               writeIfDue(job, now);
             });
@@ -254,11 +254,11 @@
             onOutcome(
                 job,
                 (now, revision) -> {
-                  job.become(JobPhase.ENDED);
+                  job.changePhase(JobPhase.ENDED);
                   listener.onEnded(job, now);
                 },
                 now -> reportConflict(job, now)));
-    job.become(JobPhase.FINALIZING);
+    job.changePhase(JobPhase.FINALIZING);
     if (!offer(job, new PendingWrite(write, true), nowMicros)) {
       listener.onRecordConflict("write queue full", nowMicros);
     }
--- a/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
+++ b/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
@@ -70,14 +70,14 @@
     closed = true;
   }
 
-  private void become(Phase next) {
+  private void changePhase(Phase next) {
     phase = next;
   }
 
   /** Reads the next page of records if a read is due. */
   public void tick(long nowMicros) {
     if (!closed && phase == Phase.READ_DUE && nowMicros >= nextReadAt) {
-      become(Phase.READING);
+      changePhase(Phase.READING);
       store.range(Keys.LEADERLESS_JOBS, lastKey, PAGE_SIZE, this::onPage);
     }
   }
@@ -86,7 +86,7 @@
     if (closed) {
       return;
     }
-    become(Phase.READ_DUE);
+    changePhase(Phase.READ_DUE);
     if (!(result instanceof RangePage page)) {
       nextReadAt = nowMicros + RETRY_DELAY_MICROS;
       return;
@@ -111,7 +111,7 @@
   private void onLastPage() {
     lastKey = null;
     if (!rereadRequested) {
-      become(Phase.IDLE);
+      changePhase(Phase.IDLE);
     }
     rereadRequested = false;
     if (!watching) {
@@ -179,7 +179,7 @@
   private void requestReread(long atMicros) {
     nextReadAt = Math.max(nextReadAt, atMicros);
     if (phase == Phase.IDLE) {
-      become(Phase.READ_DUE);
+      changePhase(Phase.READ_DUE);
     } else {
       rereadRequested = phase == Phase.READING || rereadRequested;
     }
--- a/src/main/java/org/dewreach/state/RecoveryDurationTracker.java
+++ b/src/main/java/org/dewreach/state/RecoveryDurationTracker.java
@@ -65,7 +65,7 @@
     this.wallOffsetMicros = wallOffsetMicros;
   }
 
-  private void become(Phase next) {
+  private void changePhase(Phase next) {
     if (phase != Phase.CLOSED) {
       phase = next;
     }
@@ -73,7 +73,7 @@
 
   /** Ignores all later responses, because the term is over. */
   public void close() {
-    become(Phase.CLOSED);
+    changePhase(Phase.CLOSED);
   }
 
   /**
@@ -106,7 +106,7 @@
   }
 
   private void read() {
-    become(Phase.READING);
+    changePhase(Phase.READING);
     store.get(
         Keys.RECOVERY,
         (now, result) -> {
@@ -121,12 +121,12 @@
       RecoveryRecord read = RecoveryRecord.decode(entry.value());
       boolean valid = wallMicros(nowMicros) - read.lastOpenWallMicros() < RECORD_VALIDITY_MICROS;
       stored = valid ? read : null;
-      become(Phase.KNOWN);
+      changePhase(Phase.KNOWN);
     } else if (result instanceof ReadResult.Absent) {
-      become(Phase.KNOWN);
+      changePhase(Phase.KNOWN);
     } else {
       nextReadAt = nowMicros + READ_RETRY_DELAY_MICROS;
-      become(Phase.READ_DUE);
+      changePhase(Phase.READ_DUE);
     }
   }
 
@@ -151,12 +151,12 @@
             List.of(),
             List.of(mutation),
             ConditionalWrite.Urgency.DEFERRABLE,
-            (now, outcome, revision) -> become(Phase.KNOWN));
-    become(Phase.WRITING);
+            (now, outcome, revision) -> changePhase(Phase.KNOWN));
+    changePhase(Phase.WRITING);
     if (queue.offer(nowMicros, write)) {
       stored = next;
     } else {
-      become(Phase.KNOWN);
+      changePhase(Phase.KNOWN);
     }
   }
 
--- a/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
@@ -127,8 +127,8 @@
   @Test
   void aSameZoneJobPrefersTheZoneWhereSomeOfItsMachinesAreUp() {
     Machine up = booting("m1", CHEAP_TYPE, "b");
-    up.become(MachinePhase.UNCONFIRMED, 500_000);
-    up.become(MachinePhase.UP, 500_000);
+    up.changePhase(MachinePhase.UNCONFIRMED, 500_000);
+    up.changePhase(MachinePhase.UP, 500_000);
     up.commandable(true);
     assertTrue(up.schedulable());
     assertEquals(
--- a/src/test/java/org/dewreach/heartbeat/DirectCommandSenderTest.java
+++ b/src/test/java/org/dewreach/heartbeat/DirectCommandSenderTest.java
@@ -164,7 +164,7 @@
     Job plain = job("req-2", 1);
     for (Job job : List.of(saving, plain)) {
       Task task = assigned(job, 0, machine);
-      task.become(TaskPhase.RUNNING, 0);
+      task.changePhase(TaskPhase.RUNNING, 0);
       cluster.state().stop(task, "test", S);
     }
     Task stopped = plain.boundTasks().get(0);
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -137,7 +137,7 @@
     for (int i = 0; i < 4; i++) {
       cluster
           .bind(job, i, machine, TaskPhase.ASSIGNED, (2 + i) * S)
-          .become(TaskPhase.STARTING, (2 + i) * S);
+          .changePhase(TaskPhase.STARTING, (2 + i) * S);
       reconciler.onHeartbeat(
           machine, heartbeat(machine, 1, 2 + i, TERM, started(i)), (2 + i) * S + 1);
     }
@@ -188,9 +188,9 @@
   @Test
   void tasksOfACancelledJobAreStoppedFromTheFirstHeartbeatOn() {
     Machine machine = machine("m1", MachinePhase.UNKNOWN);
-    job.become(JobPhase.CANCEL_REQUESTED);
-    job.become(JobPhase.CANCEL_COMMITTING);
-    job.become(JobPhase.CANCELLED);
+    job.changePhase(JobPhase.CANCEL_REQUESTED);
+    job.changePhase(JobPhase.CANCEL_COMMITTING);
+    job.changePhase(JobPhase.CANCELLED);
     HeartbeatResponse response =
         reconciler.onHeartbeat(
             machine,
@@ -212,7 +212,7 @@
     for (int i = 0; i < 4; i++) {
       clusterState.markDone(job, i);
     }
-    job.become(JobPhase.FINALIZING);
+    job.changePhase(JobPhase.FINALIZING);
     TaskStatus done = reported(3, TaskState.EXITED, ExitCause.DONE);
     HeartbeatResponse response =
         reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM, done), 2 * S);
@@ -285,7 +285,7 @@
     fail(job, drained, S);
     fail(second, drained, S);
     assertTrue(drained.quarantined());
-    drained.become(MachinePhase.DRAINING, 10 * S);
+    drained.changePhase(MachinePhase.DRAINING, 10 * S);
     fail(job, elsewhere, 25 * S);
     assertEquals(MachinePhase.UP, drained.phase());
     assertTrue(drained.schedulable());
@@ -300,7 +300,7 @@
     fail(job, drained, S);
     fail(second, drained, S);
     drained.reclaimAt(40 * S);
-    drained.become(MachinePhase.DRAINING, 10 * S);
+    drained.changePhase(MachinePhase.DRAINING, 10 * S);
     fail(job, elsewhere, 25 * S);
     assertEquals(MachinePhase.DRAINING, drained.phase());
   }
--- a/src/test/java/org/dewreach/membership/FailureDetectorTest.java
+++ b/src/test/java/org/dewreach/membership/FailureDetectorTest.java
@@ -113,10 +113,10 @@
   @Test
   void aLostMachineTimesOutAfter75Seconds() {
     Machine machine = upMachine("m1", 20 * S);
-    machine.become(MachinePhase.LOST, 31 * S);
+    machine.changePhase(MachinePhase.LOST, 31 * S);
     assertEquals(MachineCondition.LOST, condition(machine, 95 * S));
     assertEquals(MachineCondition.LOST_TIMED_OUT, condition(machine, 95 * S + 1));
-    machine.become(MachinePhase.TERMINATING, 96 * S);
+    machine.changePhase(MachinePhase.TERMINATING, 96 * S);
     assertEquals(MachineCondition.BEING_RELEASED, condition(machine, 96 * S));
   }
 
@@ -134,7 +134,7 @@
     List<Machine> machines = machines("up", 12, 20 * S);
     machines.addAll(machines("unreachable", 4, 0));
     Machine lost = upMachine("lost", 0);
-    lost.become(MachinePhase.LOST, 11 * S);
+    lost.changePhase(MachinePhase.LOST, 11 * S);
     machines.add(lost);
     assertFalse(assess(machines, 21 * S).fewUnreachable());
   }
--- a/src/test/java/org/dewreach/membership/HandoverPolicyTest.java
+++ b/src/test/java/org/dewreach/membership/HandoverPolicyTest.java
@@ -65,7 +65,7 @@
   private void machines(MachinePhase phase) {
     for (int i = 0; i < MACHINES; i++) {
       Machine machine = ClusterFixture.newMachine("m" + i, TYPE, false, MachinePhase.UNKNOWN);
-      machine.become(phase, 0);
+      machine.changePhase(phase, 0);
       cluster.add(machine);
     }
   }
--- a/src/test/java/org/dewreach/model/JobTest.java
+++ b/src/test/java/org/dewreach/model/JobTest.java
@@ -27,31 +27,31 @@
 
   @Test
   void aJobRejectsPhaseTransitionsThatAreNotAllowed() {
-    assertThrows(IllegalStateException.class, () -> job.become(JobPhase.CANCEL_REQUESTED));
-    job.become(JobPhase.ACTIVE);
-    assertThrows(IllegalStateException.class, () -> job.become(JobPhase.PERSISTING));
-    assertThrows(IllegalStateException.class, () -> job.become(JobPhase.ENDED));
-    job.become(JobPhase.CANCEL_REQUESTED);
-    job.become(JobPhase.CANCEL_COMMITTING);
-    assertThrows(IllegalStateException.class, () -> job.become(JobPhase.FINALIZING));
-    job.become(JobPhase.CANCELLED);
+    assertThrows(IllegalStateException.class, () -> job.changePhase(JobPhase.CANCEL_REQUESTED));
+    job.changePhase(JobPhase.ACTIVE);
+    assertThrows(IllegalStateException.class, () -> job.changePhase(JobPhase.PERSISTING));
+    assertThrows(IllegalStateException.class, () -> job.changePhase(JobPhase.ENDED));
+    job.changePhase(JobPhase.CANCEL_REQUESTED);
+    job.changePhase(JobPhase.CANCEL_COMMITTING);
+    assertThrows(IllegalStateException.class, () -> job.changePhase(JobPhase.FINALIZING));
+    job.changePhase(JobPhase.CANCELLED);
     assertNull(job.finalState());
-    job.become(JobPhase.FINALIZING);
+    job.changePhase(JobPhase.FINALIZING);
     assertEquals(JobState.CANCELLED, job.finalState());
-    job.become(JobPhase.ENDED);
+    job.changePhase(JobPhase.ENDED);
   }
 
   @Test
   void aJobWhoseCancellationIsNotWrittenYetMayStillComplete() {
-    job.become(JobPhase.ACTIVE);
-    job.become(JobPhase.CANCEL_REQUESTED);
+    job.changePhase(JobPhase.ACTIVE);
+    job.changePhase(JobPhase.CANCEL_REQUESTED);
     assertFalse(job.startable());
     assertTrue(job.mayStillComplete());
-    job.become(JobPhase.FINALIZING);
+    job.changePhase(JobPhase.FINALIZING);
     assertEquals(JobState.DONE, job.finalState());
     assertEquals(
         JobState.PENDING, job.jobState(), "not reported as done until the final state is durable");
-    job.become(JobPhase.ENDED);
+    job.changePhase(JobPhase.ENDED);
     assertEquals(JobState.DONE, job.jobState());
   }
 
--- a/src/test/java/org/dewreach/model/MachineTest.java
+++ b/src/test/java/org/dewreach/model/MachineTest.java
@@ -29,20 +29,20 @@
 
   @Test
   void aMachineThatIsGoneStaysGone() {
-    machine.become(MachinePhase.GONE, S);
-    assertThrows(IllegalStateException.class, () -> machine.become(MachinePhase.UP, 2 * S));
+    machine.changePhase(MachinePhase.GONE, S);
+    assertThrows(IllegalStateException.class, () -> machine.changePhase(MachinePhase.UP, 2 * S));
   }
 
   @Test
   void idleTimeBeginsWhenTheMachineComesUpOrItsLastTaskIsUnbound() {
     Machine booting = ClusterFixture.newMachine("m2", TYPE, false, MachinePhase.BOOTING);
-    booting.become(MachinePhase.UP, 20 * S);
+    booting.changePhase(MachinePhase.UP, 20 * S);
     assertEquals(20 * S, booting.idleSince());
-    booting.become(MachinePhase.DRAINING, 30 * S);
-    booting.become(MachinePhase.UP, 40 * S);
+    booting.changePhase(MachinePhase.DRAINING, 30 * S);
+    booting.changePhase(MachinePhase.UP, 40 * S);
     assertEquals(20 * S, booting.idleSince(), "draining does not restart the idle time");
-    booting.become(MachinePhase.LOST, 50 * S);
-    booting.become(MachinePhase.UP, 60 * S);
+    booting.changePhase(MachinePhase.LOST, 50 * S);
+    booting.changePhase(MachinePhase.UP, 60 * S);
     assertEquals(60 * S, booting.idleSince());
     Task task = bind(0);
     machine.unbind(task, 70 * S);
--- a/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
+++ b/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
@@ -101,7 +101,7 @@
                   step);
           if (machines.size() < 150) {
             machine.commandable(true);
-            machine.become(MachinePhase.UP, step);
+            machine.changePhase(MachinePhase.UP, step);
             list.add(machine);
             machines.add(machine);
           }
@@ -121,7 +121,7 @@
         case 2, 3, 4 -> {
           if (!bound.isEmpty()) {
             Task task = bound.remove(random.nextInt(bound.size()));
-            task.become(TaskPhase.GONE, step);
+            task.changePhase(TaskPhase.GONE, step);
             task.machine().unbind(task, step);
             task.job().unbind(task);
             list.updateCapacity(task.machine());
--- a/src/test/java/org/dewreach/placement/SortFirstFitTest.java
+++ b/src/test/java/org/dewreach/placement/SortFirstFitTest.java
@@ -53,7 +53,7 @@
     Machine small = machine("b", 8, 64, 0);
     list.add(large);
     list.add(small);
-    large.become(MachinePhase.DRAINING, 1);
+    large.changePhase(MachinePhase.DRAINING, 1);
     assertEquals(small, list.firstFit(task(1, 1, 0), m -> true));
   }
 }
--- a/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
@@ -44,7 +44,7 @@
                 .checkpoints(checkpointInterval, 3 * S)
                 .build());
     Task task = cluster.bind(job, 0, machine, TaskPhase.ASSIGNED, 0);
-    task.become(TaskPhase.RUNNING, 0);
+    task.changePhase(TaskPhase.RUNNING, 0);
     return task;
   }
 
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -97,7 +97,7 @@
     box("m1", false);
     JobSpec service = JobSpecBuilder.service("req-9").cpus(8).build();
     for (int i = 0; i < 100; i++) {
-      clusterState.serviceRate().recordArrival(service, S);
+      clusterState.serviceArrivalRate().recordArrival(service, S);
     }
     Job job = submitted("req-1", 4);
     placer.placeTasks(30 * S, each -> true, 60 * S);
--- a/src/test/java/org/dewreach/state/JobRecordWriterTest.java
+++ b/src/test/java/org/dewreach/state/JobRecordWriterTest.java
@@ -141,7 +141,7 @@
   @Test
   void aCancellationIsWrittenOnceAllTasksEndInTime() {
     Job job = writtenJob();
-    job.become(JobPhase.CANCEL_REQUESTED);
+    job.changePhase(JobPhase.CANCEL_REQUESTED);
     tasksEndInTime = false;
     writer.writeIfDue(job, 2 * S);
     assertEquals(List.of(), fixture.requests());
--- a/src/test/java/org/dewreach/testing/ClusterFixture.java
+++ b/src/test/java/org/dewreach/testing/ClusterFixture.java
@@ -55,7 +55,7 @@
   /** Returns a machine as {@link #newMachine} does, in phase UP. */
   public static Machine newUpMachine(String name, MachineType type, boolean spot) {
     Machine machine = newMachine(name, type, spot, MachinePhase.BOOTING);
-    machine.become(MachinePhase.UP, 0);
+    machine.changePhase(MachinePhase.UP, 0);
     return machine;
   }
 
