--- a/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
@@ -26,8 +26,8 @@
   /** Work that can be completed within this time is not spread over more machines. */
   private static final long MIN_HORIZON_MICROS = 15_000_000;
 
-  /** Lower bound for the result of {@link #maxWaitS}. */
-  private static final double MIN_MAX_WAIT_S = 10;
+  /** The shortest result of {@link #waitLimitS}. */
+  private static final double MIN_WAIT_LIMIT_S = 10;
 
   /**
    * The slack of a job without an objective: larger than any other, but small enough to be added to
@@ -43,7 +43,7 @@
   /**
    * Creates the demand of one term.
    *
-   * @param wallOffsetMicros offset from event time to wall-clock time
+   * @param wallOffsetMicros wall-clock time minus event loop time
    */
   public CapacityDemand(
       ClusterState clusterState, Settings settings, Tuning tuning, long wallOffsetMicros) {
@@ -68,10 +68,13 @@
     return requirements;
   }
 
-  /** True if the existing machines would take too long to work off the unplaced batch tasks. */
+  /**
+   * True if the existing machines would take too long to complete the unplaced batch tasks, which
+   * are those that may run on spot machines.
+   */
   boolean hasLongBacklog(List<UnplacedTasks> unplaced, long nowMicros) {
     double backlogCpuS = 0;
-    double weightedMaxWaitS = 0;
+    double weightedWaitLimitS = 0;
     for (UnplacedTasks item : unplaced) {
       JobSpec spec = item.job().spec();
       if (spec.spot()) {
@@ -80,13 +83,13 @@
                 * spec.cpus()
                 * (spec.expectedMicros() / MICROS_PER_SECOND + TASK_OVERHEAD_S);
         backlogCpuS += cpuS;
-        weightedMaxWaitS += cpuS * maxWaitS(item.job(), nowMicros);
+        weightedWaitLimitS += cpuS * waitLimitS(item.job(), nowMicros);
       }
     }
-    return backlogCpuS > 0 && backlogCpuS > batchCpus() * weightedMaxWaitS / backlogCpuS;
+    return backlogCpuS > 0 && backlogCpuS > batchCpus() * weightedWaitLimitS / backlogCpuS;
   }
 
-  /** Returns the CPUs that batch tasks use or could use. */
+  /** Returns the number of CPUs that batch tasks use or could use. */
   private double batchCpus() {
     double batchCpus = 0;
     for (Machine machine : clusterState.machines().values()) {
@@ -104,7 +107,7 @@
     return batchCpus;
   }
 
-  /** Returns how many of the unplaced tasks are worth additional machines, rather than a wait. */
+  /** Returns the number of unplaced tasks for which renting machines is better than waiting. */
   private int tasksWorthRenting(UnplacedTasks item, long nowMicros) {
     Job job = item.job();
     JobSpec spec = job.spec();
@@ -120,7 +123,8 @@
 
   /**
    * Returns the time within which a job's pending tasks are to be completed: half of the time that
-   * its objective leaves, or a fixed time if it has no objective.
+   * its objective leaves, but at least the run time of a task; a configured time if the job has no
+   * objective.
    */
   private long horizonMicros(Job job, long nowMicros) {
     long horizon =
@@ -146,13 +150,16 @@
         : UNLIMITED_SLACK_MICROS;
   }
 
-  /** Returns how long tasks can wait for existing machines: half of their slack. */
-  private double maxWaitS(Job job, long nowMicros) {
-    double longWaitS = tuning.maxSpotWaitMicros() / MICROS_PER_SECOND;
+  /**
+   * Returns how long the tasks of a job can wait for existing machines: half of their slack, within
+   * a minimum and the configured maximum; the maximum if the job has no objective.
+   */
+  private double waitLimitS(Job job, long nowMicros) {
+    double maxWaitS = tuning.maxSpotWaitMicros() / MICROS_PER_SECOND;
     if (!hasObjective(job)) {
-      return longWaitS;
+      return maxWaitS;
     }
     double halfSlackS = slackMicros(job, nowMicros) / (2 * MICROS_PER_SECOND);
-    return Math.max(MIN_MAX_WAIT_S, Math.min(longWaitS, halfSlackS));
+    return Math.max(MIN_WAIT_LIMIT_S, Math.min(maxWaitS, halfSlackS));
   }
 }
--- a/src/main/java/org/dewreach/autoscaling/CapacityPlan.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityPlan.java
@@ -15,7 +15,8 @@
 import org.dewreach.wire.MachineType;
 
 /**
- * One plan: the machines that are expected already, and those that are to be rented in addition.
+ * A plan of one scale-out round: the machines that are already expected, and those that are to be
+ * rented in addition.
  */
 final class CapacityPlan {
   /**
@@ -47,7 +48,7 @@
 
   private CapacityPlan() {}
 
-  /** Returns a plan that counts on the booting and the requested machines. */
+  /** Returns a plan in which only the booting and the requested machines are expected. */
   static CapacityPlan startingWith(
       Collection<Machine> machines, List<MachinePool> requestedPools, long nowMicros) {
     CapacityPlan plan = new CapacityPlan();
@@ -64,7 +65,7 @@
     return plan;
   }
 
-  /** True if the machine is expected to be usable soon. An overdue machine is not counted on. */
+  /** True if the machine is expected to be usable soon. An overdue machine is not. */
   private static boolean isExpectedSoon(Machine machine, long nowMicros) {
     return (machine.phase() == MachinePhase.BOOTING || machine.phase() == MachinePhase.UNCONFIRMED)
         && !machine.quarantined()
--- a/src/main/java/org/dewreach/autoscaling/CapacityRequirement.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityRequirement.java
@@ -19,7 +19,10 @@
     this(spec, tasks, slackMicros, Map.of());
   }
 
-  /** Returns the sum of two requirements with the same group key. */
+  /**
+   * Returns the sum of two requirements with the same group key. Its slack is the mean slack of all
+   * tasks.
+   */
   CapacityRequirement plus(CapacityRequirement other) {
     int sum = tasks + other.tasks;
     double mean = ((double) slackMicros * tasks + (double) other.slackMicros * other.tasks) / sum;
--- a/src/main/java/org/dewreach/autoscaling/RefusalBackoff.java
+++ b/src/main/java/org/dewreach/autoscaling/RefusalBackoff.java
@@ -5,7 +5,7 @@
 
 /**
  * Tracks the pools of which the cloud recently had too few machines, each with a pause that doubles
- * with every refusal.
+ * with every refusal, up to a maximum.
  */
 final class RefusalBackoff {
   private static final long INITIAL_PAUSE_MICROS = 8_000_000;
--- a/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInPolicy.java
@@ -25,7 +25,7 @@
    */
   private static final double MAX_SERVICE_SHARE = 0.4;
 
-  /** The number of machines that may be cordoned in one round, unless the fleet is large. */
+  /** The number of machines that may be cordoned in one round, unless a large fleet allows more. */
   private static final int MIN_CORDON_LIMIT_PER_ROUND = 3;
 
   /** In a large fleet, one in this many machines may be cordoned in one round. */
@@ -34,7 +34,7 @@
   /** Prices per CPU that differ by less than this are considered equal. */
   private static final double PRICE_TOLERANCE = 1e-9;
 
-  /** Time from the end of the boot until the first task can start. */
+  /** Time from the end of the boot until the first task can start, which requires a heartbeat. */
   private static final long FIRST_HEARTBEAT_DELAY_MICROS = 5_000_000;
 
   private final ClusterState clusterState;
--- a/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
+++ b/src/main/java/org/dewreach/autoscaling/ScalingPlanner.java
@@ -7,8 +7,8 @@
 
 /**
  * Plans which machines to rent: unplaced tasks are first assigned, by the same first-fit rule as in
- * placement, to machines that are still booting; for the remaining tasks the cheapest pool is
- * chosen, one machine at a time.
+ * placement, to machines that are booting or requested; for the remaining tasks the cheapest pool
+ * is chosen, one machine at a time.
  */
 final class ScalingPlanner {
   private final RefusalBackoff refusals = new RefusalBackoff();
--- a/src/main/java/org/dewreach/model/DirectCommands.java
+++ b/src/main/java/org/dewreach/model/DirectCommands.java
@@ -57,8 +57,8 @@
   }
 
   /** Sets whether a direct command is in flight. */
-  public void inFlight(boolean now) {
-    inFlight = now;
+  public void inFlight(boolean newInFlight) {
+    inFlight = newInFlight;
   }
 
   /**
--- a/src/main/java/org/dewreach/model/FailureHistory.java
+++ b/src/main/java/org/dewreach/model/FailureHistory.java
@@ -16,13 +16,16 @@
 
   /**
    * Returns the ids of the jobs whose tasks failed on the machine since a task last completed
-   * there.
+   * there. The set is modifiable: a job that turns out to fail on other machines too is removed.
    */
   public Set<String> jobs() {
     return jobs;
   }
 
-  /** Returns the number of task failures on the machine since a task last completed there. */
+  /**
+   * Returns the number of task failures on the machine since a task last completed there or a
+   * quarantine of the machine ended.
+   */
   public int failureCount() {
     return failureCount;
   }
--- a/src/main/java/org/dewreach/model/HeartbeatState.java
+++ b/src/main/java/org/dewreach/model/HeartbeatState.java
@@ -6,8 +6,7 @@
  */
 public final class HeartbeatState {
   /**
-   * The number of consecutive lost responses from which a machine counts as not receiving
-   * responses.
+   * After this many consecutive lost responses, the machine is considered not to receive responses.
    */
   private static final int MISSED_RESPONSES_THRESHOLD = 2;
 
@@ -121,7 +120,7 @@
   }
 
   /** Sets whether the worker may have restarted. */
-  public void restartCheck(RestartCheck now) {
-    restartCheck = now;
+  public void restartCheck(RestartCheck newCheck) {
+    restartCheck = newCheck;
   }
 }
--- a/src/main/java/org/dewreach/model/Job.java
+++ b/src/main/java/org/dewreach/model/Job.java
@@ -49,9 +49,9 @@
     this.phase = phase;
   }
 
-  /** Changes the phase, which is done only here, and rejects transitions that are not allowed. */
+  /** Changes the phase. No other method does, and transitions that are not allowed are rejected. */
   public void changePhase(JobPhase next) {
-    boolean legal =
+    boolean allowed =
         switch (next) {
           case PERSISTING -> false;
           case ACTIVE -> phase == JobPhase.PERSISTING;
@@ -62,8 +62,8 @@
           case FINALIZING -> mayStillComplete() || phase == JobPhase.CANCELLED;
           case ENDED -> phase == JobPhase.FINALIZING;
         };
-    if (!legal) {
-      throw new IllegalStateException(id() + " cannot go from " + phase + " to " + next);
+    if (!allowed) {
+      throw new IllegalStateException(id() + " cannot change from " + phase + " to " + next);
     }
     if (next == JobPhase.FINALIZING) {
       finalState = phase == JobPhase.CANCELLED ? JobState.CANCELLED : JobState.DONE;
@@ -131,7 +131,7 @@
 
   /**
    * Returns the earliest time at which the cancellation may have been confirmed to the user. The
-   * value lies far in the past if that may have been under an earlier leader.
+   * value lies far in the past unless the cancellation was written under this leader.
    */
   public long cancelledAt() {
     return cancelledAt;
@@ -275,7 +275,7 @@
     return doneCount > 0 || runningCount() > 0 ? JobState.RUNNING : JobState.PENDING;
   }
 
-  /** Returns the number of bound tasks that were seen running. */
+  /** Returns the number of bound tasks that are running or being stopped. */
   public int runningCount() {
     int running = 0;
     for (Task task : boundTasks.values()) {
--- a/src/main/java/org/dewreach/model/Machine.java
+++ b/src/main/java/org/dewreach/model/Machine.java
@@ -60,15 +60,16 @@
     this.heartbeats = new HeartbeatState(nowMicros);
   }
 
-  /** Changes the phase, which is done only here. */
+  /** Changes the phase. No other method does; the phase GONE is final. */
   public void changePhase(MachinePhase next, long nowMicros) {
     if (phase == MachinePhase.GONE) {
-      throw new IllegalStateException(name + " is gone and cannot become " + next);
+      throw new IllegalStateException(name + " is gone and cannot change to " + next);
     }
     if (phase == next) {
       return;
     }
-    // A lost machine has had no tasks for a long time, which must not count as idle time.
+    // Idle time begins when the machine first comes up, and begins again when it returns from LOST:
+    // the time that it spent lost, without tasks, must not count as idle time.
     if (next == MachinePhase.UP && (!everUp || phase == MachinePhase.LOST)) {
       everUp = true;
       idleSince = nowMicros;
@@ -149,8 +150,8 @@
   }
 
   /** Sets whether the machine is durably registered for commands. */
-  public void commandable(boolean now) {
-    commandable = now;
+  public void commandable(boolean newCommandable) {
+    commandable = newCommandable;
   }
 
   /** Returns the state of the machine's worker as its heartbeats show it. */
@@ -204,8 +205,8 @@
   }
 
   /** Sets whether the machine is cordoned. */
-  public void cordoned(boolean now) {
-    cordoned = now;
+  public void cordoned(boolean newCordoned) {
+    cordoned = newCordoned;
   }
 
   /** Returns the task failures on the machine, and whether it is quarantined for them. */
@@ -219,14 +220,14 @@
   }
 
   /**
-   * Returns when the machine's worker last refused a start for lack of room although the task fits
-   * according to the cluster state.
+   * Returns when the machine's worker last rejected a start for lack of capacity although the task
+   * fits according to the cluster state.
    */
   public long startRefusedAt() {
     return startRefusedAt;
   }
 
-  /** Sets when the machine's worker last refused a start for lack of room. */
+  /** Sets when the machine's worker last rejected a start for lack of capacity. */
   public void startRefusedAt(long nowMicros) {
     startRefusedAt = nowMicros;
   }
--- a/src/main/java/org/dewreach/model/ResourceUsage.java
+++ b/src/main/java/org/dewreach/model/ResourceUsage.java
@@ -52,9 +52,9 @@
   }
 
   /** True if a task of a lower priority is bound. */
-  boolean hasTaskOfLowerPriority(Priority bound) {
-    for (Priority priority : Priority.values()) {
-      if (tasksByPriority[priority.ordinal()] > 0 && bound.outranks(priority)) {
+  boolean hasTaskOfLowerPriority(Priority priority) {
+    for (Priority other : Priority.values()) {
+      if (tasksByPriority[other.ordinal()] > 0 && priority.outranks(other)) {
         return true;
       }
     }
--- a/src/main/java/org/dewreach/model/RetryBackoff.java
+++ b/src/main/java/org/dewreach/model/RetryBackoff.java
@@ -12,8 +12,8 @@
   private static final int MAX_AVOIDED_MACHINES = 8;
 
   /**
-   * The number of machines on which the job failed in a row from which the job, not the machines,
-   * is presumed to be the cause.
+   * After failures on this many machines in a row, without progress in between, the job rather than
+   * the machines is presumed to be the cause.
    */
   private static final int REPEATED_FAILURE_THRESHOLD = 2;
 
--- a/src/main/java/org/dewreach/model/StoredJobState.java
+++ b/src/main/java/org/dewreach/model/StoredJobState.java
@@ -2,7 +2,10 @@
 
 import java.util.BitSet;
 
-/** The state of a job that is durable in the key-value store. */
+/**
+ * The leader's knowledge of a job's record in the key-value store: its revision, the completed
+ * tasks that it contains, and when progress was last written to it.
+ */
 public final class StoredJobState {
   private long revision;
   private long progressWrittenAt;
@@ -20,12 +23,12 @@
     revision = newRevision;
   }
 
-  /** Returns when a write of the job's progress was last issued. */
+  /** Returns when a write that contains the job's progress was last issued. */
   public long progressWrittenAt() {
     return progressWrittenAt;
   }
 
-  /** Sets when a write of the job's progress was last issued. */
+  /** Sets when a write that contains the job's progress was last issued. */
   public void progressWrittenAt(long micros) {
     progressWrittenAt = micros;
   }
--- a/src/main/java/org/dewreach/model/Task.java
+++ b/src/main/java/org/dewreach/model/Task.java
@@ -30,10 +30,10 @@
     this.started = phase == TaskPhase.RUNNING || phase == TaskPhase.STOPPING;
   }
 
-  /** Changes the phase, which is done only here. */
+  /** Changes the phase. No other method does; the phase GONE is final. */
   public void changePhase(TaskPhase next, long nowMicros) {
     if (phase == TaskPhase.GONE) {
-      throw new IllegalStateException(name() + " is gone and cannot become " + next);
+      throw new IllegalStateException(name() + " is gone and cannot change to " + next);
     }
     if (phase == next) {
       return;
@@ -87,7 +87,10 @@
     return boundAt;
   }
 
-  /** Returns when the task was first seen running, or 0 if it was not. */
+  /**
+   * Returns when the task was seen to begin running, or 0 if it was not: it has not begun, or it
+   * was already running when this leader found it.
+   */
   public long startedAt() {
     return startedAt;
   }
@@ -108,8 +111,8 @@
   }
 
   /** Sets the state of a start that was sent directly. */
-  public void directStart(DirectStart now) {
-    directStart = now;
+  public void directStart(DirectStart newState) {
+    directStart = newState;
   }
 
   /** True if a stop was sent directly to the worker. */
--- a/src/main/java/org/dewreach/model/package-info.java
+++ b/src/main/java/org/dewreach/model/package-info.java
@@ -3,8 +3,8 @@
  * machine.
  *
  * <p>A task refers to its job and its machine, and both list their tasks, so the three share a
- * package. Each of them changes its phase in one method, {@code become}; their other concerns are
- * separate classes: {@link org.dewreach.model.HeartbeatState}, {@link
+ * package. Each of them changes its phase in one method, {@code changePhase}; their other concerns
+ * are separate classes: {@link org.dewreach.model.HeartbeatState}, {@link
  * org.dewreach.model.DirectCommands}, {@link org.dewreach.model.FailureHistory}, {@link
  * org.dewreach.model.RetryBackoff} and {@link org.dewreach.model.StoredJobState}.
  *
--- a/src/main/java/org/dewreach/placement/FreeCapacityIndex.java
+++ b/src/main/java/org/dewreach/placement/FreeCapacityIndex.java
@@ -34,7 +34,7 @@
     Arrays.fill(gpus, UNAVAILABLE);
   }
 
-  /** Sets a leaf without updating its ancestors; {@link #build} has to be called afterwards. */
+  /** Sets a leaf without updating its ancestors; {@link #build} must be called afterwards. */
   void setLeaf(int position, double freeCpus, double freeMemory, double freeGpus) {
     int node = leafCount + position;
     cpus[node] = freeCpus;
--- a/src/main/java/org/dewreach/placement/QueueOrder.java
+++ b/src/main/java/org/dewreach/placement/QueueOrder.java
@@ -32,8 +32,8 @@
   private static final long TASK_START_MICROS = 4_000_000;
 
   /**
-   * A job that finishes within this many times its target is preferred to one that finishes even
-   * later.
+   * A job that misses its target but can finish within this many times the target is preferred to
+   * one that would finish even later.
    */
   private static final double GRACE_FACTOR = 1.5;
 
@@ -66,13 +66,13 @@
 
   /** Whether a job can still meet its completion target. */
   private enum Timeliness {
-    /** The job meets its target only if it is placed soon. */
+    /** The job can meet its target only if it is placed soon. */
     URGENT,
-    /** The job meets its target with time to spare, or it has no target. */
+    /** The job can meet its target with time to spare, or it has no target. */
     ON_TIME,
-    /** The job misses its target but finishes within the grace period. */
+    /** The job misses its target but can still finish within the grace period. */
     WITHIN_GRACE,
-    /** The job finishes after the grace period. */
+    /** The job can only finish after the grace period. */
     LATE
   }
 
--- a/src/main/java/org/dewreach/placement/ServiceArrivalRate.java
+++ b/src/main/java/org/dewreach/placement/ServiceArrivalRate.java
@@ -7,7 +7,7 @@
  *
  * <p>On average, departures free the capacity that arrivals need; headroom is needed only for the
  * fluctuation of arrivals over the time that a new machine takes to become usable. With n arrivals
- * expected in that time, that is slightly more than the square root of n.
+ * expected in that time, the headroom is slightly more than the square root of n tasks.
  */
 public final class ServiceArrivalRate {
   /** Time constant with which past arrivals decay. */
--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -17,7 +17,8 @@
  */
 public final class SortFirstFit {
   /**
-   * The limit on the time to fetch images is relaxed to at most this many times the requested one.
+   * The largest multiple of the requested limit on fetch time that is tried before the limit is
+   * dropped.
    */
   private static final int MAX_FETCH_LIMIT_FACTOR = 4;
 
@@ -125,7 +126,8 @@
    * Like {@link #firstFit(JobSpec, Predicate)}, for tasks that are to start within some time. Where
    * the paper checks the bandwidth left on a server, this checks the time that fetching images
    * takes: a machine whose fetches would take longer than the limit is skipped as long as another
-   * machine can start the task within the limit, or within two or four times the limit.
+   * machine can start the task within the limit, or within two or four times the limit. If none
+   * can, the first machine that fits is returned.
    */
   public Machine firstFit(JobSpec spec, Predicate<Machine> allowed, long withinMicros) {
     for (long within = withinMicros;
--- a/src/main/java/org/dewreach/scheduling/JobPlacement.java
+++ b/src/main/java/org/dewreach/scheduling/JobPlacement.java
@@ -79,8 +79,8 @@
   int place(int maxTasks) {
     int pending = job.pendingCount();
     boolean allOrNothing = isAllOrNothing(job);
-    boolean alreadyRuns = gang && !job.boundTasks().isEmpty();
-    if (alreadyRuns || allOrNothing && maxTasks < pending) {
+    boolean gangAlreadyBound = gang && !job.boundTasks().isEmpty();
+    if (gangAlreadyBound || allOrNothing && maxTasks < pending) {
       return 0;
     }
     for (String zone : zones()) {
@@ -131,8 +131,8 @@
               .firstFit(spec, allowed.and(directStartFilter), startWithinMicros);
       if (machine == null) {
         blockedByDirectStart |= directStartFilter.excludedAny;
-        // Guards against one task that may not return to a machine blocking its whole job, and all
-        // equivalent jobs, from that machine.
+        // Continues with the next task. Otherwise one task that must not be started again on a
+        // machine would keep all tasks of its job, and of equivalent jobs, off that machine.
         if (!directStartFilter.excludedAny || ++skipped > MAX_SKIPPED_TASKS) {
           break;
         }
@@ -162,8 +162,8 @@
   }
 
   /**
-   * Excludes machines on which the task was started by a direct command, and records whether it
-   * excluded any.
+   * Excludes machines to whose worker a direct start of the task was sent in its current
+   * incarnation, and records whether it excluded any.
    */
   private static final class DirectStartFilter implements Predicate<Machine> {
     private final TaskName task;
--- a/src/main/java/org/dewreach/scheduling/MachineFilter.java
+++ b/src/main/java/org/dewreach/scheduling/MachineFilter.java
@@ -10,14 +10,14 @@
  * Selects the machines on which a job's tasks may be placed now, regardless of their free capacity.
  */
 final class MachineFilter {
-  /** A machine that rejected a task for lack of capacity is given no tasks for this long. */
+  /** A machine that rejected a start for lack of capacity is given no tasks for this long. */
   private static final long START_REFUSAL_BACKOFF_MICROS = 3_000_000;
 
   private MachineFilter() {}
 
   /**
-   * Returns a filter for machines that the job's constraints allow, that rejected no task recently,
-   * and on which the job did not fail recently.
+   * Returns a filter for machines that the job's constraints allow, that rejected no start
+   * recently, and on which the job did not fail recently.
    */
   static Predicate<Machine> forJob(Job job, long nowMicros) {
     Set<String> avoided = job.backoff().avoidedMachines(nowMicros);
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -38,7 +38,7 @@
   private static final long INTERVAL_MICROS = 200_000;
 
   private final ClusterState clusterState;
-  private long nextAt;
+  private long nextPassAt;
 
   /** Creates the preemption of one term. */
   public Preemption(ClusterState clusterState) {
@@ -50,10 +50,10 @@
    * place.
    */
   public void preempt(List<UnplacedTasks> unplaced, long nowMicros) {
-    if (unplaced.isEmpty() || nowMicros < nextAt) {
+    if (unplaced.isEmpty() || nowMicros < nextPassAt) {
       return;
     }
-    nextAt = nowMicros + INTERVAL_MICROS;
+    nextPassAt = nowMicros + INTERVAL_MICROS;
     Set<Task> victims = new VictimSearch(nowMicros).victimsFor(unplaced);
     for (Task task : victims) {
       clusterState.stop(task, "preempted", nowMicros);
@@ -124,7 +124,8 @@
     }
 
     /**
-     * Reserves capacity for one task, choosing victims if necessary; false if there are not enough.
+     * Reserves capacity for one task, choosing victims if necessary. Returns false if no machine
+     * has enough of them.
      */
     private boolean reserveCapacityForTask(Job job) {
       JobSpec spec = job.spec();
@@ -152,8 +153,8 @@
      */
     private Predicate<Machine> eligibleMachines(Job job) {
       TaskName next = new TaskName(job.id(), Math.max(0, job.nextPending()));
-      // On on-demand machines such tasks must also leave headroom for services, and preemption does
-      // not create any.
+      // Tasks that may run on spot machines must leave headroom for services on on-demand machines,
+      // and preemption does not create headroom.
       boolean spotOnly = ServiceHeadroom.appliesTo(job.spec());
       Predicate<Machine> allowed = MachineFilter.forJob(job, nowMicros);
       return machine ->
--- a/src/main/java/org/dewreach/scheduling/ServiceHeadroom.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceHeadroom.java
@@ -46,7 +46,10 @@
         && wallMicros - job.acceptedWallMicros() > EXEMPT_AFTER_MICROS;
   }
 
-  /** Called for each job of the queue, in its order, before the job is placed. */
+  /**
+   * Reads the free CPUs before the first job that may run on spot machines is placed. Called for
+   * each job in the order of the queue.
+   */
   void beforePlacing(JobSpec spec) {
     if (!freeCpusRead && spec.spot()) {
       // Services come first in the queue, so the capacity that they use is already subtracted here.
--- a/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
+++ b/src/main/java/org/dewreach/scheduling/ServiceMigrator.java
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Returns a service of the machine if it runs only movable services and this one could start
-   * immediately on another machine; otherwise null.
+   * Returns a service replica to move off the machine, or null. Null if the machine runs anything
+   * other than movable services, or if the replica could not start immediately on another machine.
    */
   private Task findMovableService(Machine machine, long nowMicros) {
     Task candidate = null;
--- a/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
+++ b/src/main/java/org/dewreach/scheduling/TaskConsolidator.java
@@ -72,7 +72,8 @@
   }
 
   /**
-   * Returns a task worth moving if the machine runs only such tasks and services; otherwise null.
+   * Returns a task worth moving, or null. Null also if the machine runs a task that is neither
+   * worth moving nor a service, because the machine would not become empty.
    */
   private static Task movableTask(Machine machine, long nowMicros) {
     Task found = null;
@@ -123,7 +124,7 @@
 
   /**
    * Uncordons the fullest cordoned machine on which the task could start immediately, and returns
-   * it; null if there is none.
+   * it; null if there is none that has at least as many tasks as the task's own machine.
    *
    * <p>Guards against all machines being cordoned at the same time while demand falls, each kept
    * for a few tasks that fit on no other machine.
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -40,7 +40,7 @@
    *
    * @param objectives the objectives, of which only those of kind START_WITHIN are used
    * @param tuning overrides the start times of the objectives
-   * @param wallOffsetMicros offset from event time to wall-clock time
+   * @param wallOffsetMicros wall-clock time minus event loop time
    */
   public TaskPlacer(
       ClusterState clusterState,
@@ -172,8 +172,8 @@
     private String equivalenceKey(Job job, boolean exempt) {
       JobSpec spec = job.spec();
       boolean gang = spec.jobKind() == JobKind.GANG;
-      boolean placedTogether = spec.sameZone() || spec.spreadZones() || gang;
-      if (placedTogether || exempt || !job.backoff().avoidedMachines(nowMicros).isEmpty()) {
+      boolean interdependent = spec.sameZone() || spec.spreadZones() || gang;
+      if (interdependent || exempt || !job.backoff().avoidedMachines(nowMicros).isEmpty()) {
         return job.id();
       }
       return SortFirstFit.equivalenceKey(spec) + ServiceHeadroom.appliesTo(spec);
--- a/src/main/java/org/dewreach/state/ClusterState.java
+++ b/src/main/java/org/dewreach/state/ClusterState.java
@@ -36,7 +36,10 @@
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** Created once, because every placement pass and every heartbeat reads the jobs and machines. */
+  /**
+   * The read-only views are created once, because every placement pass and every heartbeat uses
+   * them.
+   */
   private final Map<String, Job> jobsView = Collections.unmodifiableMap(jobs);
 
   private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
--- a/src/main/java/org/dewreach/state/JobRecord.java
+++ b/src/main/java/org/dewreach/state/JobRecord.java
@@ -77,7 +77,7 @@
   }
 
   /**
-   * Returns those of the given completed tasks that a record of the job contains.
+   * Returns those of the given completed tasks that a record of the job can contain.
    *
    * <p>Guards against removing a task's result from its worker although the completion is not
    * durable.
--- a/src/main/java/org/dewreach/state/JobRecordWriter.java
+++ b/src/main/java/org/dewreach/state/JobRecordWriter.java
@@ -29,7 +29,7 @@
    */
   private static final long PROGRESS_INTERVAL_MICROS = 4_000_000;
 
-  /** The number of pending writes from which no progress is written. */
+  /** No progress is written while at least this many writes are pending. */
   private static final int PROGRESS_PENDING_LIMIT = 12;
 
   /** Decides when a cancellation may be made durable. */
@@ -71,7 +71,8 @@
    * Allows final states of jobs that were cancelled in an earlier term.
    *
    * <p>Until every machine has sent a heartbeat, tasks of such a job may still run on some machine.
-   * Its record must be kept until then; otherwise these tasks would not be charged to any team.
+   * Its record must be kept until then; otherwise these tasks would not count against any team's
+   * quota.
    */
   public void allowFinalizingCancelled() {
     mayFinalizeCancelled = true;
--- a/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
+++ b/src/main/java/org/dewreach/state/LeaderlessJobImporter.java
@@ -167,8 +167,8 @@
   }
 
   /**
-   * Abandons an import because the record was changed meanwhile, or because the write queue is
-   * full. All records are read again.
+   * Abandons an import because the record was changed since it was read, or because the write queue
+   * is full. All records are read again.
    */
   private void abandonImport(Job job, long rereadAtMicros) {
     clusterState.removeJob(job);
--- a/src/main/java/org/dewreach/state/MachineRegistry.java
+++ b/src/main/java/org/dewreach/state/MachineRegistry.java
@@ -44,7 +44,7 @@
    */
   private static final double MAX_FILL_SHARE = 0.7;
 
-  /** The estimated size of an entry without its names. */
+  /** The estimated size of an entry without the names of its machine, type and zone. */
   private static final int ENTRY_OVERHEAD_BYTES = 48;
 
   /** The machines that share a record. */
--- a/src/main/java/org/dewreach/state/MachineTypeCatalog.java
+++ b/src/main/java/org/dewreach/state/MachineTypeCatalog.java
@@ -25,7 +25,7 @@
 public final class MachineTypeCatalog {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
   private static final long REFRESH_INTERVAL_MICROS = 60_000_000;
-  private static final long PROVIDER_RETRY_DELAY_MICROS = 2_000_000;
+  private static final long CLOUD_RETRY_DELAY_MICROS = 2_000_000;
   private static final long STORE_RETRY_DELAY_MICROS = 500_000;
 
   private final KeyValueStore store;
@@ -81,7 +81,7 @@
   }
 
   /**
-   * Requests the types if a request is due: first the stored copy, then from the cloud.
+   * Requests the types if a request is due: first the stored copy, then the types from the cloud.
    *
    * @param leading true if this controller is the leader, which keeps the types up to date
    */
@@ -95,7 +95,7 @@
       store.get(Keys.CATALOG, (now, result) -> onStoredCopy(now, result, leading));
     } else {
       storeTried = false;
-      cloud.readCatalog(nowMicros, this::onProviderResult);
+      cloud.readCatalog(nowMicros, this::onCloudResult);
     }
   }
 
@@ -120,7 +120,7 @@
     }
   }
 
-  private void onProviderResult(long nowMicros, CatalogResult result) {
+  private void onCloudResult(long nowMicros, CatalogResult result) {
     requestInFlight = false;
     if (result instanceof CatalogResult.Catalog catalog) {
       types = catalog.types();
@@ -129,8 +129,8 @@
       return;
     }
     if (result instanceof CloudFailure failure && failure.decodingFailed()) {
-      LOG.error("catalog malformed: source=provider cause=\"{}\"", failure.decodingError());
+      LOG.error("catalog malformed: source=cloud cause=\"{}\"", failure.decodingError());
     }
-    nextRequestAt = nowMicros + PROVIDER_RETRY_DELAY_MICROS;
+    nextRequestAt = nowMicros + CLOUD_RETRY_DELAY_MICROS;
   }
 }
--- a/src/test/java/org/dewreach/scheduling/PreemptionTest.java
+++ b/src/test/java/org/dewreach/scheduling/PreemptionTest.java
@@ -28,7 +28,9 @@
     machine =
         cluster.add(ClusterFixture.newUpMachine("m1", ClusterFixture.type("box", 4, 64, 0), true));
     for (int i = 0; i < 4; i++) {
-      cluster.bind(low, i, machine, TaskPhase.ASSIGNED, i * S).changePhase(TaskPhase.RUNNING, i * S);
+      cluster
+          .bind(low, i, machine, TaskPhase.ASSIGNED, i * S)
+          .changePhase(TaskPhase.RUNNING, i * S);
     }
   }
 
