--- a/src/main/java/org/dewreach/controller/Leadership.java
+++ b/src/main/java/org/dewreach/controller/Leadership.java
@@ -127,7 +127,7 @@
   }
 
   @Override
-  public void onDeposed(long nowMicros, long number) {
+  public void onSteppedDown(long nowMicros, long number) {
     LeadershipTerm ended = term;
     term = null;
     if (ended != null) {
@@ -152,7 +152,7 @@
   }
 
   @Override
-  public long lastRenewalAt() {
+  public long lastDelegateRenewalAt() {
     return delegateRenewer.lastRenewalAt();
   }
 }
--- a/src/main/java/org/dewreach/controller/LeadershipControl.java
+++ b/src/main/java/org/dewreach/controller/LeadershipControl.java
@@ -15,5 +15,5 @@
   void handOverLeadership();
 
   /** The time at which this controller last renewed a lease as a delegate, or a negative value. */
-  long lastRenewalAt();
+  long lastDelegateRenewalAt();
 }
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -24,7 +24,7 @@
 final class LeadershipTerm implements DurabilityListener {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipTerm.class);
 
-  private static final long PROGRESS_INTERVAL_MICROS = 250_000;
+  private static final long JOB_ADVANCE_INTERVAL_MICROS = 250_000;
 
   /** The phases of a term. */
   enum Phase {
@@ -49,7 +49,7 @@
   private Phase phase = Phase.LOADING;
   private boolean hadAuthority;
   private long authoritySince;
-  private long nextProgressAt;
+  private long nextJobAdvanceAt;
 
   /**
    * Creates a term that has not loaded any state yet.
@@ -133,7 +133,7 @@
     if (phase == Phase.RECOVERING) {
       components.stalledRecovery.tick(authoritySince, nowMicros);
     } else {
-      components.recoveryClock.recordFinished(nowMicros);
+      components.durationTracker.recordFinished(nowMicros);
     }
     catalog.saveIfRefreshed(components.queue, nowMicros);
     components.registry.tick(nowMicros);
@@ -148,14 +148,14 @@
       control.handOverLeadership();
       return;
     }
-    if (nowMicros >= nextProgressAt) {
-      nextProgressAt = nowMicros + PROGRESS_INTERVAL_MICROS;
+    if (nowMicros >= nextJobAdvanceAt) {
+      nextJobAdvanceAt = nowMicros + JOB_ADVANCE_INTERVAL_MICROS;
       advanceJobs(nowMicros);
     }
-    reportProgress(nowMicros);
+    tickReporters(nowMicros);
   }
 
-  private void reportProgress(long nowMicros) {
+  private void tickReporters(long nowMicros) {
     List<UnplacedTasks> unplaced = components.placement.unplaced();
     components.reporter.tick(unplaced, nowMicros);
     if (phase == Phase.RECOVERING) {
@@ -286,7 +286,7 @@
     }
     changePhase(Phase.CLOSED);
     components.loader.close();
-    components.recoveryClock.close();
+    components.durationTracker.close();
     components.jobImporter.close();
     components.fleet.close();
     components.commandSender.close();
--- a/src/main/java/org/dewreach/controller/PeerRequestRouter.java
+++ b/src/main/java/org/dewreach/controller/PeerRequestRouter.java
@@ -93,10 +93,11 @@
   }
 
   private void onContactRequest(long requestId, ContactRequest request) {
-    int heard =
+    int reachable =
         lastHeartbeats.countSeenSince(
             request.machines(), clock.now() - request.maxHeartbeatAgeMicros());
-    outbox.respond(requestId, HttpStatus.OK, PeerMessageCodec.encode(new ContactResponse(heard)));
+    outbox.respond(
+        requestId, HttpStatus.OK, PeerMessageCodec.encode(new ContactResponse(reachable)));
   }
 
   private void respond(long requestId, ForwardedReply reply) {
--- a/src/main/java/org/dewreach/controller/RecoveryReporter.java
+++ b/src/main/java/org/dewreach/controller/RecoveryReporter.java
@@ -24,15 +24,18 @@
   private final long term;
   private final ClusterState clusterState;
   private final FleetManager fleet;
-  private final RecoveryDurationTracker clock;
+  private final RecoveryDurationTracker durationTracker;
   private long nextReportAt;
 
   RecoveryReporter(
-      long term, ClusterState clusterState, FleetManager fleet, RecoveryDurationTracker clock) {
+      long term,
+      ClusterState clusterState,
+      FleetManager fleet,
+      RecoveryDurationTracker durationTracker) {
     this.term = term;
     this.clusterState = clusterState;
     this.fleet = fleet;
-    this.clock = clock;
+    this.durationTracker = durationTracker;
   }
 
   /**
@@ -50,7 +53,7 @@
             + " terminating={} list_age_ms={} unlisted={} tasks_waiting={}",
         term,
         (nowMicros - recoveringSince) / MICROS_PER_MS,
-        clock.openMicros(nowMicros) / MICROS_PER_MS,
+        durationTracker.openMicros(nowMicros) / MICROS_PER_MS,
         count(MachinePhase.UNKNOWN),
         count(MachinePhase.UNCONFIRMED),
         count(MachinePhase.TERMINATING),
--- a/src/main/java/org/dewreach/controller/TermComponents.java
+++ b/src/main/java/org/dewreach/controller/TermComponents.java
@@ -56,7 +56,7 @@
   final FleetManager fleet;
   final HandoverPolicy handoverPolicy;
   final RecoveryTracker recovery;
-  final RecoveryDurationTracker recoveryClock;
+  final RecoveryDurationTracker durationTracker;
   final StalledRecoveryResolver stalledRecovery;
   final CancellationGate cancellationGate;
   final JobRecordWriter recordWriter;
@@ -86,13 +86,13 @@
             settings.storeLimits().maxValueBytes(),
             services.wallOffsetMicros(),
             callbacks.durabilityListener());
-    this.delegations = new LeaseDelegations(term, settings, control::lastRenewalAt);
+    this.delegations = new LeaseDelegations(term, settings, control::lastDelegateRenewalAt);
     this.fleet = newFleetManager(nowMicros);
     this.handoverPolicy = newHandoverPolicy();
     this.recovery = new RecoveryTracker(clusterState, fleet);
-    this.recoveryClock =
+    this.durationTracker =
         new RecoveryDurationTracker(services.store(), queue, services.wallOffsetMicros());
-    this.stalledRecovery = new StalledRecoveryResolver(recovery, fleet, recoveryClock, settings);
+    this.stalledRecovery = new StalledRecoveryResolver(recovery, fleet, durationTracker, settings);
     this.cancellationGate = new CancellationGate(clusterState, settings, delegations, recovery);
     this.recordWriter =
         new JobRecordWriter(queue, cancellationGate, callbacks.durabilityListener());
@@ -111,7 +111,7 @@
     this.heartbeatHandler = newHeartbeatHandler(callbacks.closed());
     this.placement = newPlacementLoop();
     this.reporter = new TermReporter(term, clusterState, queue);
-    this.recoveryReporter = new RecoveryReporter(term, clusterState, fleet, recoveryClock);
+    this.recoveryReporter = new RecoveryReporter(term, clusterState, fleet, durationTracker);
   }
 
   private CommitQueue newCommitQueue(LeadershipControl control) {
--- a/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
+++ b/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
@@ -19,7 +19,7 @@
 
   /** Responds to a heartbeat. */
   @FunctionalInterface
-  public interface Responder {
+  public interface HeartbeatResponder {
     /** Responds to the request that carried the heartbeat. */
     void respond(long requestId, Heartbeat heartbeat);
   }
@@ -57,7 +57,7 @@
    *
    * @param undecided true if it is still undecided which controller leads
    */
-  public void respondToDue(boolean undecided, long nowMicros, Responder responder) {
+  public void respondToDue(boolean undecided, long nowMicros, HeartbeatResponder responder) {
     while (!pending.isEmpty()
         && (!undecided || nowMicros - pending.peek().sinceMicros() >= MAX_WAIT_MICROS)) {
       Pending next = pending.poll();
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -70,7 +70,7 @@
   private long lastContactAt;
   private long lastStoreResponseAt = -ISOLATION_TIMEOUT_MICROS;
   private long lastRenewalAt = DelegationRequest.NONE;
-  private long lastResponseMark = DelegationRequest.NONE;
+  private long lastResponseTimestamp = DelegationRequest.NONE;
   private String lastResponder = "";
   private long nextRequestAt;
   private long nextProbeAt;
@@ -127,7 +127,7 @@
             self,
             nowMicros,
             lastRenewalAt < 0 ? DelegationRequest.NONE : nowMicros - lastRenewalAt,
-            leader.equals(lastResponder) ? lastResponseMark : DelegationRequest.NONE);
+            leader.equals(lastResponder) ? lastResponseTimestamp : DelegationRequest.NONE);
     outbox.call(
         new Target.Member(leader),
         "POST",
@@ -150,7 +150,7 @@
     // less clock drift.
     long delegatedMicros = response.delegatedMicros();
     delegatedUntil = sentAt + delegatedMicros - ClockDrift.maxOver(delegatedMicros);
-    lastResponseMark = response.timestampMicros();
+    lastResponseTimestamp = response.timestampMicros();
     lastResponder = leader;
     recordContact(false, nowMicros);
   }
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -39,7 +39,7 @@
     void onElected(long nowMicros, long term);
 
     /** The term that this controller led has ended. */
-    void onDeposed(long nowMicros, long term);
+    void onSteppedDown(long nowMicros, long term);
   }
 
   private final String self;
@@ -147,7 +147,7 @@
       case LEADING -> authority.tick(followerGrants, nowMicros);
       case WAITING -> {
         if (nowMicros >= claimAt) {
-          openLease(nowMicros);
+          requestLease(nowMicros);
         }
       }
       case FOLLOWING -> {
@@ -244,8 +244,8 @@
     leaderKey.watchFrom(entry.revision());
   }
 
-  private void onOwnKey(long nowMicros, String holderBoot, long holderLeaseId, long revision) {
-    if (!holderBoot.equals(bootId)) {
+  private void onOwnKey(long nowMicros, String holderBootId, long holderLeaseId, long revision) {
+    if (!holderBootId.equals(bootId)) {
       // Written by an earlier process of this controller, which has certainly ended.
       LOG.info("revoking the leader lease of an earlier process: lease={}", holderLeaseId);
       revokeOldLease(holderLeaseId);
@@ -289,9 +289,9 @@
     leaderKey.revokeLease(holderLeaseId);
   }
 
-  private void openLease(long nowMicros) {
+  private void requestLease(long nowMicros) {
     changeState(ElectionState.OPENING, "claiming");
-    claim.openLease(
+    claim.requestLease(
         nowMicros,
         (now, result) -> {
           if (result instanceof LeaseGrant) {
@@ -336,6 +336,6 @@
     leader = null;
     changeState(ElectionState.FOLLOWING, reason);
     leaderKey.readAgainAt(nowMicros);
-    listener.onDeposed(nowMicros, authority.term());
+    listener.onSteppedDown(nowMicros, authority.term());
   }
 }
--- a/src/main/java/org/dewreach/leadership/LeaderClaim.java
+++ b/src/main/java/org/dewreach/leadership/LeaderClaim.java
@@ -38,7 +38,7 @@
   }
 
   /** Requests the lease, whose time to live is counted from now. */
-  void openLease(long nowMicros, ResultHandler<LeaseResult> handler) {
+  void requestLease(long nowMicros, ResultHandler<LeaseResult> handler) {
     store.grantLease(
         LeaderAuthority.LEASE_TTL_MICROS / MICROS_PER_MS,
         REQUEST_TIMEOUT_MICROS,
--- a/src/main/java/org/dewreach/leadership/LeaderKeyReader.java
+++ b/src/main/java/org/dewreach/leadership/LeaderKeyReader.java
@@ -14,7 +14,7 @@
   /** Pause before the key is read again after an error. */
   static final long RETRY_PAUSE_MICROS = 300_000;
 
-  private static final long WATCH_MS = 8_000;
+  private static final long WATCH_DURATION_MS = 8_000;
 
   private final KeyValueStore store;
   private final ResultHandler<ReadResult> onRead;
@@ -91,7 +91,7 @@
     store.watch(
         Keys.LEADER,
         seenRevision,
-        WATCH_MS,
+        WATCH_DURATION_MS,
         (now, result) -> {
           watchInFlight = false;
           if (result instanceof WatchBatch) {
--- a/src/main/java/org/dewreach/leadership/LeaseDelegations.java
+++ b/src/main/java/org/dewreach/leadership/LeaseDelegations.java
@@ -16,9 +16,9 @@
  * allowed to. A controller may renew from {@link DelegateRenewer#ISOLATION_TIMEOUT_MICROS} after
  * its last response from a leader until the delegation in that response ends. Each request repeats
  * the timestamp of the last response that arrived, which proves that the controller was in contact
- * at the time of the mark, and states when the controller last renewed a lease as a delegate. For a
- * controller that has not yet proven contact in this term, the leader assumes the longest
- * delegation that an earlier leader can have made before this term gained authority.
+ * at that time, and states when the controller last renewed a lease as a delegate. For a controller
+ * that has not yet proven contact in this term, the leader assumes the longest delegation that an
+ * earlier leader can have made before this term gained authority.
  */
 public final class LeaseDelegations {
   /** What the leader knows about another controller. */
@@ -102,8 +102,8 @@
 
   /** True if the request repeats the timestamp of a response of this term. */
   private boolean provesContact(DelegationRequest request, long nowMicros) {
-    long mark = request.echoedTimestampMicros();
-    return authorityGainedAt >= 0 && mark >= authorityGainedAt && mark <= nowMicros;
+    long timestamp = request.echoedTimestampMicros();
+    return authorityGainedAt >= 0 && timestamp >= authorityGainedAt && timestamp <= nowMicros;
   }
 
   /** Returns the latest time at which the controller can have renewed a lease as a delegate. */
--- a/src/main/java/org/dewreach/leadership/PeerReachabilityPoller.java
+++ b/src/main/java/org/dewreach/leadership/PeerReachabilityPoller.java
@@ -45,12 +45,12 @@
    * A controller counts as reachable if at least one in this many of the requested machines reach
    * it; fewer may be chance.
    */
-  private static final int MIN_HEARD_DIVISOR = 4;
+  private static final int MIN_REACHABLE_DIVISOR = 4;
 
   /** The latest response of one controller. */
-  private record PeerResponse(long receivedAtMicros, int requested, int heard) {
+  private record PeerResponse(long receivedAtMicros, int requested, int reachable) {
     boolean isPeerReachable() {
-      return heard > 0 && heard * MIN_HEARD_DIVISOR >= requested;
+      return reachable > 0 && reachable * MIN_REACHABLE_DIVISOR >= requested;
     }
   }
 
--- a/src/test/java/org/dewreach/controller/LeadershipTermTest.java
+++ b/src/test/java/org/dewreach/controller/LeadershipTermTest.java
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public long lastRenewalAt() {
+    public long lastDelegateRenewalAt() {
       return Long.MIN_VALUE;
     }
   }
--- a/src/test/java/org/dewreach/leadership/ElectionTest.java
+++ b/src/test/java/org/dewreach/leadership/ElectionTest.java
@@ -29,7 +29,7 @@
             public void onElected(long nowMicros, long term) {}
 
             @Override
-            public void onDeposed(long nowMicros, long term) {}
+            public void onSteppedDown(long nowMicros, long term) {}
           });
 
   /**
