--- a/src/main/java/org/dewreach/controller/AuthorityCheckedResponder.java
+++ b/src/main/java/org/dewreach/controller/AuthorityCheckedResponder.java
@@ -5,13 +5,14 @@
 import org.dewreach.wire.UserResponse;
 
 /**
- * Forwards a term's responses only while the term has authority; otherwise responds to retry.
+ * Forwards a term's responses only while the term has authority, except for server errors, which
+ * are always forwarded. Otherwise the user is told to retry.
  *
  * <p>Guards against outdated responses of a term whose authority expired while it handled the
  * request. This includes rejections: a job that the term looked up and did not find may have been
  * imported by a later term.
  *
- * @param leadership the source of the term's authority
+ * @param leadership determines whether the term has authority
  * @param handlingTerm the term that handles the request
  * @param target receives the response
  */
--- a/src/main/java/org/dewreach/controller/Controller.java
+++ b/src/main/java/org/dewreach/controller/Controller.java
@@ -38,9 +38,9 @@
   /**
    * Creates a controller.
    *
-   * @param bootId a text that is unique to this process, also among earlier processes of this
+   * @param bootId a string that is unique to this process, also among earlier processes of this
    *     controller
-   * @param wallOffsetMicros time of day minus event time
+   * @param wallOffsetMicros wall-clock time minus event time
    */
   public Controller(
       Settings settings,
--- a/src/main/java/org/dewreach/controller/ControllerServices.java
+++ b/src/main/java/org/dewreach/controller/ControllerServices.java
@@ -23,7 +23,7 @@
  * @param finalStates the final states known to be durable
  * @param lastHeartbeats the time of the last heartbeat of each worker to this controller
  * @param handoverHistory when this controller last handed over because no workers reached it
- * @param wallOffsetMicros time of day minus event time
+ * @param wallOffsetMicros wall-clock time minus event time
  */
 record ControllerServices(
     Settings settings,
--- a/src/main/java/org/dewreach/controller/Leadership.java
+++ b/src/main/java/org/dewreach/controller/Leadership.java
@@ -24,9 +24,9 @@
   private long selfDelegatedUntil;
 
   /**
-   * Creates the leadership of a controller that does not know the leader yet.
+   * Creates the leadership of a controller to which no leader is known yet.
    *
-   * @param bootId a text that is unique to this process, also among earlier processes of this
+   * @param bootId a string that is unique to this process, also among earlier processes of this
    *     controller
    */
   Leadership(ControllerServices services, EventClock clock, String bootId, RandomGenerator random) {
@@ -80,7 +80,10 @@
     return term == handlingTerm && hasAuthority(clock.now());
   }
 
-  /** The name of the other controller that leads as far as this one knows, or null. */
+  /**
+   * The name of the leader if it is another controller, as last read or received by this one, or
+   * null.
+   */
   String otherLeader() {
     String leader = election.leader();
     return leader == null || leader.equals(services.settings().name()) ? null : leader;
--- a/src/main/java/org/dewreach/controller/LeadershipControl.java
+++ b/src/main/java/org/dewreach/controller/LeadershipControl.java
@@ -1,6 +1,6 @@
 package org.dewreach.controller;
 
-/** The view that a term has of the election, and the ways in which it can end itself. */
+/** The view that a term has of the election, and the ways in which the term can end itself. */
 interface LeadershipControl {
   /** True if the term may act as leader at the given time. */
   boolean hasAuthority(long nowMicros);
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -215,7 +215,7 @@
   /** Handles a heartbeat that this controller received as the leader. */
   void onHeartbeat(long requestId, Heartbeat heartbeat, long nowMicros) {
     // Until the cluster state is loaded, heartbeats are rejected. Guards against lease renewals by
-    // a leader that does not know yet which jobs were cancelled: if an outage of the key-value
+    // a leader that has not read yet which jobs were cancelled: if an outage of the key-value
     // store began at that moment, the renewals would continue for as long as grants do, and so
     // would the tasks of a cancelled job on a machine that had hung.
     if (!loaded() || !control.hasAuthority(nowMicros) || heartbeat.token() > number) {
@@ -279,7 +279,7 @@
     control.onKeyLost();
   }
 
-  /** Ends the term; pending user requests get a response to retry. */
+  /** Ends the term; users with pending requests are told to retry. */
   void close(long nowMicros) {
     if (phase == Phase.CLOSED) {
       return;
--- a/src/main/java/org/dewreach/controller/PeerRequestRouter.java
+++ b/src/main/java/org/dewreach/controller/PeerRequestRouter.java
@@ -40,7 +40,7 @@
     this.stats = stats;
   }
 
-  /** Handles a request. */
+  /** Handles a request of another controller or of an operator. */
   void onRequest(Event.Request request) {
     long requestId = request.requestId();
     switch (request.path()) {
--- a/src/main/java/org/dewreach/controller/TermComponents.java
+++ b/src/main/java/org/dewreach/controller/TermComponents.java
@@ -38,7 +38,7 @@
    * @param durabilityListener notified when a record has become durable
    * @param onImportFailed receives the id of a job that could not be imported
    * @param directReplyListener receives workers' replies to direct commands
-   * @param closed true if the term has ended
+   * @param closed returns true once the term has ended
    */
   record Callbacks(
       DurabilityListener durabilityListener,
--- a/src/main/java/org/dewreach/heartbeat/CommandBatch.java
+++ b/src/main/java/org/dewreach/heartbeat/CommandBatch.java
@@ -8,7 +8,7 @@
 
 /** Collects the commands that one heartbeat requires. */
 final class CommandBatch {
-  /** Keeps a response well within the limit of 64 KiB. */
+  /** Keeps a response well within its limit of 64 KiB. */
   private static final int MAX_COMMANDS = 300;
 
   private final List<WorkerCommand> stops = new ArrayList<>();
@@ -21,8 +21,8 @@
   }
 
   /**
-   * Adds the start of an attempt, followed by its stop: once the worker knows the attempt, a late
-   * copy of its start has no effect.
+   * Adds the start of an attempt, followed by its stop: once the worker has a record of the
+   * attempt, a late copy of its start has no effect.
    */
   void startAndStop(Task task) {
     starts.add(new WorkerCommand.Start(task.name(), task.attempt()));
--- a/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
+++ b/src/main/java/org/dewreach/heartbeat/DirectCommandSender.java
@@ -65,8 +65,8 @@
   /**
    * Creates a sender for one term.
    *
-   * @param maxInFlight the maximum number of commands in flight; further ones wait, for a moment or
-   *     for the machine's next heartbeat
+   * @param maxInFlight the maximum number of commands in flight; further ones wait until one is
+   *     completed or until the machine's next heartbeat
    */
   public DirectCommandSender(
       long term,
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -18,8 +18,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Receives workers' heartbeats: looks up their machines, and separates out late and repeated
- * heartbeats.
+ * Receives workers' heartbeats: looks up their machines, and handles late and repeated heartbeats
+ * separately.
  */
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
--- a/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
+++ b/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
@@ -8,8 +8,8 @@
  * Holds heartbeats that arrive while it is undecided which controller leads.
  *
  * <p>A worker whose heartbeat is rejected tries the next controller a second later; after a failure
- * of all controllers, that delayed workers past their lease expiry. A moment later the heartbeat
- * can be answered, or redirected.
+ * of all controllers, that delayed workers past their lease expiry. Shortly afterwards the
+ * heartbeat can be answered, or redirected.
  */
 public final class PendingHeartbeats {
   /** Well within the 4 s that a worker waits for a response. */
--- a/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
+++ b/src/main/java/org/dewreach/heartbeat/QuarantinePolicy.java
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Clears the failures of a job from its machines: a job that fails everywhere says nothing about
-   * them.
+   * Clears the failures of a job from its machines: a job that fails everywhere is no evidence
+   * against them.
    *
    * <p>Guards against healthy machines that are quarantined, and replaced by newly rented ones,
    * because two jobs with an error of their own ran there.
--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -34,7 +34,7 @@
    */
   private static final long ATTEMPT_CONFLICT_BACKOFF_MICROS = 10_000_000;
 
-  /** The backoff of a job after a worker rejected a start because it does not know the job. */
+  /** The backoff of a job after a worker rejected a start because the job is unknown to it. */
   private static final long UNKNOWN_JOB_BACKOFF_MICROS = 2_000_000;
 
   private final ClusterState clusterState;
--- a/src/main/java/org/dewreach/leadership/ClockDrift.java
+++ b/src/main/java/org/dewreach/leadership/ClockDrift.java
@@ -3,8 +3,8 @@
 /** The bound on how far the clocks of two machines diverge. */
 final class ClockDrift {
   /**
-   * Each clock drifts by up to 0.05%, two clocks diverge by up to 0.1%; doubled as a margin, this
-   * is one part in 500.
+   * Each clock drifts by up to 0.05%, so two clocks diverge by up to 0.1%. Doubled as a margin,
+   * this is one part in 500.
    */
   private static final long DIVISOR = 500;
 
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -63,7 +63,6 @@
   private final Set<String> redirected = new HashSet<>();
 
   private boolean wasLeader;
-
   private Phase phase = Phase.IDLE;
   private long term;
   private long delegatedUntil;
@@ -94,7 +93,7 @@
   /**
    * Requests delegations and probes the key-value store where due; called periodically.
    *
-   * @param leader the leader as far as this controller knows it, or null
+   * @param leader the name of the leader as last read or received by this controller, or null
    */
   public void tick(String leader, long nowMicros) {
     if (leader != null && !leader.equals(self) && nowMicros >= nextRequestAt) {
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Grants a term of another controller that no later term is admitted here for the duration of a
-   * grant; returns false if that is not possible.
+   * Makes a grant to a term of another controller: for its duration, this controller admits no
+   * later term. Returns false if that is not possible.
    */
   public boolean grantTo(long forTerm, long nowMicros) {
     return followerGrants != null
@@ -169,8 +169,8 @@
   }
 
   /**
-   * Steps down so that another controller claims the leader key, which may reach workers that this
-   * one does not.
+   * Steps down so that another controller can claim the leader key, since that controller may reach
+   * workers that this one does not.
    */
   public void handOver(long nowMicros, String reason) {
     if (state == ElectionState.LEADING) {
@@ -179,7 +179,7 @@
     }
   }
 
-  /** True while the leader is not known and may turn out to be this controller. */
+  /** True while it is undecided which controller leads, and it may be this one. */
   public boolean undecided() {
     return switch (state) {
       case FOLLOWING -> lastStoreResponseAt() < 0;
@@ -208,7 +208,7 @@
     }
   }
 
-  /** The latest term that this controller knows. */
+  /** The latest term that this controller has read or received. */
   public long latestTerm() {
     return state == ElectionState.LEADING ? authority.term() : leaderRevision;
   }
--- a/src/main/java/org/dewreach/leadership/FollowerGrants.java
+++ b/src/main/java/org/dewreach/leadership/FollowerGrants.java
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Grants the term that no later term is admitted here for the duration of a grant. Returns false
-   * if a later term is known, or during the startup grace period.
+   * Makes a grant to the term: for its duration, this controller admits no later term. Returns
+   * false if a later term is known, or during the startup grace period.
    */
   public boolean grant(long term, long nowMicros) {
     if (inStartupGrace(nowMicros)
--- a/src/main/java/org/dewreach/leadership/LastHeartbeatTimes.java
+++ b/src/main/java/org/dewreach/leadership/LastHeartbeatTimes.java
@@ -9,9 +9,9 @@
  * The time of the last heartbeat that each worker sent to this controller, whichever controller led
  * at that time.
  *
- * <p>A leader that receives hardly any heartbeats asks the other controllers how many of the silent
- * workers reach them, since a handover helps only if the workers reach another controller. Not
- * thread-safe; runs on the controller's event loop.
+ * <p>A leader that receives hardly any heartbeats queries the other controllers for how many of the
+ * silent workers reach them, since a handover helps only if the workers reach another controller.
+ * Not thread-safe; runs on the controller's event loop.
  */
 public final class LastHeartbeatTimes {
   /** Older heartbeats say nothing about the present reachability of a worker. */
--- a/src/main/java/org/dewreach/leadership/LeaderAuthority.java
+++ b/src/main/java/org/dewreach/leadership/LeaderAuthority.java
@@ -58,7 +58,7 @@
     ACTIVE
   }
 
-  /** What authority is based on. */
+  /** The basis on which the term has authority. */
   private enum Basis {
     /** The term has no authority. */
     NONE,
--- a/src/main/java/org/dewreach/leadership/LeaderClaim.java
+++ b/src/main/java/org/dewreach/leadership/LeaderClaim.java
@@ -15,7 +15,6 @@
  * key.
  */
 final class LeaderClaim {
-
   private static final long REQUEST_TIMEOUT_MICROS = 1_500_000;
 
   private static final long MICROS_PER_MS = 1_000;
--- a/src/main/java/org/dewreach/leadership/LeaderRecord.java
+++ b/src/main/java/org/dewreach/leadership/LeaderRecord.java
@@ -19,7 +19,7 @@
     return Codec.map().put(NAME, name).put(BOOT, bootId);
   }
 
-  /** Decodes a stored value; a missing field becomes an empty text. */
+  /** Decodes a stored value; a missing field becomes an empty string. */
   static LeaderRecord decode(JsonNode value) {
     return new LeaderRecord(value.path(NAME).asText(), value.path(BOOT).asText());
   }
--- a/src/main/java/org/dewreach/leadership/LeaseDelegations.java
+++ b/src/main/java/org/dewreach/leadership/LeaseDelegations.java
@@ -16,12 +16,12 @@
  * allowed to. A controller may renew from {@link DelegateRenewer#ISOLATION_TIMEOUT_MICROS} after
  * its last response from a leader until the delegation in that response ends. Each request repeats
  * the timestamp of the last response that arrived, which proves that the controller was in contact
- * at that time, and states when the controller last renewed a lease as a delegate. For a controller
- * that has not yet proven contact in this term, the leader assumes the longest delegation that an
- * earlier leader can have made before this term gained authority.
+ * at the time of that timestamp, and states when the controller last renewed a lease as a delegate.
+ * For a controller that has not yet proven contact in this term, the leader assumes the longest
+ * delegation that an earlier leader can have made before this term gained authority.
  */
 public final class LeaseDelegations {
-  /** What the leader knows about another controller. */
+  /** The state that the leader keeps about another controller. */
   private static final class PeerState {
     final String zone;
     boolean contactProven;
--- a/src/main/java/org/dewreach/leadership/PeerReachabilityPoller.java
+++ b/src/main/java/org/dewreach/leadership/PeerReachabilityPoller.java
@@ -15,7 +15,8 @@
 import org.dewreach.port.Target;
 
 /**
- * Polls the other controllers for whether the workers that do not reach the leader reach them.
+ * Polls the other controllers to find out whether workers that do not reach the leader reach
+ * another controller.
  *
  * <p>A worker that gets no response from its leader tries the next controller, which redirects it
  * to the leader, and so on. If only the leader is partitioned from the workers, another controller
@@ -24,9 +25,9 @@
 public final class PeerReachabilityPoller {
   /** Summary of the recent responses of the other controllers. */
   public enum Report {
-    /** Some controller has not responded, and the workers reach none of those that have. */
+    /** Some other controller has not responded, and the workers reach none of those that have. */
     INCOMPLETE,
-    /** Every controller has responded that the workers do not reach it either. */
+    /** Every other controller has responded, and the workers reach none of them either. */
     HEARD_NOWHERE,
     /** A considerable part of the workers reach another controller. */
     HEARD_ELSEWHERE
@@ -42,8 +43,8 @@
   private static final int MAX_SAMPLE = 60;
 
   /**
-   * A controller counts as reachable if at least one in this many of the requested machines reach
-   * it; fewer may be chance.
+   * A controller counts as reachable for the workers if at least one in this many of the requested
+   * machines reach it; fewer may be chance.
    */
   private static final int MIN_REACHABLE_DIVISOR = 4;
 
--- a/src/main/java/org/dewreach/membership/CloudReconciler.java
+++ b/src/main/java/org/dewreach/membership/CloudReconciler.java
@@ -23,16 +23,16 @@
  * state lacks, and releases those that have failed or are no longer listed.
  *
  * <p>Without the list, a machine that the cloud removed would be kept until its worker's lease
- * expires, which each new leader measures anew. The list holds for every leader at once. It is not
- * accepted as proof: the machine is released, and its tasks are placed elsewhere once the cloud has
- * confirmed the release or the lease has expired.
+ * expires, which each new leader measures anew. The list is valid for every leader immediately. It
+ * is not accepted as proof: the machine is released, and its tasks are placed elsewhere once the
+ * cloud has confirmed the release or the lease has expired.
  */
 final class CloudReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(CloudReconciler.class);
 
   /**
-   * Listing a large fleet takes several calls of a low call rate, and heartbeats already report
-   * most of the fleet.
+   * Listing a large fleet takes several calls, whose rate is limited to a low value, and heartbeats
+   * already report most of the fleet.
    */
   private static final long MIN_LISTING_INTERVAL_MICROS = 5_000_000;
 
--- a/src/main/java/org/dewreach/membership/FailureDetector.java
+++ b/src/main/java/org/dewreach/membership/FailureDetector.java
@@ -37,7 +37,7 @@
 
   private static final long OVERDUE_MARGIN_MICROS = 500_000;
 
-  /** A worker's clock drifts by at most one part in this many. */
+  /** A worker's clock and this controller's diverge by at most one part in this many. */
   private static final int CLOCK_DRIFT_DIVISOR = 500;
 
   private static final long LEASE_MARGIN_MICROS = 300_000;
--- a/src/main/java/org/dewreach/membership/FleetManager.java
+++ b/src/main/java/org/dewreach/membership/FleetManager.java
@@ -40,7 +40,7 @@
   /**
    * Creates a manager for one term.
    *
-   * @param wallOffsetMicros time of day minus event time
+   * @param wallOffsetMicros wall-clock time minus event time
    */
   public FleetManager(
       long term,
--- a/src/main/java/org/dewreach/membership/HandoverPolicy.java
+++ b/src/main/java/org/dewreach/membership/HandoverPolicy.java
@@ -31,9 +31,11 @@
      * looking for this leader.
      */
     SUSPECTING_PARTITION,
-    /** Another controller receives their heartbeats, or may receive them: it should lead. */
+    /** Another controller receives the workers' heartbeats, or may receive them: it should lead. */
     GIVING_UP_LEAD,
-    /** No other controller is known to receive their heartbeats: a handover would not help. */
+    /**
+     * No other controller is known to receive the workers' heartbeats: a handover would not help.
+     */
     LEADING_ON
   }
 
@@ -80,7 +82,9 @@
       return Phase.REACHING_WORKERS;
     }
     if (!health.nearlyAllUnreachable()) {
-      // Their leases have expired: only heartbeats at another controller justify a handover now.
+      // Leases of these workers have expired, so their tasks can be placed elsewhere: only
+      // heartbeats
+      // that another controller receives justify a handover now.
       return report == PeerReachabilityPoller.Report.HEARD_ELSEWHERE
           ? Phase.GIVING_UP_LEAD
           : Phase.LEADING_ON;
--- a/src/main/java/org/dewreach/membership/MachineCondition.java
+++ b/src/main/java/org/dewreach/membership/MachineCondition.java
@@ -1,6 +1,10 @@
 package org.dewreach.membership;
 
-/** The condition of one machine according to its heartbeats and its lease. */
+/**
+ * The condition of one machine according to its heartbeats and its lease. Unlike {@link
+ * org.dewreach.model.MachinePhase}, which is part of the cluster state, the condition is determined
+ * anew in each round.
+ */
 enum MachineCondition {
   /** Its heartbeats arrive, and it receives the responses. */
   RESPONSIVE,
@@ -8,7 +12,10 @@
   MISSES_RESPONSES,
   /** No heartbeat has arrived for far longer than the interval. */
   SILENT,
-  /** Its worker has restarted with an old incarnation, or is silent while that is being checked. */
+  /**
+   * Its worker has restarted under the same name and lost its state, or is silent while that is
+   * being checked.
+   */
   RESTARTED,
   /** Rented, and still within its boot timeout. */
   BOOTING,
--- a/src/main/java/org/dewreach/membership/MachineDrainer.java
+++ b/src/main/java/org/dewreach/membership/MachineDrainer.java
@@ -16,7 +16,7 @@
  */
 public final class MachineDrainer {
   /**
-   * Run time estimates are often wrong by half, so a task is stopped early only if its estimate
+   * Estimates of run times are often wrong by half, so a task is stopped early only if its estimate
    * exceeds the time left by this factor.
    */
   private static final double ESTIMATE_ERROR_FACTOR = 1.6;
--- a/src/main/java/org/dewreach/membership/StalledRecoveryResolver.java
+++ b/src/main/java/org/dewreach/membership/StalledRecoveryResolver.java
@@ -8,7 +8,7 @@
 
 /**
  * Ends a recovery that has stayed open for too long over several terms: releases the machines that
- * block it, which proves what their silence does not.
+ * block it. A release proves what silence does not: that their tasks are gone.
  *
  * <p>A machine that hangs or is partitioned stays in the cloud's list. Each leader waits for its
  * lease from the start of its own term, so a series of short terms would wait for it forever. A
@@ -33,7 +33,7 @@
     this.recovery = recovery;
     this.fleet = fleet;
     this.durationTracker = durationTracker;
-    // As long as a single leader would have kept them.
+    // As long as a single leader would have kept the machines that block the recovery.
     this.maxOpenMicros =
         settings.workers().leaseMicros() + FailureDetector.LOST_MACHINE_TIMEOUT_MICROS;
   }
@@ -69,8 +69,8 @@
   }
 
   /**
-   * True if the machine is neither being released nor gone. The tracker's list may be slightly out
-   * of date: the cloud's response may have arrived since.
+   * True if the machine still has to be reconciled. The tracker's list may be slightly out of date:
+   * the machine may have been released since.
    */
   private static boolean isAwaitingReconciliation(Machine machine) {
     return machine.phase() == MachinePhase.UNKNOWN || machine.phase() == MachinePhase.UNCONFIRMED;
