--- a/src/main/java/org/dewreach/history/FinalStateWatcher.java
+++ b/src/main/java/org/dewreach/history/FinalStateWatcher.java
@@ -104,7 +104,7 @@
         finalStates.addListed(jobId(entry), finalState);
       }
     }
-    if (page.more() && !finalStates.full()) {
+    if (page.more() && !finalStates.isFull()) {
       schedule(Phase.READ_DUE, nowMicros + REQUEST_PAUSE_MICROS);
     } else {
       LOG.info("final states listed: known={} revision={}", finalStates.size(), revision);
--- a/src/main/java/org/dewreach/history/FinalStates.java
+++ b/src/main/java/org/dewreach/history/FinalStates.java
@@ -54,13 +54,13 @@
 
   /** Adds the state of a job that ended at an unknown time as the oldest one, if there is room. */
   void addListed(String jobId, FinalState finalState) {
-    if (!full()) {
+    if (!isFull()) {
       recent.putAndMoveToFirst(jobId, finalState);
     }
   }
 
   /** True if adding another ended job evicts the oldest one. */
-  boolean full() {
+  boolean isFull() {
     return recent.size() >= MAX_RECENT;
   }
 
--- a/src/main/java/org/dewreach/placement/QueueOrder.java
+++ b/src/main/java/org/dewreach/placement/QueueOrder.java
@@ -188,8 +188,8 @@
    * deadline, or else the objective of its class; -1 if it has neither.
    */
   public long completionTargetMicros(JobSpec spec) {
-    return spec.dueMicros() >= 0
-        ? spec.dueMicros()
+    return spec.deadlineMicros() >= 0
+        ? spec.deadlineMicros()
         : finishWithinMicrosByClass.getOrDefault(spec.jobClass(), -1L);
   }
 
--- a/src/main/java/org/dewreach/port/Outbox.java
+++ b/src/main/java/org/dewreach/port/Outbox.java
@@ -23,7 +23,7 @@
 
   private final Long2ObjectOpenHashMap<ReplyHandler> pendingCalls = new Long2ObjectOpenHashMap<>();
   private final LongSupplier authorityUntil;
-  private List<Effect> outbox = new ArrayList<>();
+  private List<Effect> effects = new ArrayList<>();
   private long lastCallId;
 
   /** Creates an outbox whose effects need no authority. */
@@ -66,7 +66,7 @@
     // Only commands to workers expire: the key-value store fences writes itself, and requests to
     // the cloud do no harm when they are late.
     long notAfter = target instanceof Target.Worker ? authorityUntil.getAsLong() : Effect.NO_EXPIRY;
-    outbox.add(new Effect.Call(callId, target, pool, method, path, body, timeoutMicros, notAfter));
+    effects.add(new Effect.Call(callId, target, pool, method, path, body, timeoutMicros, notAfter));
   }
 
   /** Responds to a request. */
@@ -84,12 +84,12 @@
     // does, and so does 'not found'.
     boolean needsAuthority = status < HttpStatus.BAD_REQUEST || status == HttpStatus.NOT_FOUND;
     long notAfter = needsAuthority ? authorityUntil.getAsLong() : Effect.NO_EXPIRY;
-    outbox.add(new Effect.Respond(requestId, status, body, retryAfterS, notAfter));
+    effects.add(new Effect.Respond(requestId, status, body, retryAfterS, notAfter));
   }
 
   /** Responds to a request, but not after the given time. */
   public void respondUntil(long requestId, int status, JsonNode body, long notAfterMicros) {
-    outbox.add(new Effect.Respond(requestId, status, body, 0, notAfterMicros));
+    effects.add(new Effect.Respond(requestId, status, body, 0, notAfterMicros));
   }
 
   /** Passes the outcome of a call to its handler. */
@@ -107,11 +107,11 @@
 
   /** Removes and returns the effects collected since the last call. */
   public List<Effect> drain() {
-    if (outbox.isEmpty()) {
+    if (effects.isEmpty()) {
       return List.of();
     }
-    List<Effect> effects = outbox;
-    outbox = new ArrayList<>();
-    return effects;
+    List<Effect> drained = effects;
+    effects = new ArrayList<>();
+    return drained;
   }
 }
--- a/src/main/java/org/dewreach/request/CancellationHandler.java
+++ b/src/main/java/org/dewreach/request/CancellationHandler.java
@@ -108,7 +108,7 @@
   }
 
   /** Called once the job's cancellation, or another final state of it, is durable. */
-  void onEndDurable(Job job, JobState jobState) {
+  void onFinalStateDurable(Job job, JobState jobState) {
     awaitingCancellation.respond(job.id(), finalResponse(job.id(), jobState));
   }
 
--- a/src/main/java/org/dewreach/request/JobRequestHandler.java
+++ b/src/main/java/org/dewreach/request/JobRequestHandler.java
@@ -78,7 +78,7 @@
           nowMicros);
     } else if (job.phase() == JobPhase.PERSISTING) {
       responder.respondRetry(RetryReason.BEING_ACCEPTED);
-    } else if (PendingQueries.endIsBeingWritten(job)) {
+    } else if (PendingQueries.isFinalStateBeingWritten(job)) {
       pendingQueries.add(
           job,
           responder,
@@ -144,15 +144,15 @@
 
   /** Called once the job's cancellation is durable. */
   public void onCancelled(Job job) {
-    cancellations.onEndDurable(job, JobState.CANCELLED);
-    pendingQueries.onEndDurable(job.id());
+    cancellations.onFinalStateDurable(job, JobState.CANCELLED);
+    pendingQueries.onFinalStateDurable(job.id());
   }
 
   /** Called once the job's final state is durable. */
   public void onEnded(Job job) {
     finalStates.addEnded(job.id(), new FinalState(job.finalState(), job.doneCount()));
-    cancellations.onEndDurable(job, job.finalState());
-    pendingQueries.onEndDurable(job.id());
+    cancellations.onFinalStateDurable(job, job.finalState());
+    pendingQueries.onFinalStateDurable(job.id());
   }
 
   /** Ends the term: sends a retry response to all waiting users. */
--- a/src/main/java/org/dewreach/request/PendingQueries.java
+++ b/src/main/java/org/dewreach/request/PendingQueries.java
@@ -50,7 +50,7 @@
   }
 
   /** True while a write that ends the job has no outcome. */
-  static boolean endIsBeingWritten(Job job) {
+  static boolean isFinalStateBeingWritten(Job job) {
     return job.phase() == JobPhase.CANCEL_COMMITTING
         || job.phase() == JobPhase.FINALIZING && job.finalState() == JobState.DONE;
   }
@@ -71,13 +71,13 @@
     PendingQuery pending =
         new PendingQuery(job, responder, respondLastDurable, handleAgain, nowMicros);
     if (recordWriter.stalled(nowMicros)) {
-      respondWithoutEnd(pending);
+      respondWithoutFinalState(pending);
     } else {
       pendingByJob.computeIfAbsent(job.id(), id -> new ArrayList<>(1)).add(pending);
     }
   }
 
-  private void respondWithoutEnd(PendingQuery pending) {
+  private void respondWithoutFinalState(PendingQuery pending) {
     if (recordWriter.endInDoubt(pending.job())) {
       pending.responder().respondRetry(RetryReason.END_IN_DOUBT);
     } else {
@@ -94,7 +94,7 @@
           pending -> {
             boolean due = stalled || nowMicros - pending.sinceMicros() > MAX_WAIT_MICROS;
             if (due) {
-              respondWithoutEnd(pending);
+              respondWithoutFinalState(pending);
             }
             return due;
           });
@@ -105,7 +105,7 @@
   }
 
   /** Called once the job's final state is durable. */
-  void onEndDurable(String jobId) {
+  void onFinalStateDurable(String jobId) {
     List<PendingQuery> ofJob = pendingByJob.remove(jobId);
     if (ofJob != null) {
       ofJob.forEach(pending -> pending.handleAgain().run());
--- a/src/main/java/org/dewreach/request/SubmissionHandler.java
+++ b/src/main/java/org/dewreach/request/SubmissionHandler.java
@@ -93,7 +93,7 @@
       UserRequest.Submit submit, Job known, Responder responder, long nowMicros) {
     if (known.phase() == JobPhase.PERSISTING) {
       awaitingAcceptance.add(known.id(), responder);
-    } else if (PendingQueries.endIsBeingWritten(known)) {
+    } else if (PendingQueries.isFinalStateBeingWritten(known)) {
       pendingQueries.add(
           known,
           responder,
--- a/src/main/java/org/dewreach/wire/JobSpec.java
+++ b/src/main/java/org/dewreach/wire/JobSpec.java
@@ -30,7 +30,7 @@
  * @param checkpointIntervalMicros interval at which a task saves a checkpoint, or 0 if it saves
  *     none
  * @param checkpointDurationMicros how long a task takes to save a checkpoint
- * @param dueMicros the deadline for completion, relative to the submission, or -1 for none
+ * @param deadlineMicros the deadline for completion, relative to the submission, or -1 for none
  */
 public record JobSpec(
     String id,
@@ -52,7 +52,7 @@
     long expectedMicros,
     long checkpointIntervalMicros,
     long checkpointDurationMicros,
-    long dueMicros) {
+    long deadlineMicros) {
 
   private static final int MAX_TASKS = 100_000;
 
@@ -152,8 +152,8 @@
     map.put("expected_s", expectedMicros / Fields.MICROS_PER_SECOND)
         .put("mark_every_s", checkpointIntervalMicros / Fields.MICROS_PER_SECOND);
     map.put("mark_cost_s", checkpointDurationMicros / Fields.MICROS_PER_SECOND);
-    if (dueMicros >= 0) {
-      map.put("due_s", dueMicros / Fields.MICROS_PER_SECOND);
+    if (deadlineMicros >= 0) {
+      map.put("due_s", deadlineMicros / Fields.MICROS_PER_SECOND);
     } else {
       map.putNull("due_s");
     }
--- a/src/test/java/org/dewreach/sim/KeyValueStoreFaultCombination.java
+++ b/src/test/java/org/dewreach/sim/KeyValueStoreFaultCombination.java
@@ -74,8 +74,8 @@
   },
 
   /**
-   * Fails without {@code PendingQueries.endIsBeingWritten}. Slow responses of the key-value store
-   * leave time for queries between the write of a final state and its response.
+   * Fails without {@code PendingQueries.isFinalStateBeingWritten}. Slow responses of the key-value
+   * store leave time for queries between the write of a final state and its response.
    */
   CANCELLED_AS_JOB_ENDS {
     @Override
@@ -98,7 +98,8 @@
   },
 
   /**
-   * Fails without {@code PendingQueries.endIsBeingWritten}, which frequent cancellations exercise.
+   * Fails without {@code PendingQueries.isFinalStateBeingWritten}, which frequent cancellations
+   * exercise.
    */
   SLOW_STORE {
     @Override
--- a/src/test/java/org/dewreach/wire/JobSpecTest.java
+++ b/src/test/java/org/dewreach/wire/JobSpecTest.java
@@ -42,7 +42,7 @@
     node.remove("due_s");
     JobSpec spec = JobSpec.parse(node);
     assertEquals(null, spec.types());
-    assertEquals(-1, spec.dueMicros());
+    assertEquals(-1, spec.deadlineMicros());
   }
 
   @ParameterizedTest
