--- a/src/main/java/org/dewreach/history/FinalStateWatcher.java
+++ b/src/main/java/org/dewreach/history/FinalStateWatcher.java
@@ -141,7 +141,7 @@
     try {
       return FinalStateRecord.decode(entry.value());
     } catch (MalformedException e) {
-      LOG.error("final state malformed, ignored: key={} cause=\"{}\"", entry.key(), e.getMessage());
+      LOG.error("record malformed, skipped: key={} cause=\"{}\"", entry.key(), e.getMessage());
       return null;
     }
   }
--- a/src/main/java/org/dewreach/peer/ContactResponse.java
+++ b/src/main/java/org/dewreach/peer/ContactResponse.java
@@ -4,6 +4,6 @@
  * The response to a {@link ContactRequest}.
  *
  * @param reachableMachines how many of the machines sent the responding controller a heartbeat
- *     within that time
+ *     within the requested time
  */
 public record ContactResponse(int reachableMachines) {}
--- a/src/main/java/org/dewreach/peer/DelegationRequest.java
+++ b/src/main/java/org/dewreach/peer/DelegationRequest.java
@@ -1,7 +1,7 @@
 package org.dewreach.peer;
 
 /**
- * Request of a follower to the leader, for permission to renew the leases of the workers in its
+ * A request of a follower to the leader, for permission to renew the leases of the workers in its
  * zone for some time after it loses contact with the leader.
  *
  * @param node the follower's name
@@ -12,6 +12,6 @@
  */
 public record DelegationRequest(
     String node, long uptimeMicros, long sinceRenewalMicros, long echoedTimestampMicros) {
-  /** Stands for no renewal, or no response, so far. */
+  /** The value for a renewal or a response that has not occurred yet. */
   public static final long NONE = -1;
 }
--- a/src/main/java/org/dewreach/peer/DelegationResponse.java
+++ b/src/main/java/org/dewreach/peer/DelegationResponse.java
@@ -4,8 +4,8 @@
  * The leader's response to a {@link DelegationRequest}.
  *
  * @param term the leader's term, or 0 if nothing is delegated
- * @param delegatedMicros for how long from this response on the follower may renew leases, once it
- *     has lost contact
+ * @param delegatedMicros for how long the follower may renew leases once it has lost contact; the
+ *     leader counts from its response, and the follower from its earlier request
  * @param timestampMicros when the leader responded, by its own clock; the next request echoes it
  */
 public record DelegationResponse(long term, long delegatedMicros, long timestampMicros) {
--- a/src/main/java/org/dewreach/peer/GrantRequest.java
+++ b/src/main/java/org/dewreach/peer/GrantRequest.java
@@ -1,8 +1,8 @@
 package org.dewreach.peer;
 
 /**
- * Request of a leader whose lease renewals fail: asks another controller to let no later term act
- * for a while.
+ * A request of a leader whose lease renewals fail: asks another controller to admit no later term
+ * for the duration of a grant.
  *
  * @param term the term that the leader holds
  */
--- a/src/main/java/org/dewreach/peer/GrantResponse.java
+++ b/src/main/java/org/dewreach/peer/GrantResponse.java
@@ -3,6 +3,6 @@
 /**
  * The response to a {@link GrantRequest}.
  *
- * @param granted true if the responding controller lets no later term act while the grant lasts
+ * @param granted true if the responding controller admits no later term while the grant lasts
  */
 public record GrantResponse(boolean granted) {}
--- a/src/main/java/org/dewreach/peer/PeerMessageCodec.java
+++ b/src/main/java/org/dewreach/peer/PeerMessageCodec.java
@@ -159,7 +159,7 @@
         body.path("term").asLong(), body.path("lent").asLong(), body.path("at").asLong());
   }
 
-  /** Encodes a request for how many workers send heartbeats to another controller. */
+  /** Encodes a request for the number of workers that send heartbeats to another controller. */
   public static ObjectNode encode(ContactRequest request) {
     ObjectNode map = Codec.map().put("within", request.maxHeartbeatAgeMicros());
     ArrayNode hosts = map.putArray("hosts");
@@ -167,21 +167,21 @@
     return map;
   }
 
-  /** Decodes a request for how many workers send heartbeats to this controller. */
+  /** Decodes a request for the number of workers that send heartbeats to this controller. */
   public static ContactRequest decodeContactRequest(JsonNode body) {
     List<String> machines = new ArrayList<>();
     body.path("hosts").forEach(machine -> machines.add(machine.asText()));
     return new ContactRequest(machines, body.path("within").asLong(0));
   }
 
-  /** Encodes how many of the workers send heartbeats to this controller. */
+  /** Encodes the number of workers that send heartbeats to this controller. */
   public static ObjectNode encode(ContactResponse response) {
     return Codec.map().put("heard", response.reachableMachines());
   }
 
   /**
-   * Decodes how many of the workers send heartbeats to another controller; empty if it did not
-   * report this.
+   * Decodes the number of workers that send heartbeats to another controller; empty if it did not
+   * report a number.
    *
    * @param httpStatus the status of the call, or 0 if no response came
    * @param body the body of the call's response, or null
--- a/src/main/java/org/dewreach/port/Event.java
+++ b/src/main/java/org/dewreach/port/Event.java
@@ -2,7 +2,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** An input of the core from its environment. Every event is handled at a given time. */
+/**
+ * An input of the core from its environment. Every event is handled at a given time, called event
+ * time, which starts at 0 with the process.
+ */
 public sealed interface Event {
   /** The sender of a request. */
   enum Source {
--- a/src/main/java/org/dewreach/port/Outbox.java
+++ b/src/main/java/org/dewreach/port/Outbox.java
@@ -52,7 +52,9 @@
     call(target, ConnectionPool.GENERAL, method, path, body, timeoutMicros, handler);
   }
 
-  /** Sends a request over connections of the given pool; the handler receives one outcome. */
+  /**
+   * Sends a request over connections of the given pool; the handler receives exactly one outcome.
+   */
   public void call(
       Target target,
       ConnectionPool pool,
--- a/src/main/java/org/dewreach/request/JobLookup.java
+++ b/src/main/java/org/dewreach/request/JobLookup.java
@@ -120,7 +120,7 @@
     try {
       finalState = FinalStateRecord.decode(ended.value());
     } catch (MalformedException e) {
-      LOG.error("final state malformed: job={} cause=\"{}\"", jobId, e.getMessage());
+      LOG.error("record malformed, skipped: key={} cause=\"{}\"", ended.key(), e.getMessage());
       onFailure.accept(RetryReason.RECORD_MALFORMED);
       return;
     }
--- a/src/main/java/org/dewreach/request/JobRequestHandler.java
+++ b/src/main/java/org/dewreach/request/JobRequestHandler.java
@@ -136,7 +136,7 @@
    * Called when a job that was accepted without a leader was not imported.
    *
    * <p>Guards against responses that are never sent: the record that a job is imported from may be
-   * deleted already, and then no further event of that job follows.
+   * deleted already, and then no further event of that job occurs.
    */
   public void onImportFailed(String jobId) {
     submissions.onImportFailed(jobId);
--- a/src/main/java/org/dewreach/request/LeaderForwarder.java
+++ b/src/main/java/org/dewreach/request/LeaderForwarder.java
@@ -38,7 +38,10 @@
    */
   private static final long FORWARDING_PAUSE_MICROS = 500_000;
 
-  /** For this long after such a request, the other controllers are asked for the leader. */
+  /**
+   * For this long after a forwarded request got no reply, or one from a controller that does not
+   * lead, the other controllers are asked for the leader.
+   */
   private static final long LEADER_SUSPECT_MICROS = 3_000_000;
 
   private final Outbox outbox;
@@ -59,8 +62,8 @@
   }
 
   /**
-   * True if the request should not be forwarded now; only for requests that can be served without
-   * the leader.
+   * True if forwarding is paused and the request can be served without the leader, which holds for
+   * all but cancellations.
    */
   public boolean isForwardingPausedFor(UserRequest request, long nowMicros) {
     return !(request instanceof UserRequest.Cancel) && nowMicros < forwardingPausedUntilMicros;
@@ -124,9 +127,10 @@
         return;
       }
     } else {
-      // Not after a 503 from the leader itself. Guards against queries that fail for a while
-      // because the leader could not answer one of them: in an outage of the key-value store it
-      // still has most jobs in memory, and no other controller has any.
+      // Forwarding is paused only here, and continues after a 503 from the leader itself. Guards
+      // against queries that fail for a while because the leader could not respond to one of them:
+      // in an outage of the key-value store it still has most jobs in memory, and no other
+      // controller has any.
       forwardingPausedUntilMicros = nowMicros + FORWARDING_PAUSE_MICROS;
       leaderSuspectUntilMicros = nowMicros + LEADER_SUSPECT_MICROS;
     }
--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -53,7 +53,8 @@
   /**
    * Creates a handler.
    *
-   * @param bootId an id unique to this process; an earlier process of this node has another one
+   * @param bootId an id unique to this process; an earlier process of this controller has another
+   *     one
    * @param clock returns event time
    * @param wallOffsetMicros wall-clock time minus event time
    */
--- a/src/main/java/org/dewreach/request/PendingQueries.java
+++ b/src/main/java/org/dewreach/request/PendingQueries.java
@@ -49,7 +49,7 @@
     this.recordWriter = recordWriter;
   }
 
-  /** True while a write that ends the job has no outcome. */
+  /** True while a write of the job's final state has no outcome. */
   static boolean isFinalStateBeingWritten(Job job) {
     return job.phase() == JobPhase.CANCEL_COMMITTING
         || job.phase() == JobPhase.FINALIZING && job.finalState() == JobState.DONE;
--- a/src/main/java/org/dewreach/request/RetryReason.java
+++ b/src/main/java/org/dewreach/request/RetryReason.java
@@ -10,7 +10,7 @@
   NO_AUTHORITY,
   /** The job is being accepted or imported. */
   BEING_ACCEPTED,
-  /** A write that ends the job may have been applied, but its outcome is not known. */
+  /** A write of the job's final state may have been applied, but its outcome is not known. */
   END_IN_DOUBT,
   /** The response depends on a write, and writes are stalled. */
   WRITES_STALLED,
--- a/src/main/java/org/dewreach/request/StoredJobReader.java
+++ b/src/main/java/org/dewreach/request/StoredJobReader.java
@@ -72,8 +72,8 @@
    * Returns the keys under which a job may be stored, in the order in which to read them. A job
    * moves from the record of a job accepted without a leader to a live record, and from there to a
    * final state, each in one transaction. Most jobs are live, so the live record is read first, and
-   * once more after the leaderless one: this finds every job that existed at the start, even if it
-   * moves between the reads.
+   * once more after the record of a job accepted without a leader: this finds every job that
+   * existed at the start, even if it moves between the reads.
    */
   private static List<String> keysToRead(String jobId) {
     return List.of(
@@ -135,7 +135,7 @@
       boolean ended = entry.key().equals(Keys.finalState(jobId));
       job = ended ? decodeEnded(jobId, entry) : decodeLive(jobId, entry);
     } catch (MalformedException e) {
-      LOG.error("job record malformed: key={} cause=\"{}\"", entry.key(), e.getMessage());
+      LOG.error("record malformed, skipped: key={} cause=\"{}\"", entry.key(), e.getMessage());
       onFailure.accept(RetryReason.RECORD_MALFORMED);
       return;
     }
--- a/src/main/java/org/dewreach/request/UserRequest.java
+++ b/src/main/java/org/dewreach/request/UserRequest.java
@@ -4,7 +4,7 @@
 
 /** A user's request. */
 public sealed interface UserRequest {
-  /** The id of the job that the request is about; null in a submission without a valid id. */
+  /** Returns the id of the requested job, or null in a submission without a valid id. */
   String jobId();
 
   /**
--- a/src/main/java/org/dewreach/request/UserRequestStats.java
+++ b/src/main/java/org/dewreach/request/UserRequestStats.java
@@ -5,8 +5,8 @@
 /**
  * Statistics of users' requests for operators.
  *
- * @param changes submissions and cancellations
- * @param queries queries
+ * @param changes statistics of submissions and cancellations
+ * @param queries statistics of queries
  * @param retries how often users were told to retry, for every reason in the order of the enum
  */
 public record UserRequestStats(
--- a/src/main/java/org/dewreach/store/CommitQueue.java
+++ b/src/main/java/org/dewreach/store/CommitQueue.java
@@ -211,7 +211,7 @@
           writes.size());
       backlog.requeueSeparately(writes);
     } else {
-      // A transaction that the store rejects as malformed would block the queue for ever if
+      // A transaction that the store rejects as malformed would block the queue forever if
       // retried.
       LOG.error(
           "write rejected and dropped: transaction={} cause={} keys=\"{}\"",
--- a/src/main/java/org/dewreach/store/ConditionalWrite.java
+++ b/src/main/java/org/dewreach/store/ConditionalWrite.java
@@ -23,7 +23,7 @@
     DEFERRABLE
   }
 
-  /** How a write ended. */
+  /** The outcome of a write. */
   public enum Outcome {
     /** It is durable, at the revision given. */
     WRITTEN,
--- a/src/main/java/org/dewreach/store/GroupedTransaction.java
+++ b/src/main/java/org/dewreach/store/GroupedTransaction.java
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Returns the key whose value shows whether a copy of the transaction was applied, if it puts
-   * any.
+   * Returns the key whose value shows whether a copy of the transaction was applied; empty if the
+   * transaction only deletes keys.
    */
   Optional<String> firstPutKey() {
     return mutations().stream()
--- a/src/main/java/org/dewreach/store/Keys.java
+++ b/src/main/java/org/dewreach/store/Keys.java
@@ -17,7 +17,7 @@
   /** Prefix of the jobs that were accepted without a leader, until the leader imports them. */
   public static final String LEADERLESS_JOBS = "dw/new/";
 
-  /** Prefix of the final states of jobs, which are kept for ever. */
+  /** Prefix of the final states of jobs, which are kept forever. */
   public static final String FINAL_STATES = "dw/over/";
 
   /** Prefix of the pages that list the machines that were rented or may have received commands. */
--- a/src/main/java/org/dewreach/store/WriteBacklog.java
+++ b/src/main/java/org/dewreach/store/WriteBacklog.java
@@ -11,7 +11,7 @@
  */
 final class WriteBacklog {
   /**
-   * The maximum number of waiting writes. Further writes are refused, and their users told to
+   * The maximum number of waiting writes. Further writes are refused, and their users are told to
    * retry.
    */
   private static final int MAX_WAITING_WRITES = 4_000;
--- a/src/main/java/org/dewreach/wire/DirectCommandRequest.java
+++ b/src/main/java/org/dewreach/wire/DirectCommandRequest.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Commands sent to a worker immediately instead of in the response to its next heartbeat (`POST
- * /do`).
+ * Commands sent to a worker immediately instead of in the response to its next heartbeat ({@code
+ * POST /do}).
  *
  * @param token the fencing token of the leader that sends the commands, which is its term
  * @param incarnation the worker's incarnation; a worker with any other one rejects the commands
--- a/src/main/java/org/dewreach/wire/Fields.java
+++ b/src/main/java/org/dewreach/wire/Fields.java
@@ -52,14 +52,14 @@
   }
 
   /** Returns a required integer between two bounds, both inclusive. */
-  public static long count(JsonNode node, String name, long least, long most)
+  public static long count(JsonNode node, String name, long min, long max)
       throws MalformedException {
     JsonNode value = node.get(name);
     if (value == null || !value.isIntegralNumber() || !value.canConvertToLong()) {
       throw new MalformedException(name, "integer expected");
     }
     long count = value.longValue();
-    if (count < least || count > most) {
+    if (count < min || count > max) {
       throw new MalformedException(name, "out of range");
     }
     return count;
--- a/src/main/java/org/dewreach/wire/Heartbeat.java
+++ b/src/main/java/org/dewreach/wire/Heartbeat.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * A worker's heartbeat (`POST /hello`); the responses to direct commands and to `GET /status` have
- * the same form.
+ * A worker's heartbeat ({@code POST /hello}); the responses to direct commands and to {@code GET
+ * /status} have the same form.
  *
  * @param machine the machine's unique name
  * @param address the address at which the worker receives commands
@@ -45,7 +45,7 @@
     EXITED
   }
 
-  /** Why a task exited. Its text, as in log lines, is the outer name. */
+  /** Why a task exited. Log lines contain {@link #toString}, which follows the wire name. */
   public enum ExitCause {
     /** The task has not exited. */
     NONE("NONE"),
@@ -62,15 +62,15 @@
     /** The worker rejected the start: the job or task does not exist, or was not submitted. */
     JOB_NOT_FOUND("NO_SUCH");
 
-    private final String outerName;
+    private final String logName;
 
-    ExitCause(String outerName) {
-      this.outerName = outerName;
+    ExitCause(String logName) {
+      this.logName = logName;
     }
 
     @Override
     public String toString() {
-      return outerName;
+      return logName;
     }
   }
 
--- a/src/main/java/org/dewreach/wire/ListedMachine.java
+++ b/src/main/java/org/dewreach/wire/ListedMachine.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One entry of the cloud's list of machines (`GET /rentals`). The list is stale, and a list that is
- * read later may describe an earlier time.
+ * One entry of the cloud's list of machines ({@code GET /rentals}). The list lags behind the actual
+ * machines, and a list that is read later may describe an earlier time.
  *
  * @param name the machine's unique name
  * @param address the address at which its worker receives commands; empty while it is not known
--- a/src/main/java/org/dewreach/wire/MachineType.java
+++ b/src/main/java/org/dewreach/wire/MachineType.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * One entry of the cloud's machine type catalog (`GET /catalog`). Prices are per hour.
+ * One entry of the cloud's machine type catalog ({@code GET /catalog}). Prices are per hour.
  *
  * @param name the type's name
  * @param cpus CPUs of a machine
--- a/src/main/java/org/dewreach/wire/MalformedException.java
+++ b/src/main/java/org/dewreach/wire/MalformedException.java
@@ -8,7 +8,7 @@
   private final String problem;
 
   /**
-   * Creates an error of one field.
+   * Creates an exception for one field.
    *
    * @param field the field's name on the wire
    * @param problem what is wrong with it
@@ -23,7 +23,7 @@
     this.problem = problem;
   }
 
-  /** Creates an error of a whole message, or of a whole part of it. */
+  /** Creates an exception for a whole message, or for a whole part of one. */
   public static MalformedException ofMessage(String problem) {
     return new MalformedException(null, problem, problem);
   }
--- a/src/main/java/org/dewreach/wire/UserResponse.java
+++ b/src/main/java/org/dewreach/wire/UserResponse.java
@@ -24,7 +24,7 @@
 
   /**
    * The body of the leader's response, which a follower relays without decoding it: a leader of a
-   * later version may send users fields that this version does not know.
+   * later version may send users fields that this version does not support.
    *
    * @param tree the body as it was received
    */
