--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -24,7 +24,7 @@
 final class LeadershipTerm implements DurabilityListener {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipTerm.class);
 
-  private static final long PROGRESS_INTERVAL_MICROS = 250_000;
+  private static final long JOB_ADVANCE_INTERVAL_MICROS = 250_000;
 
   /** The phases of a term. */
   enum Phase {
@@ -49,7 +49,7 @@
   private Phase phase = Phase.LOADING;
   private boolean hadAuthority;
   private long authoritySince;
-  private long nextProgressAt;
+  private long nextJobAdvanceAt;
 
   /**
    * Creates a term that has not loaded any state yet.
@@ -133,7 +133,7 @@
     if (phase == Phase.RECOVERING) {
       components.stalledRecovery.tick(authoritySince, nowMicros);
     } else {
-      components.recoveryClock.recordFinished(nowMicros);
+      components.durationTracker.recordFinished(nowMicros);
     }
     catalog.saveIfRefreshed(components.queue, nowMicros);
     components.registry.tick(nowMicros);
@@ -148,14 +148,14 @@
       control.handOverLeadership();
       return;
     }
-    if (nowMicros >= nextProgressAt) {
-      nextProgressAt = nowMicros + PROGRESS_INTERVAL_MICROS;
+    if (nowMicros >= nextJobAdvanceAt) {
+      nextJobAdvanceAt = nowMicros + JOB_ADVANCE_INTERVAL_MICROS;
       advanceJobs(nowMicros);
     }
-    reportProgress(nowMicros);
+    tickReporters(nowMicros);
   }
 
-  private void reportProgress(long nowMicros) {
+  private void tickReporters(long nowMicros) {
     List<UnplacedTasks> unplaced = components.placement.unplaced();
     components.reporter.tick(unplaced, nowMicros);
     if (phase == Phase.RECOVERING) {
@@ -215,7 +215,7 @@
   /** Handles a heartbeat that this controller received as the leader. */
   void onHeartbeat(long requestId, Heartbeat heartbeat, long nowMicros) {
     // Until the cluster state is loaded, heartbeats are rejected. Guards against lease renewals by
-    // a leader that does not know yet which jobs were cancelled: if an outage of the key-value
+    // a leader that has not read yet which jobs were cancelled: if an outage of the key-value
     // store began at that moment, the renewals would continue for as long as grants do, and so
     // would the tasks of a cancelled job on a machine that had hung.
     if (!loaded() || !control.hasAuthority(nowMicros) || heartbeat.token() > number) {
@@ -245,7 +245,7 @@
   public void onAccepted(Job job, long nowMicros) {
     LOG.info("job accepted: job={} tasks={}", job.id(), job.spec().tasks());
     if (job.spec().jobKind() == JobKind.SERVICE) {
-      components.clusterState.serviceRate().recordArrival(job.spec(), nowMicros);
+      components.clusterState.serviceArrivalRate().recordArrival(job.spec(), nowMicros);
     }
     components.clusterState.requestPlacement();
     components.requestHandler.onAccepted(job);
@@ -279,14 +279,14 @@
     control.onKeyLost();
   }
 
-  /** Ends the term; pending user requests get a response to retry. */
+  /** Ends the term; users with pending requests are told to retry. */
   void close(long nowMicros) {
     if (phase == Phase.CLOSED) {
       return;
     }
     changePhase(Phase.CLOSED);
     components.loader.close();
-    components.recoveryClock.close();
+    components.durationTracker.close();
     components.jobImporter.close();
     components.fleet.close();
     components.commandSender.close();
--- a/src/main/java/org/dewreach/controller/PeerRequestRouter.java
+++ b/src/main/java/org/dewreach/controller/PeerRequestRouter.java
@@ -40,7 +40,7 @@
     this.stats = stats;
   }
 
-  /** Handles a request. */
+  /** Handles a request of another controller or of an operator. */
   void onRequest(Event.Request request) {
     long requestId = request.requestId();
     switch (request.path()) {
@@ -93,10 +93,11 @@
   }
 
   private void onContactRequest(long requestId, ContactRequest request) {
-    int heard =
+    int reachable =
         lastHeartbeats.countSeenSince(
             request.machines(), clock.now() - request.maxHeartbeatAgeMicros());
-    outbox.respond(requestId, HttpStatus.OK, PeerMessageCodec.encode(new ContactResponse(heard)));
+    outbox.respond(
+        requestId, HttpStatus.OK, PeerMessageCodec.encode(new ContactResponse(reachable)));
   }
 
   private void respond(long requestId, ForwardedReply reply) {
--- a/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
+++ b/src/main/java/org/dewreach/heartbeat/PendingHeartbeats.java
@@ -8,8 +8,8 @@
  * Holds heartbeats that arrive while it is undecided which controller leads.
  *
  * <p>A worker whose heartbeat is rejected tries the next controller a second later; after a failure
- * of all controllers, that delayed workers past their lease expiry. A moment later the heartbeat
- * can be answered, or redirected.
+ * of all controllers, that delayed workers past their lease expiry. Shortly afterwards the
+ * heartbeat can be answered, or redirected.
  */
 public final class PendingHeartbeats {
   /** Well within the 4 s that a worker waits for a response. */
@@ -19,7 +19,7 @@
 
   /** Responds to a heartbeat. */
   @FunctionalInterface
-  public interface Responder {
+  public interface HeartbeatResponder {
     /** Responds to the request that carried the heartbeat. */
     void respond(long requestId, Heartbeat heartbeat);
   }
@@ -57,7 +57,7 @@
    *
    * @param undecided true if it is still undecided which controller leads
    */
-  public void respondToDue(boolean undecided, long nowMicros, Responder responder) {
+  public void respondToDue(boolean undecided, long nowMicros, HeartbeatResponder responder) {
     while (!pending.isEmpty()
         && (!undecided || nowMicros - pending.peek().sinceMicros() >= MAX_WAIT_MICROS)) {
       Pending next = pending.poll();
--- a/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
+++ b/src/main/java/org/dewreach/heartbeat/TaskReconciler.java
@@ -34,7 +34,7 @@
    */
   private static final long ATTEMPT_CONFLICT_BACKOFF_MICROS = 10_000_000;
 
-  /** The backoff of a job after a worker rejected a start because it does not know the job. */
+  /** The backoff of a job after a worker rejected a start because the job is unknown to it. */
   private static final long UNKNOWN_JOB_BACKOFF_MICROS = 2_000_000;
 
   private final ClusterState clusterState;
@@ -179,7 +179,7 @@
     if (task.phase() == TaskPhase.STOPPING) {
       return;
     }
-    task.become(phase(state), nowMicros);
+    task.changePhase(phase(state), nowMicros);
     boolean replicaRuns = state == TaskState.RUNNING && task.spec().jobKind() == JobKind.SERVICE;
     if (replicaRuns && nowMicros - task.startedAt() > REPLICA_HEALTHY_AFTER_MICROS) {
       // A service never completes, so running for a while counts as a success.
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -63,14 +63,13 @@
   private final Set<String> redirected = new HashSet<>();
 
   private boolean wasLeader;
-
   private Phase phase = Phase.IDLE;
   private long term;
   private long delegatedUntil;
   private long lastContactAt;
   private long lastStoreResponseAt = -ISOLATION_TIMEOUT_MICROS;
   private long lastRenewalAt = DelegationRequest.NONE;
-  private long lastResponseMark = DelegationRequest.NONE;
+  private long lastResponseTimestamp = DelegationRequest.NONE;
   private String lastResponder = "";
   private long nextRequestAt;
   private long nextProbeAt;
@@ -94,7 +93,7 @@
   /**
    * Requests delegations and probes the key-value store where due; called periodically.
    *
-   * @param leader the leader as far as this controller knows it, or null
+   * @param leader the name of the leader as last read or received by this controller, or null
    */
   public void tick(String leader, long nowMicros) {
     if (leader != null && !leader.equals(self) && nowMicros >= nextRequestAt) {
@@ -127,7 +126,7 @@
             self,
             nowMicros,
             lastRenewalAt < 0 ? DelegationRequest.NONE : nowMicros - lastRenewalAt,
-            leader.equals(lastResponder) ? lastResponseMark : DelegationRequest.NONE);
+            leader.equals(lastResponder) ? lastResponseTimestamp : DelegationRequest.NONE);
     outbox.call(
         new Target.Member(leader),
         "POST",
@@ -150,7 +149,7 @@
     // less clock drift.
     long delegatedMicros = response.delegatedMicros();
     delegatedUntil = sentAt + delegatedMicros - ClockDrift.maxOver(delegatedMicros);
-    lastResponseMark = response.timestampMicros();
+    lastResponseTimestamp = response.timestampMicros();
     lastResponder = leader;
     recordContact(false, nowMicros);
   }
--- a/src/main/java/org/dewreach/leadership/Election.java
+++ b/src/main/java/org/dewreach/leadership/Election.java
@@ -39,7 +39,7 @@
     void onElected(long nowMicros, long term);
 
     /** The term that this controller led has ended. */
-    void onDeposed(long nowMicros, long term);
+    void onSteppedDown(long nowMicros, long term);
   }
 
   private final String self;
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Grants a term of another controller that no later term is admitted here for the duration of a
-   * grant; returns false if that is not possible.
+   * Makes a grant to a term of another controller: for its duration, this controller admits no
+   * later term. Returns false if that is not possible.
    */
   public boolean grantTo(long forTerm, long nowMicros) {
     return followerGrants != null
@@ -147,7 +147,7 @@
       case LEADING -> authority.tick(followerGrants, nowMicros);
       case WAITING -> {
         if (nowMicros >= claimAt) {
-          openLease(nowMicros);
+          requestLease(nowMicros);
         }
       }
       case FOLLOWING -> {
@@ -169,8 +169,8 @@
   }
 
   /**
-   * Steps down so that another controller claims the leader key, which may reach workers that this
-   * one does not.
+   * Steps down so that another controller can claim the leader key, since that controller may reach
+   * workers that this one does not.
    */
   public void handOver(long nowMicros, String reason) {
     if (state == ElectionState.LEADING) {
@@ -179,7 +179,7 @@
     }
   }
 
-  /** True while the leader is not known and may turn out to be this controller. */
+  /** True while it is undecided which controller leads, and it may be this one. */
   public boolean undecided() {
     return switch (state) {
       case FOLLOWING -> lastStoreResponseAt() < 0;
@@ -208,7 +208,7 @@
     }
   }
 
-  /** The latest term that this controller knows. */
+  /** The latest term that this controller has read or received. */
   public long latestTerm() {
     return state == ElectionState.LEADING ? authority.term() : leaderRevision;
   }
@@ -244,8 +244,8 @@
     leaderKey.watchFrom(entry.revision());
   }
 
-  private void onOwnKey(long nowMicros, String holderBoot, long holderLeaseId, long revision) {
-    if (!holderBoot.equals(bootId)) {
+  private void onOwnKey(long nowMicros, String holderBootId, long holderLeaseId, long revision) {
+    if (!holderBootId.equals(bootId)) {
       // Written by an earlier process of this controller, which has certainly ended.
       LOG.info("revoking the leader lease of an earlier process: lease={}", holderLeaseId);
       revokeOldLease(holderLeaseId);
@@ -289,9 +289,9 @@
     leaderKey.revokeLease(holderLeaseId);
   }
 
-  private void openLease(long nowMicros) {
+  private void requestLease(long nowMicros) {
     changeState(ElectionState.OPENING, "claiming");
-    claim.openLease(
+    claim.requestLease(
         nowMicros,
         (now, result) -> {
           if (result instanceof LeaseGrant) {
@@ -336,6 +336,6 @@
     leader = null;
     changeState(ElectionState.FOLLOWING, reason);
     leaderKey.readAgainAt(nowMicros);
-    listener.onDeposed(nowMicros, authority.term());
+    listener.onSteppedDown(nowMicros, authority.term());
   }
 }
--- a/src/main/java/org/dewreach/leadership/LeaderClaim.java
+++ b/src/main/java/org/dewreach/leadership/LeaderClaim.java
@@ -15,7 +15,6 @@
  * key.
  */
 final class LeaderClaim {
-
   private static final long REQUEST_TIMEOUT_MICROS = 1_500_000;
 
   private static final long MICROS_PER_MS = 1_000;
@@ -38,7 +37,7 @@
   }
 
   /** Requests the lease, whose time to live is counted from now. */
-  void openLease(long nowMicros, ResultHandler<LeaseResult> handler) {
+  void requestLease(long nowMicros, ResultHandler<LeaseResult> handler) {
     store.grantLease(
         LeaderAuthority.LEASE_TTL_MICROS / MICROS_PER_MS,
         REQUEST_TIMEOUT_MICROS,
--- a/src/main/java/org/dewreach/request/CancellationHandler.java
+++ b/src/main/java/org/dewreach/request/CancellationHandler.java
@@ -83,7 +83,7 @@
   }
 
   private void startCancellation(Job job, long nowMicros) {
-    job.become(JobPhase.CANCEL_REQUESTED);
+    job.changePhase(JobPhase.CANCEL_REQUESTED);
     job.cancelRequestedAt(nowMicros);
     // Stops the tasks now rather than with the next heartbeats, and also while writes are stalled:
     // the user gets a response only when the tasks are gone.
@@ -108,7 +108,7 @@
   }
 
   /** Called once the job's cancellation, or another final state of it, is durable. */
-  void onEndDurable(Job job, JobState jobState) {
+  void onFinalStateDurable(Job job, JobState jobState) {
     awaitingCancellation.respond(job.id(), finalResponse(job.id(), jobState));
   }
 
--- a/src/main/java/org/dewreach/state/JobRecordWriter.java
+++ b/src/main/java/org/dewreach/state/JobRecordWriter.java
@@ -29,7 +29,7 @@
    */
   private static final long PROGRESS_INTERVAL_MICROS = 4_000_000;
 
-  /** The number of pending writes from which no progress is written. */
+  /** No progress is written while at least this many writes are pending. */
   private static final int PROGRESS_PENDING_LIMIT = 12;
 
   /** Decides when a cancellation may be made durable. */
@@ -71,7 +71,8 @@
    * Allows final states of jobs that were cancelled in an earlier term.
    *
    * <p>Until every machine has sent a heartbeat, tasks of such a job may still run on some machine.
-   * Its record must be kept until then; otherwise these tasks would not be charged to any team.
+   * Its record must be kept until then; otherwise these tasks would not count against any team's
+   * quota.
    */
   public void allowFinalizingCancelled() {
     mayFinalizeCancelled = true;
@@ -146,7 +147,7 @@
                 job,
                 (now, revision) -> {
                   job.storedState().revision(revision);
-                  job.become(phaseOnceWritten);
+                  job.changePhase(phaseOnceWritten);
                   listener.onAccepted(job, now);
                   writeIfDue(job, now);
                 },
@@ -167,7 +168,7 @@
         if (job.allTasksDone()) {
           writeFinalState(job, nowMicros);
         } else if (cancellationCheck.tasksEndInTime(job, nowMicros)) {
-          job.become(JobPhase.CANCEL_COMMITTING);
+          job.changePhase(JobPhase.CANCEL_COMMITTING);
           job.cancelledAt(nowMicros);
           writeCancellation(job, nowMicros);
         }
@@ -210,7 +211,7 @@
             true,
             Urgency.URGENT,
             now -> {
-              job.become(JobPhase.CANCELLED);
+              job.changePhase(JobPhase.CANCELLED);
               listener.onCancelled(job, now);
               writeIfDue(job, now);
             });
@@ -254,11 +255,11 @@
             onOutcome(
                 job,
                 (now, revision) -> {
-                  job.become(JobPhase.ENDED);
+                  job.changePhase(JobPhase.ENDED);
                   listener.onEnded(job, now);
                 },
                 now -> reportConflict(job, now)));
-    job.become(JobPhase.FINALIZING);
+    job.changePhase(JobPhase.FINALIZING);
     if (!offer(job, new PendingWrite(write, true), nowMicros)) {
       listener.onRecordConflict("write queue full", nowMicros);
     }
