--- a/deploy/operators.lua
+++ b/deploy/operators.lua
@@ -7,7 +7,7 @@
   idle_kept_s = 25,          -- how long a machine without tasks is kept
   least_paid_s = minute - 2, -- releasing a younger machine saves nothing
   work_off_s = minute,       -- pending work without a deadline should complete within this time
-  long_wait_s = minute,      -- after this wait, work for spot machines is given on-demand ones too
+  long_wait_s = minute,      -- with a longer expected wait, spot work also gets on-demand machines
   moved_share = 0.002,       -- share of service replicas' running time that migrations may take
   headroom_spreads = 1.5,    -- free capacity for new services, in square roots of expected arrivals
   lanes = {
--- a/src/main/java/org/dewreach/cli/JobCommands.java
+++ b/src/main/java/org/dewreach/cli/JobCommands.java
@@ -35,10 +35,10 @@
         required = true,
         paramLabel = "IP:PORT",
         description = "Address of a controller or of the load balancer.")
-    private String node;
+    private String controllerAddress;
 
     int send(String method, String path, JsonNode body) {
-      Settings.Address address = address(node);
+      Settings.Address address = parseAddress(controllerAddress);
       if (address == null) {
         return Main.printError("--node: IP:PORT expected", Main.EXIT_USAGE);
       }
@@ -67,7 +67,7 @@
       }
     }
 
-    private static Settings.Address address(String text) {
+    private static Settings.Address parseAddress(String text) {
       int colon = text.lastIndexOf(':');
       try {
         return colon <= 0
--- a/src/main/java/org/dewreach/cli/Main.java
+++ b/src/main/java/org/dewreach/cli/Main.java
@@ -34,10 +34,13 @@
   /** Exit code for a controller that cannot start, or a failed request. */
   static final int EXIT_FAILURE = 1;
 
-  /** Read before other classes are loaded, which takes a while on a small share of a core. */
+  /**
+   * The start of the process. The clock is read before other classes are loaded, which takes a
+   * while on a small share of a core.
+   */
   private static final long STARTED_NANOS = System.nanoTime();
 
-  /** True once the controller runs; its own thread continues after main returns. */
+  /** True once the controller runs; its event loop thread continues after main returns. */
   private static boolean controllerStarted;
 
   @Option(names = "--config", paramLabel = "FILE", description = "Settings file (TOML).")
--- a/src/main/java/org/dewreach/cloud/CloudClient.java
+++ b/src/main/java/org/dewreach/cloud/CloudClient.java
@@ -14,7 +14,10 @@
 public final class CloudClient {
   private static final long TIMEOUT_MICROS = 5_000_000;
 
-  /** Share of the rate limit that the leader uses; followers read the catalog at times. */
+  /**
+   * The share of the rate limit that the leader uses; the rest is for followers, which read the
+   * machine type catalog from time to time.
+   */
   private static final double LEADER_SHARE = 0.9;
 
   /** The number of machines on a page of the list. */
--- a/src/main/java/org/dewreach/cloud/RentalResult.java
+++ b/src/main/java/org/dewreach/cloud/RentalResult.java
@@ -12,7 +12,7 @@
   record Rented(List<String> machines) implements RentalResult {}
 
   /**
-   * No machine was rented, for lack of capacity or because the cloud rejects the request.
+   * No machine was rented, for lack of capacity or because the cloud rejected the request.
    *
    * @param status the HTTP status
    */
--- a/src/main/java/org/dewreach/config/Settings.java
+++ b/src/main/java/org/dewreach/config/Settings.java
@@ -116,12 +116,12 @@
   public record WorkerSettings(
       long heartbeatIntervalMicros, long leaseMicros, long maxCancellationMicros) {
     /**
-     * Longer than most network partitions last; it also bounds the wait for a zone that is lost for
-     * good.
+     * The maximum duration of a delegation: longer than most network partitions last. It also
+     * bounds the wait for a zone that is lost for good.
      */
     private static final long MAX_DELEGATION_MICROS = 30_000_000;
 
-    /** Clock rates differ by at most 1 part in 500. */
+    /** The rates of two clocks differ by at most 1 part in this number. */
     private static final int CLOCK_DRIFT_DIVISOR = 500;
 
     /** The margin for delays: a response in transit, a command, and the granularity of timers. */
@@ -158,7 +158,7 @@
 
   /** Limits of the machine that the controller runs on. */
   public record HostLimits(double cpuShare, double memoryMb, int maxConnections) {
-    /** One in this many connections is for commands to workers. */
+    /** One in this number of connections may be to a worker, to send it commands. */
     private static final int CONNECTIONS_TO_WORKERS_DIVISOR = 8;
 
     private static final int MIN_CONNECTIONS_TO_WORKERS = 8;
--- a/src/main/java/org/dewreach/config/SettingsException.java
+++ b/src/main/java/org/dewreach/config/SettingsException.java
@@ -4,7 +4,7 @@
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Creates an error; the message names the field and what is wrong with it. */
+  /** Creates an exception; the message names the field and what is wrong with it. */
   public SettingsException(String message) {
     super(message);
   }
--- a/src/main/java/org/dewreach/net/ControllerRuntime.java
+++ b/src/main/java/org/dewreach/net/ControllerRuntime.java
@@ -70,7 +70,7 @@
   /**
    * Creates the runtime of a controller.
    *
-   * @param startNanos the start of this process by the monotonic clock, which is time 0 of events
+   * @param startNanos the start of this process by the monotonic clock; event times count from it
    */
   public ControllerRuntime(Settings settings, Tuning tuning, long startNanos) {
     this.settings = settings;
@@ -85,8 +85,8 @@
     this.workerClient =
         new HttpClient(loop, MAX_CALLS_PER_WORKER, settings.hostLimits().connectionsToWorkers());
     long wallMicros = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
-    // Identifies this process among all processes of this node. The wall clock may step back, so
-    // its time alone is not unique.
+    // Distinguishes this process from earlier processes of the same controller. The wall clock may
+    // step back, so its time alone is not unique.
     String boot =
         Long.toString(wallMicros, Character.MAX_RADIX)
             + "-"
@@ -151,8 +151,7 @@
       controller.handle(now(), event).forEach(this::execute);
     } catch (RuntimeException e) {
       // The cluster state may be only partly updated; a new process loads it again from the
-      // key-value
-      // store.
+      // key-value store.
       LOG.error("controller failed, exiting: event={}", event.getClass().getSimpleName(), e);
       Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
     }
--- a/src/main/java/org/dewreach/net/HttpServer.java
+++ b/src/main/java/org/dewreach/net/HttpServer.java
@@ -45,8 +45,8 @@
   private static final int MAX_REQUEST_BODY_BYTES = 64 * 1024;
 
   /**
-   * A connection without a request for this long is closed as dead: users poll about every 5 s, and
-   * workers send heartbeats more often.
+   * A connection on which nothing is received for this long is closed as dead: users poll about
+   * every 5 s, and workers send heartbeats more often.
    */
   private static final int READ_TIMEOUT_S = 90;
 
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Closes the longest idle connection if it was idle for longer than the connection of a live user
-   * or worker is. Returns true if there is room for a new connection.
+   * Closes the connection that has been idle for longest, if that is longer than connections of
+   * live users and workers are ever idle. Returns true if there is room for a new connection.
    *
    * <p>Guards against half-open and idle connections that use up the limit and lock out workers and
    * health checks.
@@ -177,7 +177,7 @@
     return connections < maxConnections;
   }
 
-  /** Aggregates a request, and rejects one that is too long with the status of the protocol. */
+  /** Aggregates the parts of a request, and rejects a request that is too long. */
   private static final class RequestAggregator extends HttpObjectAggregator {
     RequestAggregator() {
       super(MAX_REQUEST_BODY_BYTES);
@@ -185,7 +185,7 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
-      // The protocol specifies 400 (malformed) here, not 413 as is usual in HTTP.
+      // The API specifies 400 (malformed) here, not 413 as is usual in HTTP.
       FullHttpResponse response = response(HttpResponseStatus.BAD_REQUEST, Unpooled.EMPTY_BUFFER);
       response.headers().set(HttpHeaderNames.CONNECTION, "close");
       context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
--- a/src/main/java/org/dewreach/script/ScriptReader.java
+++ b/src/main/java/org/dewreach/script/ScriptReader.java
@@ -53,7 +53,7 @@
 
   private ScriptReader() {}
 
-  /** Stops a script that executes more than {@link #MAX_INSTRUCTIONS}. */
+  /** Stops a script that executes more than {@link #MAX_INSTRUCTIONS} instructions. */
   private static final class InstructionLimiter extends DebugLib {
     private int remaining = MAX_INSTRUCTIONS;
 
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Thrown if a script exceeds its number of instructions. */
+  /** Thrown if a script exceeds {@link #MAX_INSTRUCTIONS}. */
   private static final class InstructionLimitError extends Error {
     private static final long serialVersionUID = 1L;
   }
--- a/src/test/java/org/dewreach/ArchitectureTest.java
+++ b/src/test/java/org/dewreach/ArchitectureTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The allowed dependencies between packages, and the absence of I/O in the core. */
+/** Tests the dependencies between packages, and the absence of I/O in the core packages. */
 class ArchitectureTest {
   private static final Path ROOT = Path.of("src", "main", "java", "org", "dewreach");
   private static final Pattern PROJECT_PACKAGE = Pattern.compile("org\\.dewreach\\.(\\w+)\\.");
--- a/src/test/java/org/dewreach/autoscaling/RefusalBackoffTest.java
+++ b/src/test/java/org/dewreach/autoscaling/RefusalBackoffTest.java
@@ -7,7 +7,7 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** For how long a pool is excluded after a refusal: {@link RefusalBackoff}. */
+/** Tests for how long a machine pool is excluded after a refusal: {@link RefusalBackoff}. */
 class RefusalBackoffTest {
   private static final long SECOND = 1_000_000;
 
--- a/src/test/java/org/dewreach/autoscaling/ScaleOutExecutorTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScaleOutExecutorTest.java
@@ -24,7 +24,7 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** How the outcomes of rental requests are handled: {@link ScaleOutExecutor}. */
+/** Tests how the outcomes of rental requests are handled: {@link ScaleOutExecutor}. */
 class ScaleOutExecutorTest {
   private static final long SECOND = 1_000_000;
   private static final Settings SETTINGS = SettingsFixture.oneController();
--- a/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
+++ b/src/test/java/org/dewreach/autoscaling/ScalingPlannerTest.java
@@ -13,7 +13,7 @@
 import org.dewreach.wire.MachineType;
 import org.junit.jupiter.api.Test;
 
-/** Which machines are rented for unplaced tasks: {@link ScalingPlanner}. */
+/** Tests which machines are rented for unplaced tasks: {@link ScalingPlanner}. */
 class ScalingPlannerTest {
   private static final long AMPLE_SLACK = Long.MAX_VALUE / 4;
 
@@ -96,7 +96,10 @@
         Map.of("b", 1), plan(List.of(requirement(sameZoneJob("req-1", 6))), machines, CHEAP_TYPE));
   }
 
-  /** Guards the job's id in {@code CapacityRequirement.groupKey}. */
+  /**
+   * Guards the job's id in {@code CapacityRequirement.groupKey}: without it, jobs that must each
+   * stay in a zone of their own choice are planned as one group.
+   */
   @Test
   void sameZoneJobsArePlannedSeparately() {
     CapacityRequirement inA =
@@ -121,8 +124,8 @@
   }
 
   /**
-   * Guards {@code SharedZoneSelector.countTasksFittingNow}: a machine that was rented for the job
-   * waits with it for the remaining ones.
+   * Guards {@code SharedZoneSelector.countTasksFittingNow}: the job stays in the zone where a
+   * machine that was rented for it is up already, and waits there for the remaining machines.
    */
   @Test
   void aSameZoneJobPrefersTheZoneWhereSomeOfItsMachinesAreUp() {
--- a/src/test/java/org/dewreach/cloud/CloudCodecTest.java
+++ b/src/test/java/org/dewreach/cloud/CloudCodecTest.java
@@ -11,7 +11,7 @@
 import org.dewreach.wire.ListedMachine;
 import org.junit.jupiter.api.Test;
 
-/** The wire form of the cloud's API: {@link CloudCodec}. */
+/** Tests the wire form of the cloud's API: {@link CloudCodec}. */
 class CloudCodecTest {
   private static ObjectNode error(String text) {
     return Codec.map().put("error", text);
--- a/src/test/java/org/dewreach/config/SettingsReaderTest.java
+++ b/src/test/java/org/dewreach/config/SettingsReaderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Reading of settings files, and the errors of invalid ones. */
+/** Tests reading of settings files, and the error messages for invalid ones. */
 class SettingsReaderTest {
   private static final String VALID =
       """
--- a/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
+++ b/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
@@ -68,7 +68,9 @@
   @Test
   void renewsLeasesOfItsOwnZoneOnlyAndOnlyWhileDelegated() throws MalformedException {
     requestDelegation(100 * SECOND, true);
-    assertFalse(delegateRenewer.tryRenew(heartbeat("m1", "b"), 102 * SECOND), "in contact 2 s ago");
+    assertFalse(
+        delegateRenewer.tryRenew(heartbeat("m1", "b"), 102 * SECOND),
+        "the leader responded 2 s ago");
     assertFalse(delegateRenewer.tryRenew(heartbeat("m1", "a"), 104 * SECOND), "another zone");
     assertTrue(delegateRenewer.tryRenew(heartbeat("m1", "b"), 104 * SECOND));
     assertEquals(HeartbeatResponse.withoutCommands(7), delegateRenewer.heartbeatResponse());
@@ -105,12 +107,12 @@
     delegateRenewer.onLeading(7, 30 * SECOND, 100 * SECOND);
     assertFalse(
         delegateRenewer.tryRenew(heartbeat("m1", "b"), 101 * SECOND),
-        "redirected once, and recorded");
+        "the worker is redirected once, which is recorded");
     assertTrue(
         delegateRenewer.tryRenew(heartbeat("m1", "b"), 112 * SECOND),
-        "has tried the other controllers");
+        "the worker has tried the other controllers");
     assertFalse(
         delegateRenewer.tryRenew(heartbeat("m2", "b"), 112 * SECOND),
-        "has not tried another controller yet");
+        "this worker has not tried another controller yet");
   }
 }
--- a/src/test/java/org/dewreach/leadership/LastHeartbeatTimesTest.java
+++ b/src/test/java/org/dewreach/leadership/LastHeartbeatTimesTest.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests of {@link LastHeartbeatTimes}. */
+/**
+ * Tests which workers count as seen recently by this controller, whichever controller leads: {@link
+ * LastHeartbeatTimes}.
+ */
 class LastHeartbeatTimesTest {
   private static final long SECOND = 1_000_000;
 
--- a/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
+++ b/src/test/java/org/dewreach/leadership/LeaseDelegationsTest.java
@@ -73,7 +73,8 @@
   }
 
   /**
-   * Guards against a request that a network partition delayed: it proves no contact after its mark.
+   * Guards against a request that a network partition delayed: it proves no contact after the
+   * timestamp that it echoes.
    */
   @Test
   void aDelayedRequestProvesNoContact() {
@@ -89,8 +90,8 @@
   }
 
   /**
-   * Guards against a controller whose restart lost the record of leases that it had renewed as a
-   * delegate.
+   * Guards against relying on a controller whose restart lost the record of leases that it had
+   * renewed as a delegate.
    */
   @Test
   void aRestartedControllerMayHaveRenewedBefore() {
--- a/src/test/java/org/dewreach/membership/FailureDetectorTest.java
+++ b/src/test/java/org/dewreach/membership/FailureDetectorTest.java
@@ -144,11 +144,12 @@
     PartitionDetector partition = new PartitionDetector(SETTINGS);
     FleetHealth unreachable = assess(machines("unreachable", 3, 0), 20 * SECOND);
     assertTrue(unreachable.nearlyAllUnreachable());
-    // One other controller: 1.25 s for the last heartbeat, 5 s for the other controller, 1 s
-    // margin.
+    // One other controller: 1.25 s for the last heartbeat, 5 s for the other controller, and a
+    // margin of 1 s.
     partition.onRound(unreachable, 7_250_000);
     partition.onRound(unreachable, 7_250_000);
-    assertFalse(partition.partitionedFromWorkers(), "workers may still be looking for the leader");
+    assertFalse(
+        partition.partitionedFromWorkers(), "workers may still be trying the other controllers");
     partition.onRound(unreachable, 7_250_001);
     assertFalse(partition.partitionedFromWorkers(), "a single round is not enough");
     partition.onRound(unreachable, 8_250_001);
--- a/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
+++ b/src/test/java/org/dewreach/placement/FreeCapacityIndexTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The search with the index returns the same machine as a linear scan of the list. */
+/** Tests that the indexed search returns the same machine as a linear scan of the list. */
 class FreeCapacityIndexTest {
   private static final List<MachineType> TYPES =
       List.of(
--- a/src/test/java/org/dewreach/placement/QueueOrderTest.java
+++ b/src/test/java/org/dewreach/placement/QueueOrderTest.java
@@ -14,7 +14,7 @@
 import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
-/** The order in which waiting jobs are placed: {@link QueueOrder}. */
+/** Tests the order in which waiting jobs are placed: {@link QueueOrder}. */
 class QueueOrderTest {
   private final QueueOrder order =
       new QueueOrder(
--- a/src/test/java/org/dewreach/placement/QuotasTest.java
+++ b/src/test/java/org/dewreach/placement/QuotasTest.java
@@ -8,7 +8,7 @@
 import org.dewreach.wire.JobSpec;
 import org.junit.jupiter.api.Test;
 
-/** How much of a team's quota is left: {@link Quotas}. */
+/** Tests how much of a team's quota is left: {@link Quotas}. */
 class QuotasTest {
   private static final JobSpec SMALL = JobSpecBuilder.array("req-1").build();
   private static final JobSpec LARGE = JobSpecBuilder.array("req-2").resources(2, 1, 1).build();
--- a/src/test/java/org/dewreach/placement/SortFirstFitTest.java
+++ b/src/test/java/org/dewreach/placement/SortFirstFitTest.java
@@ -11,7 +11,7 @@
 import org.dewreach.wire.JobSpec;
 import org.junit.jupiter.api.Test;
 
-/** Which machine is chosen for a task: {@link SortFirstFit}. */
+/** Tests which machine is chosen for a task: {@link SortFirstFit}. */
 class SortFirstFitTest {
   private static Machine machine(String name, double cpus, double memory, double gpus) {
     return ClusterFixture.newUpMachine(name, ClusterFixture.type("t", cpus, memory, gpus), false);
--- a/src/test/java/org/dewreach/request/ConcurrencyLimiterTest.java
+++ b/src/test/java/org/dewreach/request/ConcurrencyLimiterTest.java
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Guards against an outage of another service, which causes 503 responses after long waits,
-   * shrinking the limit.
+   * Guards against a limit that shrinks during an outage of another service, which causes 503
+   * responses after long waits.
    */
   @Test
   void retryResponsesDoNotChangeTheLimit() {
--- a/src/test/java/org/dewreach/scheduling/PreemptionTest.java
+++ b/src/test/java/org/dewreach/scheduling/PreemptionTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which tasks are stopped for tasks of higher priority: {@link Preemption}. */
+/** Tests which tasks are stopped for tasks of higher priority: {@link Preemption}. */
 class PreemptionTest {
   private final ClusterFixture cluster = new ClusterFixture(100, 100);
   private final Preemption preemption = new Preemption(cluster.state());
--- a/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
@@ -14,7 +14,7 @@
 import org.dewreach.wire.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Which tasks are moved off cordoned machines: {@link TaskConsolidator}. */
+/** Tests which tasks are moved off cordoned machines: {@link TaskConsolidator}. */
 class TaskConsolidatorTest {
   private static final long CHECKPOINT_INTERVAL = 30 * SECOND;
   private static final long LONG_RUN = 300 * SECOND;
--- a/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskPlacerTest.java
@@ -20,7 +20,7 @@
 import org.dewreach.wire.TaskName;
 import org.junit.jupiter.api.Test;
 
-/** Which tasks one placement pass places: {@link TaskPlacer}. */
+/** Tests which tasks one placement pass places: {@link TaskPlacer}. */
 class TaskPlacerTest {
   private static final MachineType BOX = ClusterFixture.type("box", 16, 64, 0);
   private static final Map<String, Settings.Team> TEAMS = ClusterFixture.teams(4, 10);
--- a/src/test/java/org/dewreach/script/ScriptReaderTest.java
+++ b/src/test/java/org/dewreach/script/ScriptReaderTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What operators' scripts can set, and the errors of invalid scripts. */
+/** Tests what operators' scripts can set, and the error messages for invalid scripts. */
 class ScriptReaderTest {
   @Test
   void theExampleScriptReturnsTheDefaults() throws Exception {
--- a/src/test/java/org/dewreach/store/CommitQueueTest.java
+++ b/src/test/java/org/dewreach/store/CommitQueueTest.java
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Guards against one write that is always rejected ending the term by causing the other writes of
-   * its transaction to fail.
+   * Guards against a write that is always rejected and ends the term, because the other writes of
+   * its transaction fail with it.
    */
   @Test
   void aRejectedWriteFailsAlone() {
--- a/src/test/java/org/dewreach/testing/ClusterFixture.java
+++ b/src/test/java/org/dewreach/testing/ClusterFixture.java
@@ -44,7 +44,10 @@
     return new MachineType(name, cpus, gpus, memoryGb, 50, 1, 1, 0.3, 5 * SECOND, List.of("a"));
   }
 
-  /** Returns a durably recorded machine without tasks, which is not part of any cluster yet. */
+  /**
+   * Returns a machine without tasks that is durably registered for commands; it is not part of any
+   * cluster yet.
+   */
   public static Machine newMachine(
       String name, MachineType type, boolean spot, MachinePhase phase) {
     Machine machine = new Machine(name, "", type, "a", spot, phase, 0);
--- a/src/test/java/org/dewreach/testing/JobSpecBuilder.java
+++ b/src/test/java/org/dewreach/testing/JobSpecBuilder.java
@@ -34,16 +34,16 @@
   }
 
   /**
-   * Starts an array job of team red: one task that needs 1 CPU for 10 s and may run on spot
-   * machines.
+   * Creates a builder for an array job of team red: one task that needs 1 CPU for 10 s and may run
+   * on spot machines.
    */
   public static JobSpecBuilder array(String id) {
     return new JobSpecBuilder(id, JobKind.ARRAY);
   }
 
   /**
-   * Starts a service of team red with high priority: one replica that needs 1 CPU and runs on
-   * on-demand machines only.
+   * Creates a builder for a service of team red with high priority: one replica that needs 1 CPU
+   * and runs on on-demand machines only.
    */
   public static JobSpecBuilder service(String id) {
     return new JobSpecBuilder(id, JobKind.SERVICE)
--- a/src/test/java/org/dewreach/wire/CodecTest.java
+++ b/src/test/java/org/dewreach/wire/CodecTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Decoded bodies can be forwarded to another controller and stored in the key-value store. */
+/**
+ * Tests that decoded bodies can be forwarded to another controller and stored in the key-value
+ * store.
+ */
 class CodecTest {
   private static final ObjectMapper CBOR = new ObjectMapper(new CBORFactory());
 
@@ -27,8 +30,7 @@
   @ValueSource(
       strings = {
         // {"x": -2^64}, {"x": 2^72}, {"x": [1e100000000]}, {"x": unpaired surrogate}, and an
-        // unpaired
-        // surrogate as a field name
+        // unpaired surrogate as a field name
         "a161783bffffffffffffffff",
         "a16178c249010000000000000000",
         "a1617881c4821a05f5e10001",
--- a/src/test/java/org/dewreach/wire/HeartbeatTest.java
+++ b/src/test/java/org/dewreach/wire/HeartbeatTest.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.api.Test;
 
-/** Parsing of heartbeats: {@link Heartbeat}. */
+/** Tests the parsing of heartbeats: {@link Heartbeat}. */
 class HeartbeatTest {
   private static ObjectNode heartbeat() {
     ObjectNode body =
--- a/src/test/java/org/dewreach/wire/JobSpecTest.java
+++ b/src/test/java/org/dewreach/wire/JobSpecTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Malformed submissions are rejected, and valid ones are read completely. */
+/** Tests that malformed submissions are rejected, and valid ones are read completely. */
 class JobSpecTest {
   private static final ObjectMapper JSON = new ObjectMapper();
 
--- a/src/test/java/org/dewreach/wire/MalformedExceptionTest.java
+++ b/src/test/java/org/dewreach/wire/MalformedExceptionTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The error texts for malformed messages, in responses to users and in logs. */
+/** Tests the error texts for malformed messages, in responses to users and in logs. */
 class MalformedExceptionTest {
   @Test
   void theMessageNamesTheFieldAndTheProblem() {
--- a/src/test/java/org/dewreach/wire/UserResponseCodecTest.java
+++ b/src/test/java/org/dewreach/wire/UserResponseCodecTest.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.api.Test;
 
-/** The bodies of responses to users, including the order of their fields. */
+/** Tests the bodies of responses to users, including the order of their fields. */
 class UserResponseCodecTest {
   private static String encoded(UserResponse response) {
     return UserResponseCodec.encode(response.body()).toString();
--- a/src/test/java/org/dewreach/wire/WorkerCommandTest.java
+++ b/src/test/java/org/dewreach/wire/WorkerCommandTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The wire form of messages with commands to workers. */
+/** Tests the wire form of messages with commands to workers. */
 class WorkerCommandTest {
   private static final TaskName TASK = new TaskName("req-000001", 3);
   private static final List<WorkerCommand> COMMANDS =
