--- a/src/test/java/org/dewreach/sim/Clock.java
+++ b/src/test/java/org/dewreach/sim/Clock.java
@@ -7,7 +7,6 @@
   /** One second, in microseconds. */
   static final long SECOND = 1_000_000;
 
-  /** A scheduled action; actions of the same time run in the order in which they were added. */
   /** A scheduled action; actions of the same time run in the order in which they were added. */
   private record Entry(long at, long order, Runnable action) implements Comparable<Entry> {
     @Override
@@ -25,13 +24,11 @@
     return now;
   }
 
-  /** Schedules an action at a time; a time in the past means now. */
   /** Schedules an action at a time; a time in the past means now. */
   void at(long micros, Runnable action) {
     queue.add(new Entry(Math.max(now, micros), order++, action));
   }
 
-  /** Schedules an action after a delay. */
   /** Schedules an action after a delay. */
   void in(long micros, Runnable action) {
     at(now + micros, action);
--- a/src/test/java/org/dewreach/sim/ClusterFaults.java
+++ b/src/test/java/org/dewreach/sim/ClusterFaults.java
@@ -8,7 +8,6 @@
  * and processes.
  */
 final class ClusterFaults {
-  /** The key-value store, the cloud and the users, by their names in the network. */
   /** The key-value store, the cloud and the users, by their names in the network. */
   private static final List<String> EXTERNAL_HOSTS = List.of("state", "cloud", "user");
 
--- a/src/test/java/org/dewreach/sim/ControllerProcess.java
+++ b/src/test/java/org/dewreach/sim/ControllerProcess.java
@@ -20,21 +20,18 @@
   /** The rate of its monotonic clock relative to simulated time. */
   double drift;
 
-  /** The number of times that the process was started. */
   /** The number of times that the process was started. */
   int boots;
 
   /** The end of the time in which the process is slow. */
   private long slowUntil;
 
-  /** The delay of each event that the process handles while it is slow. */
   /** The delay of each event that the process handles while it is slow. */
   private long slowdown;
 
   /** The duration of a freeze that begins in the middle of the next event; 0 for none. */
   private long freezeAtEventMicros;
 
-  /** The same for a freeze in the middle of the next user request. */
   /** The same for a freeze in the middle of the next user request. */
   private long freezeAtUserRequestMicros;
 
@@ -73,7 +70,6 @@
     return (long) ((nowMicros - startedAt) * drift);
   }
 
-  /** Delays each event that the process handles until the given time. */
   /** Delays each event that the process handles until the given time. */
   void slow(long untilMicros, long byMicros) {
     slowUntil = untilMicros;
