--- a/src/test/java/org/dewreach/config/SettingsReaderTest.java
+++ b/src/test/java/org/dewreach/config/SettingsReaderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Reading of settings files, and the errors of invalid ones. */
+/** Tests reading of settings files, and the error messages for invalid ones. */
 class SettingsReaderTest {
   private static final String VALID =
       """
@@ -57,7 +57,7 @@
     Settings settings = SettingsReader.parse(VALID);
     assertEquals(2_500_000, settings.workers().heartbeatIntervalMicros());
     assertEquals(8081, settings.members().get(0).address().port());
-    assertTrue(Double.isInfinite(settings.teams().get("red").cpusMax()), "0 means none");
+    assertTrue(Double.isInfinite(settings.teams().get("red").cpuQuota()), "0 means none");
   }
 
   @Test
--- a/src/test/java/org/dewreach/sim/BadInputTest.java
+++ b/src/test/java/org/dewreach/sim/BadInputTest.java
@@ -50,14 +50,15 @@
       String leader = simulation.controllers.leader();
       String follower = simulation.controllers.follower();
       if (inOutage()) {
-        simulation.state.outage(200 * SECOND);
+        simulation.store.outage(200 * SECOND);
       }
       if (this == FOLLOWER_WITHOUT_LEADER) {
         simulation.network.refuse(follower, leader, Long.MAX_VALUE);
       } else if (this == NO_LEADER) {
         simulation.controllers.crash(leader, 30 * SECOND);
       } else if (this == NO_LEADER_IN_OUTAGE) {
-        Simulation.CONTROLLERS.forEach(node -> simulation.controllers.crash(node, 100_000));
+        Simulation.CONTROLLERS.forEach(
+            controller -> simulation.controllers.crash(controller, 100_000));
         simulation.runUntil(simulation.clock.now() + 3 * SECOND);
       } else if (inOutage()) {
         // Longer than the lease of the leader key.
@@ -135,26 +136,32 @@
   /** Sends requests at a fixed interval and collects the responses that were not expected. */
   private static final class RequestBatch {
     /**
-     * Keeps the reads of a controller without a leader below the rate limit of the key-value store.
+     * The interval between requests; keeps the reads of a controller without a leader below the
+     * rate limit of the key-value store.
      */
     static final long INTERVAL_MICROS = 100_000;
 
-    /** Limits the duration of the batch to less than the time without a leader. */
+    /**
+     * The maximum number of sampled requests, so that they end before the next leader is elected.
+     */
     static final int MAX_REQUESTS_WITHOUT_LEADER = 20;
 
     final Simulation simulation;
-    final String node;
+    final String controller;
+
+    /** True if only every eleventh request is sent, up to the maximum without a leader. */
     final boolean sampled;
+
     final List<String> mismatches = new ArrayList<>();
     int generated;
     int sent;
     int answered;
-    int toldToRetry;
+    int retryResponses;
 
-    RequestBatch(Simulation simulation, String node, boolean sampled) {
+    RequestBatch(Simulation simulation, String controller, boolean sampled) {
       this.sampled = sampled;
       this.simulation = simulation;
-      this.node = node;
+      this.controller = controller;
     }
 
     /** Schedules a request; a 503 response is accepted only if {@code retryAllowed}. */
@@ -176,7 +183,7 @@
           () ->
               simulation.controllers.send(
                   "user",
-                  node,
+                  controller,
                   method,
                   path,
                   body,
@@ -184,7 +191,7 @@
                     answered++;
                     String jobState = response == null ? "" : response.path("standing").asText();
                     if (actual == 503 && retryAllowed) {
-                      toldToRetry++;
+                      retryResponses++;
                     } else if (actual != status || status == 200 && !jobStates.contains(jobState)) {
                       mismatches.add(description + ": " + actual + " " + response);
                     }
@@ -203,16 +210,17 @@
    */
   @ParameterizedTest
   @EnumSource(Situation.class)
-  @DisplayName("Every controller answers bad input, with or without a leader, and in an outage")
+  @DisplayName(
+      "Every controller answers invalid requests, with or without a leader, and in an outage")
   void badInput(Situation situation) {
     Simulation simulation = new Simulation(5);
     simulation.runUntil(10 * SECOND);
-    String node = Simulation.CONTROLLERS.get(0);
-    simulation.users.submitNewOnce(job(ACTIVE, JobKind.SERVICE, 0), node);
-    simulation.users.submitNewOnce(job(DONE, JobKind.ARRAY, SECOND), node);
+    String controller = Simulation.CONTROLLERS.get(0);
+    simulation.users.submitNewOnce(job(ACTIVE, JobKind.SERVICE, 0), controller);
+    simulation.users.submitNewOnce(job(DONE, JobKind.ARRAY, SECOND), controller);
     simulation.runUntil(130 * SECOND);
-    simulation.requests.queryOnce(ACTIVE, node);
-    simulation.requests.queryOnce(DONE, node);
+    simulation.requests.queryOnce(ACTIVE, controller);
+    simulation.requests.queryOnce(DONE, controller);
     simulation.runUntil(131 * SECOND);
     assertTrue(simulation.checker.accepted(ACTIVE), "the job was not accepted");
     assertEquals("done", simulation.checker.reportedFinalState(DONE));
@@ -230,7 +238,8 @@
     assertEquals(0, simulation.delivery.responses503WithoutRetryAfter);
     assertNoViolations(simulation);
     assertTrue(
-        situation.inOutage() || requests.toldToRetry == 0, requests.toldToRetry + " told to retry");
+        situation.inOutage() || requests.retryResponses == 0,
+        requests.retryResponses + " responses asked the user to retry outside of an outage");
   }
 
   private static void sendAll(RequestBatch requests, Situation situation) {
--- a/src/test/java/org/dewreach/sim/CancellationTest.java
+++ b/src/test/java/org/dewreach/sim/CancellationTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Responses to cancellations and submissions that cannot be stored or carried out at present. */
+/** Checks the responses to cancellations and submissions that cannot be stored or executed yet. */
 class CancellationTest {
   /** Sends a request; returns a list that receives the status of the response. */
   private static List<Integer> send(
-      Simulation simulation, String node, String path, JsonNode body) {
+      Simulation simulation, String controller, String path, JsonNode body) {
     List<Integer> statuses = new ArrayList<>();
     simulation.controllers.send(
-        "user", node, "POST", path, body, (status, response) -> statuses.add(status));
+        "user", controller, "POST", path, body, (status, response) -> statuses.add(status));
     return statuses;
   }
 
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Guards against tasks that run on until a cancellation can be written: {@code
-   * CancellationHandler.startCancellation} sends the stops before.
+   * Guards against tasks that keep running until their cancellation can be written: {@code
+   * CancellationHandler.startCancellation} sends the stop commands before the write.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
@@ -43,7 +43,7 @@
       "In an outage a cancellation stops the tasks, and the user gets a 503 response at once")
   void tasksStopDuringOutage(long seed) {
     Simulation simulation = busyCluster(seed, 60 * SECOND, 1_500_000, 60 * SECOND);
-    simulation.state.outage(35 * SECOND);
+    simulation.store.outage(35 * SECOND);
     simulation.runUntil(64 * SECOND);
     List<String> ids = runningJobs(simulation);
     assertTrue(ids.size() >= 3, "too few running jobs: " + ids);
@@ -69,7 +69,7 @@
   }
 
   /**
-   * Guards against responses that are delayed until the state service is back, as happens without
+   * Guards against responses that are delayed until the key-value store is back, as happens without
    * {@code JobRequestHandler.tick}.
    */
   @ParameterizedTest(name = "seed {0}")
@@ -80,7 +80,7 @@
     String leader = simulation.controllers.leader();
     List<String> ids = runningJobs(simulation);
     assertTrue(!ids.isEmpty(), "no job runs");
-    simulation.state.outage(20 * SECOND);
+    simulation.store.outage(20 * SECOND);
     List<Integer> submitted =
         send(
             simulation,
@@ -133,7 +133,7 @@
       simulation.clock.at((10 + i) * SECOND, () -> simulation.users.submitLongJob(2, 200 * SECOND));
     }
     runUntilSettled(simulation, 40 * SECOND);
-    // Crashes n2 until the leader is outside zone b.
+    // Crashes n2, the controller of zone b, until another controller leads.
     while (simulation.controllers.leader() == null
         || Simulation.zoneOf(simulation.controllers.leader()).equals("b")) {
       simulation.controllers.crash("n2", 5 * SECOND);
--- a/src/test/java/org/dewreach/sim/ControllerProcess.java
+++ b/src/test/java/org/dewreach/sim/ControllerProcess.java
@@ -18,24 +18,21 @@
   long startedAt;
 
   /** The rate of its monotonic clock relative to simulated time. */
-  double drift;
+  double clockRate;
 
-  /** The number of times that the process was started. */
   /** The number of times that the process was started. */
   int boots;
 
   /** The end of the time in which the process is slow. */
   private long slowUntil;
 
-  /** The delay of each event that the process handles while it is slow. */
   /** The delay of each event that the process handles while it is slow. */
   private long slowdown;
 
   /** The duration of a freeze that begins in the middle of the next event; 0 for none. */
   private long freezeAtEventMicros;
 
-  /** The same for a freeze in the middle of the next user request. */
-  /** The same for a freeze in the middle of the next user request. */
+  /** The duration of a freeze that begins in the middle of the next user request; 0 for none. */
   private long freezeAtUserRequestMicros;
 
   long frozenUntil;
@@ -70,11 +67,10 @@
   }
 
   long monotonicMicros(long nowMicros) {
-    return (long) ((nowMicros - startedAt) * drift);
+    return (long) ((nowMicros - startedAt) * clockRate);
   }
 
-  /** Delays each event that the process handles until the given time. */
-  /** Delays each event that the process handles until the given time. */
+  /** Delays each event that the process handles before the given time. */
   void slow(long untilMicros, long byMicros) {
     slowUntil = untilMicros;
     slowdown = byMicros;
--- a/src/test/java/org/dewreach/sim/LeaderFailureTest.java
+++ b/src/test/java/org/dewreach/sim/LeaderFailureTest.java
@@ -16,16 +16,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Leaders that crash, freeze, restart or lose the state service; each case runs with seeds. */
+/** Leaders that crash, freeze, restart or lose the key-value store; each case runs with seeds. */
 class LeaderFailureTest {
   /** Guards against lease expiry on workers in an outage that is longer than a lease. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
-  @DisplayName("Workers keep their tasks through an outage of the state service")
+  @DisplayName("Workers keep their tasks through an outage of the key-value store")
   void outageLongerThanLeases(long seed) {
     Simulation simulation = busyCluster(seed, 150 * SECOND, 3 * SECOND, 60 * SECOND);
     String leader = simulation.controllers.leader();
-    simulation.state.outage(30 * SECOND);
+    simulation.store.outage(30 * SECOND);
     simulation.runUntil(92 * SECOND);
     assertEquals(0, simulation.expiredWorkerLeases);
     assertEquals(leader, simulation.controllers.leader(), "the same leader keeps the lead");
@@ -34,16 +34,16 @@
   }
 
   /**
-   * Guards against two terms at once when the state service rejects requests of the leader only.
+   * Guards against two terms at once when the key-value store rejects requests of the leader only.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
   @DisplayName(
-      "A leader whose requests the state service rejects is replaced by another controller")
-  void stateServiceRefusesLeader(long seed) {
+      "A leader whose requests the key-value store rejects is replaced by another controller")
+  void storeRejectsLeaderRequests(long seed) {
     Simulation simulation = busyCluster(seed, 150 * SECOND, 3 * SECOND, 60 * SECOND);
     String leader = simulation.controllers.leader();
-    simulation.state.refuse(leader, 90 * SECOND);
+    simulation.store.refuse(leader, 90 * SECOND);
     simulation.runUntil(75 * SECOND);
     assertFailover(simulation, leader);
     simulation.runUntil(320 * SECOND);
@@ -62,7 +62,7 @@
     simulation.runUntil(9 * SECOND);
     simulation.controllers.crash(simulation.controllers.leader(), 3 * SECOND);
     simulation.runUntil(26 * SECOND);
-    assertEquals(0, simulation.cloud.returnedWhileBooting);
+    assertEquals(0, simulation.cloud.releasedWhileBooting);
     simulation.runUntil(200 * SECOND);
     assertNoViolations(simulation);
     assertTrue(simulation.checker.taskCompletions > 0, "no task completed");
@@ -70,10 +70,11 @@
 
   /**
    * Guards against a leader that responds with an older job state than another controller has
-   * already reported; found with seed 1003 of the random scenarios.
+   * already reported; found with seed 1003 of the runs with random faults.
+   *
+   * <p>With these seeds no other write of the leader is in flight at that time: its response would
+   * be delayed too, and the cancellations would wait behind it.
    */
-  // With these seeds no other write of the leader is in flight at that time: its response would be
-  // delayed too, and the cancellations would wait behind it.
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {4, 5, 8, 9, 10, 13})
   @DisplayName("A leader whose write of a final state is unconfirmed reports no older state")
@@ -83,13 +84,15 @@
     String other = simulation.controllers.follower();
     List<String> open = simulation.users.openJobs();
     assertTrue(!open.isEmpty(), "no job is open");
-    // Delays responses of the state service to the leader; another controller serves without it.
+    // Delays responses of the key-value store to the leader; another controller serves without the
+    // leader.
     simulation.network.cut("state", leader, 62 * SECOND, true);
     simulation.network.refuse(other, leader, 70 * SECOND);
     open.forEach(id -> simulation.requests.cancelOnce(id, leader));
-    // Waits until the first cancellation is durable, which takes the stops of its tasks and a pass.
+    // Waits until the first cancellation is durable, after its tasks were stopped and a pass of the
+    // scheduler ran.
     while (simulation.clock.now() < 61 * SECOND
-        && open.stream().noneMatch(id -> cancelled(simulation.state.keys.get(Keys.job(id))))) {
+        && open.stream().noneMatch(id -> cancelled(simulation.store.keys.get(Keys.job(id))))) {
       simulation.runUntil(simulation.clock.now() + 20_000);
     }
     open.forEach(id -> simulation.requests.queryOnce(id, other));
@@ -132,7 +135,7 @@
 
   /**
    * Guards against a restarted controller that is blocked by its own leader key or lease in the
-   * state service, or that has forgotten the grants it gave.
+   * key-value store, or that has forgotten the grants it gave.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
@@ -146,9 +149,10 @@
           at * SECOND,
           () -> {
             String leader = simulation.controllers.leader();
-            for (String node : Simulation.CONTROLLERS) {
-              if (all || node.equals(leader)) {
-                simulation.controllers.crash(node, 20_000 + simulation.random.nextInt(500_000));
+            for (String controller : Simulation.CONTROLLERS) {
+              if (all || controller.equals(leader)) {
+                simulation.controllers.crash(
+                    controller, 20_000 + simulation.random.nextInt(500_000));
               }
             }
           });
--- a/src/test/java/org/dewreach/sim/LivenessChecker.java
+++ b/src/test/java/org/dewreach/sim/LivenessChecker.java
@@ -38,12 +38,13 @@
 
   /** Checks that after the end of the faults queries about the job succeed. */
   void checkAnswered(String id, JobObservation job) {
-    long unanswered = Math.max(checker.faultsEndAt, Math.max(job.acceptedAt, job.lastResponseAt));
+    long unansweredSince =
+        Math.max(checker.faultsEndAt, Math.max(job.acceptedAt, job.lastResponseAt));
     if (job.accepted
         && job.requestedSinceResponse
-        && clock.now() - unanswered > UNANSWERED_LIMIT_MICROS) {
+        && clock.now() - unansweredSince > UNANSWERED_LIMIT_MICROS) {
       checker.addViolation(
-          "forgotten", id + ": no successful query since " + unanswered / 1000 + " ms");
+          "forgotten", id + ": no successful query since " + unansweredSince / 1000 + " ms");
       job.lastResponseAt = clock.now();
     }
   }
@@ -124,7 +125,7 @@
       return false;
     }
     String team = job.spec.team();
-    double left = settings.teams().get(team).cpusMax() - used.getOrDefault(team, 0.0);
+    double left = settings.teams().get(team).cpuQuota() - used.getOrDefault(team, 0.0);
     return left >= job.spec.cpus();
   }
 
--- a/src/test/java/org/dewreach/sim/SimKeyValueStore.java
+++ b/src/test/java/org/dewreach/sim/SimKeyValueStore.java
@@ -224,7 +224,7 @@
     watch.reply().send(200, body);
   }
 
-  /** Counts requests; false if this second's rate and a burst of another second are used up. */
+  /** Counts requests; false if they exceed this second's rate plus a burst of another second. */
   private boolean withinRateLimit(Map<Long, Integer> counts, int more, double perSecond) {
     long second = clock.now() / 1_000_000;
     return counts.merge(second, more, Integer::sum) <= 2 * perSecond;
@@ -236,10 +236,10 @@
       long delay = 100_000 + random.nextInt(1_400_000);
       reply = (status, found) -> clock.in(delay, () -> receiver.send(status, found));
     }
-    boolean served = withinRateLimit(requestsPerSecond, 1, size.stateRps());
+    boolean served = withinRateLimit(requestsPerSecond, 1, size.storeRps());
     served &=
         withinRateLimit(
-            mutationsPerSecond, body == null ? 0 : body.path("then").size(), size.writeRps());
+            mutationsPerSecond, body == null ? 0 : body.path("then").size(), size.storeWriteRps());
     if (!served) {
       rateLimitedRequests++;
       reply.send(429, null);
--- a/src/test/java/org/dewreach/sim/SimUsers.java
+++ b/src/test/java/org/dewreach/sim/SimUsers.java
@@ -32,9 +32,7 @@
   /** The time for which each task of a failing job runs before it fails, by job id. */
   final Map<String, Long> failsAfterMicros = new HashMap<>();
 
-  /**
-   * True if users submit more small arrays than the cluster has capacity for, and a few large ones.
-   */
+  /** True if random jobs exceed the cluster's capacity: many small arrays and a few large ones. */
   boolean overload;
 
   SimUsers(Simulation simulation) {
@@ -105,7 +103,7 @@
 
   /** Submits a random job; its user may cancel it later, and resubmit it. */
   void submitRandomJob() {
-    JobSpec spec = drawJob();
+    JobSpec spec = newRandomJob();
     submitJob(spec);
     if (spec.jobKind() == JobKind.SERVICE || !overload && random.nextInt(5) == 0) {
       cancelIn(2_000_000 + random.nextInt(60_000_000), spec.id());
@@ -116,7 +114,7 @@
   }
 
   /** Returns a random job with an unused id. */
-  JobSpec drawJob() {
+  JobSpec newRandomJob() {
     String id;
     do {
       id = String.format("req-%06d", random.nextInt(1_000_000));
@@ -147,7 +145,7 @@
       case 1 -> cancelIn(random.nextInt(2_000_000), id);
       case 2 -> cancelledAtEnd.add(id);
       default -> {
-        // runs until it ends
+        // The job is not cancelled.
       }
     }
   }
@@ -199,7 +197,7 @@
     if (clock.now() < cancelAsJobsEndUntil && random.nextInt(1000) < cancelAsJobsEndShare) {
       int spread = random.nextBoolean() ? 1_000 : 700_000;
       cancelIn(random.nextInt(spread), id);
-      clock.in(random.nextInt(spread), () -> requests.queryOnce(id, requests.anyController()));
+      clock.in(random.nextInt(spread), () -> requests.queryOnce(id, requests.randomController()));
       clock.in(random.nextInt(spread), () -> requests.submitUntilAnswered(specs.get(id)));
     }
   }
--- a/src/test/java/org/dewreach/sim/StaleMessageTest.java
+++ b/src/test/java/org/dewreach/sim/StaleMessageTest.java
@@ -11,15 +11,15 @@
 
 /**
  * Checks that commands and heartbeats of an earlier term that arrive after a leader change do no
- * harm, and that a new leader acts only on machines and quotas whose state it knows. Each case runs
- * with several seeds.
+ * harm, and that a new leader acts only on machines and quotas whose state it has determined. Each
+ * case runs with several seeds.
  */
 class StaleMessageTest {
   /** Each value schedules its faults and checks that they had the intended effect. */
   private enum Case implements FaultCombination {
     /**
      * Fails without any one of: {@code RecoveryTracker.allTasksKnown}, {@code
-     * FailureDetector.leaseExpired}; with seed 10 also {@code Task.directStartUnresolved}.
+     * FailureDetector.leaseExpired}; with seed 10 also without {@code Task.directStartUnresolved}.
      */
     LATE_COMMANDS_OF_EARLIER_TERM {
       @Override
@@ -80,7 +80,7 @@
       @Override
       public void schedule(FaultScenario scenario) {
         scenario.simulation.cloud.fastBoot = true;
-        scenario.simulation.state.delayTransactions(
+        scenario.simulation.store.delayTransactions(
             100 + scenario.random.nextInt(400), scenario.timeAfter(60));
         for (double at = 1; at < 50; at += scenario.randomBetween(12, 16)) {
           scenario.after(at, () -> reclaimHalfOfMachines(scenario));
@@ -162,7 +162,7 @@
         // The old leader answers heartbeats under its grants after another controller has acquired
         // the leader key. When the grants end, most machines are unreachable until their leases
         // expire.
-        scenario.simulation.state.onLeaderKeyWritten =
+        scenario.simulation.store.onLeaderKeyWritten =
             name ->
                 scenario.after(
                     scenario.randomBetween(1.1, 1.7),
@@ -176,7 +176,7 @@
         scenario.after(
             refused,
             () ->
-                scenario.simulation.state.refuse(
+                scenario.simulation.store.refuse(
                     scenario.leaderOrRandomController(), scenario.timeAfter(25)));
         scenario.faultsEndAt = scenario.timeAfter(45);
       }
@@ -239,7 +239,7 @@
               scenario.simulation.controllers.crash(
                   scenario.leaderOrRandomController(), restartMicros);
             } else {
-              scenario.simulation.state.refuse(
+              scenario.simulation.store.refuse(
                   scenario.leaderOrRandomController(), scenario.timeAfter(6));
             }
           });
--- a/src/test/java/org/dewreach/sim/UnguaranteedTeamTest.java
+++ b/src/test/java/org/dewreach/sim/UnguaranteedTeamTest.java
@@ -55,8 +55,8 @@
     assertNoViolations(simulation);
     assertEquals(
         0,
-        simulation.state.rateLimitedRequests,
-        "requests that the state service rejected with its rate limit");
+        simulation.store.rateLimitedRequests,
+        "requests that the key-value store rejected with status 429");
   }
 
   /**
@@ -83,7 +83,7 @@
   }
 
   private static int changes(Simulation simulation) {
-    return simulation.state.mutationsPerSecond.values().stream().mapToInt(i -> i).sum();
+    return simulation.store.mutationsPerSecond.values().stream().mapToInt(i -> i).sum();
   }
 
   @ParameterizedTest(name = "seed {0}")
