--- a/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityDemand.java
@@ -30,8 +30,8 @@
   private static final double MIN_WAIT_LIMIT_S = 10;
 
   /**
-   * The slack of a job without an objective: larger than any other, but small enough to be added to
-   * without overflow.
+   * The slack of a job without a completion target: larger than any other, but small enough to be
+   * added to without overflow.
    */
   private static final long UNLIMITED_SLACK_MICROS = Long.MAX_VALUE / 4;
 
@@ -43,7 +43,7 @@
   /**
    * Creates the demand of one term.
    *
-   * @param wallOffsetMicros wall-clock time minus event loop time
+   * @param wallOffsetMicros wall-clock time minus event time
    */
   public CapacityDemand(
       ClusterState clusterState, Settings settings, Tuning tuning, long wallOffsetMicros) {
@@ -123,40 +123,40 @@
 
   /**
    * Returns the time within which a job's pending tasks are to be completed: half of the time that
-   * its objective leaves, but at least the run time of a task; a configured time if the job has no
-   * objective.
+   * its completion target leaves, but at least the run time of a task; a configured time if the job
+   * has no target.
    */
   private long horizonMicros(Job job, long nowMicros) {
     long horizon =
-        hasObjective(job)
-            ? Math.max(job.spec().expectedMicros(), dueInMicros(job, nowMicros) / 2)
+        hasCompletionTarget(job)
+            ? Math.max(job.spec().expectedMicros(), timeToTargetMicros(job, nowMicros) / 2)
             : tuning.backlogHorizonMicros();
     return Math.max(horizon, MIN_HORIZON_MICROS);
   }
 
-  private boolean hasObjective(Job job) {
+  private boolean hasCompletionTarget(Job job) {
     return order.completionTargetMicros(job.spec()) >= 0;
   }
 
-  /** Returns the time until the objective of the job is due; negative if that time has passed. */
-  private long dueInMicros(Job job, long nowMicros) {
+  /** Returns the time until the job's completion target; negative if that time has passed. */
+  private long timeToTargetMicros(Job job, long nowMicros) {
     long acceptedAt = job.acceptedWallMicros() - wallOffsetMicros;
     return acceptedAt + order.completionTargetMicros(job.spec()) - nowMicros;
   }
 
   private long slackMicros(Job job, long nowMicros) {
-    return hasObjective(job)
-        ? dueInMicros(job, nowMicros) - job.spec().expectedMicros()
+    return hasCompletionTarget(job)
+        ? timeToTargetMicros(job, nowMicros) - job.spec().expectedMicros()
         : UNLIMITED_SLACK_MICROS;
   }
 
   /**
    * Returns how long the tasks of a job can wait for existing machines: half of their slack, within
-   * a minimum and the configured maximum; the maximum if the job has no objective.
+   * a minimum and the configured maximum; the maximum if the job has no target.
    */
   private double waitLimitS(Job job, long nowMicros) {
     double maxWaitS = tuning.maxSpotWaitMicros() / MICROS_PER_SECOND;
-    if (!hasObjective(job)) {
+    if (!hasCompletionTarget(job)) {
       return maxWaitS;
     }
     double halfSlackS = slackMicros(job, nowMicros) / (2 * MICROS_PER_SECOND);
