--- a/src/main/java/org/dewreach/autoscaling/CapacityPlan.java
+++ b/src/main/java/org/dewreach/autoscaling/CapacityPlan.java
@@ -100,7 +100,7 @@
     }
     while (left > 0) {
       MachinePool pool = selector.cheapest(group, left, allowance);
-      // One request cannot ask for more machines; the next plan continues. Guards against planning
+      // One request cannot contain more machines; the next plan continues. Guards against planning
       // thousands of machines again in every round while the largest allowed job waits.
       if (pool == null || added.getOrDefault(pool, 0) >= MAX_MACHINES_PER_REQUEST) {
         break;
--- a/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
+++ b/src/main/java/org/dewreach/autoscaling/ScaleInExecutor.java
@@ -12,7 +12,7 @@
 import org.dewreach.state.MachineRegistry;
 
 /**
- * Releases machines to the cloud and remembers the names of the released ones.
+ * Releases machines to the cloud and keeps the names of the released ones.
  *
  * <p>A machine is first marked ({@link MachinePhase#TERMINATING}); all marked machines are released
  * with the next request.
--- a/src/main/java/org/dewreach/config/Settings.java
+++ b/src/main/java/org/dewreach/config/Settings.java
@@ -68,7 +68,7 @@
     FINISH_BY_DEADLINE("deadline"),
     /** Work within a team's guarantee starts within a time limit after its submission. */
     GUARANTEED_START("guarantee"),
-    /** A kind that this version does not know; the scheduler does not act on it. */
+    /** A kind that is unknown to this version; the scheduler does not act on it. */
     OTHER(null);
 
     private final String configName;
--- a/src/main/java/org/dewreach/config/SettingsReader.java
+++ b/src/main/java/org/dewreach/config/SettingsReader.java
@@ -27,7 +27,7 @@
   private static final double MICROS_PER_SECOND = 1e6;
   private static final int BYTES_PER_KB = 1024;
 
-  // Bounds of plausible values; a number outside them is taken for a typing error.
+  // Bounds of plausible values; a number outside them is treated as a typing error.
   private static final double MAX_AMOUNT = 1e9;
   private static final double MAX_CLOCK_SKEW_MS = 3_600_000;
   private static final double MAX_OBJECTIVE_VALUE = 1e6;
--- a/src/main/java/org/dewreach/config/Tuning.java
+++ b/src/main/java/org/dewreach/config/Tuning.java
@@ -10,7 +10,8 @@
  *
  * @param idleTimeoutMicros how long a machine without tasks is kept before it is released
  * @param minRentalMicros the age before which releasing a machine saves nothing
- * @param backlogHorizonMicros the time within which pending work without a deadline should complete
+ * @param backlogHorizonMicros the time within which pending work without a completion target should
+ *     complete
  * @param maxSpotWaitMicros the expected wait above which work that may run on spot machines is also
  *     given on-demand machines
  * @param maxMigrationShare the share of service replicas' running time that their migrations may
--- a/src/main/java/org/dewreach/controller/Controller.java
+++ b/src/main/java/org/dewreach/controller/Controller.java
@@ -14,7 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller of the cluster: handles events and returns the effects to carry out. */
+/** One controller of the cluster: handles events and returns the effects to execute. */
 public final class Controller {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
@@ -64,7 +64,7 @@
     return leadership.effectsValidUntil();
   }
 
-  /** Handles one event and returns its effects, which are to be carried out in order. */
+  /** Handles one event and returns its effects, which are to be executed in order. */
   public List<Effect> handle(long nowMicros, Event event) {
     clock.advanceTo(nowMicros);
     if (nextSummaryAt == 0) {
--- a/src/main/java/org/dewreach/controller/Leadership.java
+++ b/src/main/java/org/dewreach/controller/Leadership.java
@@ -97,7 +97,7 @@
     return election.undecided() || term != null && !term.loaded();
   }
 
-  /** Returns until when effects that are decided now may be carried out. */
+  /** Returns until when effects that are decided now may be executed. */
   long effectsValidUntil() {
     return hasAuthority() ? election.authorityEndsAt() : Effect.NO_EXPIRY;
   }
--- a/src/main/java/org/dewreach/controller/LeadershipTerm.java
+++ b/src/main/java/org/dewreach/controller/LeadershipTerm.java
@@ -35,7 +35,7 @@
      * are not started.
      */
     RECOVERING,
-    /** Every machine of earlier terms is accounted for. */
+    /** Every machine of earlier terms is reconciled. */
     ACTIVE,
     /** The term has ended. */
     CLOSED
--- a/src/main/java/org/dewreach/controller/PlacementLoop.java
+++ b/src/main/java/org/dewreach/controller/PlacementLoop.java
@@ -62,7 +62,7 @@
   /**
    * Runs a pass if it is due.
    *
-   * @param mayPreempt true if every machine of earlier terms is accounted for
+   * @param mayPreempt true if every machine of earlier terms is reconciled
    */
   void tick(boolean mayPreempt, long nowMicros) {
     boolean due = nowMicros - lastPassAt >= MAX_INTERVAL_MICROS;
--- a/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/org/dewreach/heartbeat/HeartbeatHandler.java
@@ -130,8 +130,9 @@
       return;
     }
     if (heartbeat.incarnation() > machine.heartbeats().incarnation()) {
-      // Guards against taking the lease of this incarnation for expired together with that of the
-      // previous one: the incarnation began without any response from this leader, at the latest
+      // Guards against treating the lease of this incarnation as expired together with that of
+      // the previous one: the incarnation began without any response from this leader, at the
+      // latest
       // now.
       machine.heartbeats().recordLeaseRenewal(nowMicros);
     }
--- a/src/main/java/org/dewreach/heartbeat/WorkerReply.java
+++ b/src/main/java/org/dewreach/heartbeat/WorkerReply.java
@@ -21,7 +21,7 @@
   /**
    * No reply arrived, or one with a status that the protocol does not define.
    *
-   * @param status the HTTP status, or 0 if no response arrived
+   * @param status the HTTP status, or 0 if no reply arrived
    */
   record Failed(int status) implements WorkerReply {}
 }
--- a/src/main/java/org/dewreach/leadership/LastHeartbeatTimes.java
+++ b/src/main/java/org/dewreach/leadership/LastHeartbeatTimes.java
@@ -14,7 +14,7 @@
  * Not thread-safe; runs on the controller's event loop.
  */
 public final class LastHeartbeatTimes {
-  /** Older heartbeats say nothing about the present reachability of a worker. */
+  /** Older heartbeats are no evidence of the present reachability of a worker. */
   private static final long RETENTION_MICROS = 60_000_000;
 
   /** By machine, ordered from the oldest heartbeat to the latest. */
--- a/src/main/java/org/dewreach/membership/CloudReconciler.java
+++ b/src/main/java/org/dewreach/membership/CloudReconciler.java
@@ -23,9 +23,9 @@
  * state lacks, and releases those that have failed or are no longer listed.
  *
  * <p>Without the list, a machine that the cloud removed would be kept until its worker's lease
- * expires, which each new leader measures anew. The list is valid for every leader immediately. It
- * is not accepted as proof: the machine is released, and its tasks are placed elsewhere once the
- * cloud has confirmed the release or the lease has expired.
+ * expires, which each new leader measures from the start of its own term. The list is valid for
+ * every leader immediately. It is not accepted as proof: the machine is released, and its tasks are
+ * placed elsewhere once the cloud has confirmed the release or the lease has expired.
  */
 final class CloudReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(CloudReconciler.class);
--- a/src/main/java/org/dewreach/membership/FleetHealth.java
+++ b/src/main/java/org/dewreach/membership/FleetHealth.java
@@ -56,7 +56,7 @@
    *
    * <p>If many fall silent at once, this controller is more likely partitioned, and their leases
    * have to expire first. Overdue machines count, so that the first of many to become silent is not
-   * taken for a single failure: the others have been overdue for a while by then. Lost machines
+   * mistaken for a single failure: the others have been overdue for a while by then. Lost machines
    * count too: otherwise, once some leases of a partitioned zone have expired, the rest of its
    * machines look like few and are released just before the zone is back.
    */
--- a/src/main/java/org/dewreach/membership/HandoverPolicy.java
+++ b/src/main/java/org/dewreach/membership/HandoverPolicy.java
@@ -82,9 +82,8 @@
       return Phase.REACHING_WORKERS;
     }
     if (!health.nearlyAllUnreachable()) {
-      // Leases of these workers have expired, so their tasks can be placed elsewhere: only
-      // heartbeats
-      // that another controller receives justify a handover now.
+      // Leases of these workers have expired, so their tasks can be placed elsewhere:
+      // only heartbeats that another controller receives justify a handover now.
       return report == PeerReachabilityPoller.Report.HEARD_ELSEWHERE
           ? Phase.GIVING_UP_LEAD
           : Phase.LEADING_ON;
--- a/src/main/java/org/dewreach/membership/MachineCondition.java
+++ b/src/main/java/org/dewreach/membership/MachineCondition.java
@@ -3,7 +3,7 @@
 /**
  * The condition of one machine according to its heartbeats and its lease. Unlike {@link
  * org.dewreach.model.MachinePhase}, which is part of the cluster state, the condition is determined
- * anew in each round.
+ * again in each round.
  */
 enum MachineCondition {
   /** Its heartbeats arrive, and it receives the responses. */
--- a/src/main/java/org/dewreach/model/DirectCommands.java
+++ b/src/main/java/org/dewreach/model/DirectCommands.java
@@ -34,8 +34,8 @@
    * True if a direct start of the task was sent in this incarnation.
    *
    * <p>Guards against a late copy of that start. If a later attempt of the task were started here,
-   * it could replace the one that the worker remembers; the worker would then accept the copy, and
-   * the task could run here and on another machine at the same time.
+   * it could replace the one that the worker has recorded; the worker would then accept the copy,
+   * and the task could run here and on another machine at the same time.
    */
   public boolean hasStartedTask(TaskName task) {
     return startedTasks.contains(task);
@@ -61,9 +61,7 @@
     inFlight = newInFlight;
   }
 
-  /**
-   * Returns the time before which no direct command is sent, because the last one got no response.
-   */
+  /** Returns the time before which no direct command is sent, because the last one got no reply. */
   public long notBefore() {
     return notBefore;
   }
--- a/src/main/java/org/dewreach/model/DirectStart.java
+++ b/src/main/java/org/dewreach/model/DirectStart.java
@@ -4,10 +4,10 @@
 public enum DirectStart {
   /** No direct start was sent. */
   NONE,
-  /** It was sent, and no response has arrived yet. */
+  /** It was sent, and no reply has arrived yet. */
   SENT,
-  /** The worker responded, so its heartbeats show whether it has the task. */
+  /** The worker replied, so its heartbeats show whether it has the task. */
   ANSWERED,
-  /** No response arrived. The worker may still execute the command minutes later. */
+  /** No reply arrived. The worker may still execute the command minutes later. */
   LOST
 }
--- a/src/main/java/org/dewreach/model/HeartbeatState.java
+++ b/src/main/java/org/dewreach/model/HeartbeatState.java
@@ -53,9 +53,7 @@
     sequence = heartbeatSequence;
   }
 
-  /**
-   * Returns when the worker last sent a heartbeat on its own, not in response to a direct command.
-   */
+  /** Returns when the worker last sent a heartbeat on its own, not in reply to a direct command. */
   public long lastHeartbeat() {
     return lastHeartbeat;
   }
@@ -63,9 +61,9 @@
   /**
    * Records a heartbeat that the worker sent on its own.
    *
-   * <p>Responses to direct commands do not count. Guards against a machine that receives commands
-   * but cannot reach any controller: it would be assigned tasks again and again, which end each
-   * time when the lease expires.
+   * <p>Replies to direct commands do not count. Guards against a machine that receives commands but
+   * cannot reach any controller: it would be assigned tasks again and again, which end each time
+   * when the lease expires.
    */
   public void recordHeartbeat(long nowMicros) {
     lastHeartbeat = nowMicros;
--- a/src/main/java/org/dewreach/model/Machine.java
+++ b/src/main/java/org/dewreach/model/Machine.java
@@ -161,8 +161,8 @@
 
   /**
    * Records the incarnation and sequence number of the last heartbeat that was processed, whether
-   * the worker sent it on its own or in response to a direct command. A new incarnation has
-   * received none of the earlier direct commands.
+   * the worker sent it on its own or in reply to a direct command. A new incarnation has received
+   * none of the earlier direct commands.
    */
   public void recordSequence(long incarnation, long sequence) {
     if (incarnation != heartbeats.incarnation()) {
--- a/src/main/java/org/dewreach/model/Task.java
+++ b/src/main/java/org/dewreach/model/Task.java
@@ -103,7 +103,7 @@
   }
 
   /**
-   * True if a direct start is in flight or got no response, so that the task's absence from a
+   * True if a direct start is in flight or got no reply, so that the task's absence from a
    * heartbeat does not prove that it is gone.
    */
   public boolean directStartUnresolved() {
--- a/src/main/java/org/dewreach/net/ControllerRuntime.java
+++ b/src/main/java/org/dewreach/net/ControllerRuntime.java
@@ -47,7 +47,7 @@
   private static final int MAX_CALLS_PER_WORKER = 2;
 
   /**
-   * Sockets that are not accounted for one by one: listening sockets, operators' requests and
+   * Sockets that are not counted individually: listening sockets, operators' requests and
    * connections that are just being closed.
    */
   private static final int RESERVED_SOCKETS = 8;
--- a/src/main/java/org/dewreach/net/HttpClient.java
+++ b/src/main/java/org/dewreach/net/HttpClient.java
@@ -44,7 +44,7 @@
  *
  * <p>Not thread-safe: for use on the event loop only. Each call has exactly one outcome, at the
  * latest at its timeout. A timeout closes the connection, because a late response could otherwise
- * be taken for the response to the next call.
+ * be mistaken for the response to the next call.
  */
 public final class HttpClient {
   /**
--- a/src/main/java/org/dewreach/request/ConcurrencyStats.java
+++ b/src/main/java/org/dewreach/request/ConcurrencyStats.java
@@ -6,7 +6,7 @@
  *
  * @param inProgress requests without a response yet
  * @param limit how many requests may be in progress now
- * @param answered requests that were carried out or rejected
+ * @param answered requests that were executed or rejected
  * @param toldToRetry admitted requests whose users were told to retry
  * @param shed requests that the limit did not admit
  * @param p50Micros the median duration
--- a/src/main/java/org/dewreach/request/JobRequestHandler.java
+++ b/src/main/java/org/dewreach/request/JobRequestHandler.java
@@ -110,7 +110,7 @@
             JobStatus.withCounts(job.id(), job.jobState(), job.doneCount(), job.runningCount())));
   }
 
-  /** Responds to requests that have waited for too long. */
+  /** Responds to requests that have been pending for too long. */
   public void tick(long nowMicros) {
     if (recordWriter.stalled(nowMicros)) {
       submissions.onWritesStalled();
--- a/src/main/java/org/dewreach/request/LeaderDiscovery.java
+++ b/src/main/java/org/dewreach/request/LeaderDiscovery.java
@@ -9,12 +9,13 @@
 import org.dewreach.port.Target;
 
 /**
- * Asks the other controllers for the current leader while the key-value store does not provide it.
+ * Queries the other controllers for the current leader while the key-value store does not provide
+ * it.
  */
 public final class LeaderDiscovery {
   /**
-   * A controller without contact to the key-value store since its start asks the others after this
-   * time, so that one started in an outage finds the leader soon.
+   * A controller without contact to the key-value store since its start queries the others after
+   * this time, so that one started in an outage finds the leader soon.
    */
   private static final long STARTUP_GRACE_MICROS = 1_000_000;
 
@@ -43,7 +44,7 @@
   }
 
   /**
-   * Asks the next controller if a request is due.
+   * Queries the next controller if a request is due.
    *
    * @param hasTerm true if this controller was elected and has not detected the end of its term
    * @param suspectsLeader true if a recently forwarded request got no reply from a leader
--- a/src/main/java/org/dewreach/request/LeaderForwarder.java
+++ b/src/main/java/org/dewreach/request/LeaderForwarder.java
@@ -40,7 +40,7 @@
 
   /**
    * For this long after a forwarded request got no reply, or one from a controller that does not
-   * lead, the other controllers are asked for the leader.
+   * lead, the other controllers are queried for the leader.
    */
   private static final long LEADER_SUSPECT_MICROS = 3_000_000;
 
--- a/src/main/java/org/dewreach/request/PendingQueries.java
+++ b/src/main/java/org/dewreach/request/PendingQueries.java
@@ -85,7 +85,10 @@
     }
   }
 
-  /** Responds to queries that have waited for too long, or to all queries if writes are stalled. */
+  /**
+   * Responds to queries that have been pending for too long, or to all queries if writes are
+   * stalled.
+   */
   void tick(long nowMicros) {
     boolean stalled = recordWriter.stalled(nowMicros);
     for (Iterator<List<PendingQuery>> lists = pendingByJob.values().iterator(); lists.hasNext(); ) {
--- a/src/main/java/org/dewreach/scheduling/JobPlacement.java
+++ b/src/main/java/org/dewreach/scheduling/JobPlacement.java
@@ -96,9 +96,9 @@
   }
 
   /**
-   * Returns the zones to try one after the other; null stands for all zones together. A job whose
-   * tasks must share a zone stays in the zone of its bound tasks, or else tries the zones in the
-   * order of the machine list.
+   * Returns the zones to try one after the other; null means all zones together. A job whose tasks
+   * must share a zone stays in the zone of its bound tasks, or else tries the zones in the order of
+   * the machine list.
    */
   private List<String> zones() {
     if (!spec.sameZone() || spec.tasks() == 1) {
--- a/src/main/java/org/dewreach/scheduling/TaskPlacer.java
+++ b/src/main/java/org/dewreach/scheduling/TaskPlacer.java
@@ -40,7 +40,7 @@
    *
    * @param objectives the objectives, of which only those of kind START_WITHIN are used
    * @param tuning overrides the start times of the objectives
-   * @param wallOffsetMicros wall-clock time minus event loop time
+   * @param wallOffsetMicros wall-clock time minus event time
    */
   public TaskPlacer(
       ClusterState clusterState,
--- a/src/main/java/org/dewreach/state/ClusterStateLoader.java
+++ b/src/main/java/org/dewreach/state/ClusterStateLoader.java
@@ -54,7 +54,7 @@
   /**
    * Creates a loader for a new term.
    *
-   * @param wallOffsetMicros wall-clock time minus event loop time
+   * @param wallOffsetMicros wall-clock time minus event time
    */
   public ClusterStateLoader(
       KeyValueStore store,
--- a/src/main/java/org/dewreach/state/MachineRegistry.java
+++ b/src/main/java/org/dewreach/state/MachineRegistry.java
@@ -83,7 +83,7 @@
    * Creates an empty registry.
    *
    * @param valueBytes the size limit of a value in the key-value store
-   * @param wallOffsetMicros wall-clock time minus event loop time
+   * @param wallOffsetMicros wall-clock time minus event time
    */
   public MachineRegistry(
       CommitQueue queue, int valueBytes, long wallOffsetMicros, DurabilityListener listener) {
--- a/src/main/java/org/dewreach/state/RecoveryDurationTracker.java
+++ b/src/main/java/org/dewreach/state/RecoveryDurationTracker.java
@@ -16,8 +16,8 @@
  *
  * <p>A timeout that each leader measures from the start of its own term never expires if leaders
  * change often enough. The wall-clock time at which the first of them began to recover is therefore
- * stored, and each leader whose recovery is held up by silent machines records that recovery is
- * still open. A recovery that is not held up costs neither a read nor a write.
+ * stored, and each leader whose recovery is blocked by silent machines records that recovery is
+ * still open. A recovery that is not blocked costs neither a read nor a write.
  */
 public final class RecoveryDurationTracker {
   private static final Logger LOG = LoggerFactory.getLogger(RecoveryDurationTracker.class);
@@ -57,7 +57,7 @@
   /**
    * Creates a tracker for one term.
    *
-   * @param wallOffsetMicros wall-clock time minus event loop time
+   * @param wallOffsetMicros wall-clock time minus event time
    */
   public RecoveryDurationTracker(KeyValueStore store, CommitQueue queue, long wallOffsetMicros) {
     this.store = store;
@@ -85,7 +85,7 @@
   }
 
   /**
-   * Records that the recovery of this term is still open, held up by silent machines.
+   * Records that the recovery of this term is still open, blocked by silent machines.
    *
    * @param recoveringSince when the recovery of this term began
    */
--- a/src/main/java/org/dewreach/wire/Heartbeat.java
+++ b/src/main/java/org/dewreach/wire/Heartbeat.java
@@ -41,7 +41,7 @@
     RUNNING,
     /** The task received a stop command and saves a checkpoint. */
     SAVING,
-    /** The task has ended; {@link ExitCause} says why. */
+    /** The task has ended; {@link ExitCause} gives the cause. */
     EXITED
   }
 
@@ -51,7 +51,7 @@
     NONE("NONE"),
     /** The task completed. */
     DONE("DONE"),
-    /** The task was stopped, or exited for a cause that this version does not know. */
+    /** The task was stopped, or exited for a cause that is unknown to this version. */
     STOPPED("STOPPED"),
     /** The task failed by itself. */
     ERROR("ERROR"),
@@ -137,7 +137,7 @@
       case "running" -> TaskState.RUNNING;
       case "flushing" -> TaskState.SAVING;
       case "exited" -> TaskState.EXITED;
-      // A task in a state that this version does not know still occupies its machine.
+      // A task in a state that is unknown to this version still occupies its machine.
       default -> TaskState.PULLING;
     };
   }
--- a/src/main/java/org/dewreach/wire/HttpStatus.java
+++ b/src/main/java/org/dewreach/wire/HttpStatus.java
@@ -5,7 +5,7 @@
  * use.
  */
 public final class HttpStatus {
-  /** The request was carried out. */
+  /** The request was executed. */
   public static final int OK = 200;
 
   /** A job was accepted. */
