--- a/src/test/java/org/dewreach/placement/QueueOrderTest.java
+++ b/src/test/java/org/dewreach/placement/QueueOrderTest.java
@@ -26,14 +26,14 @@
                   Settings.ObjectiveKind.FINISH_WITHIN, "scan", 100 * SECOND, 0.9, 0)));
 
   private static Job job(
-      String id, String team, Priority priority, int tasks, long dueS, long acceptedS) {
+      String id, String team, Priority priority, int tasks, long deadlineS, long acceptedS) {
     JobSpec spec =
         JobSpecBuilder.array(id)
             .jobClass("class")
             .team(team)
             .priority(priority)
             .tasks(tasks)
-            .dueMicros(dueS < 0 ? -1 : dueS * SECOND)
+            .deadlineMicros(deadlineS < 0 ? -1 : deadlineS * SECOND)
             .build();
     return new Job(spec, acceptedS * SECOND, true, JobPhase.ACTIVE);
   }
--- a/src/test/java/org/dewreach/request/LeaderForwarderTest.java
+++ b/src/test/java/org/dewreach/request/LeaderForwarderTest.java
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void userOfBusyLeaderIsToldToRetryLater() {
+  void userOfBusyLeaderReceivesRetryResponse() {
     reply(forward(QUERY, SECOND), new ForwardedReply.Busy(), SECOND);
     assertEquals(List.of(UserResponse.unavailable(ConcurrencyLimiter.BUSY_RETRY_S)), responses);
     assertFalse(forwarder.isForwardingPausedFor(QUERY, SECOND));
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void submissionTimeoutIsShorterForASilentLeader() {
+  void submissionTimeoutIsShorterForSilentLeader() {
     long aliveMicros = forward(SUBMIT, SECOND).timeoutMicros();
     long silentMicros = forward(SUBMIT, 2 * SECOND).timeoutMicros();
     assertTrue(silentMicros < aliveMicros, silentMicros + " and " + aliveMicros);
--- a/src/test/java/org/dewreach/sim/FleetLossTest.java
+++ b/src/test/java/org/dewreach/sim/FleetLossTest.java
@@ -319,7 +319,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 5})
   @DisplayName("A new leader keeps machines that run tasks and are not listed yet")
-  void unlistedMachinesAreKept(long seed) {
+  void unlistedMachines(long seed) {
     Simulation simulation = new Simulation(seed, 1, ClusterSize.LONG_CANCEL);
     simulation.cloud.listLagMicros = 3 * SECOND;
     simulation.cloud.fastBoot = true;
--- a/src/test/java/org/dewreach/sim/JobGenerator.java
+++ b/src/test/java/org/dewreach/sim/JobGenerator.java
@@ -66,7 +66,7 @@
         .tasks(large ? LARGE_ARRAY_TASKS : 1 + random.nextInt(6))
         .resources(2, 2, 0)
         .expectedMicros(12 * Clock.SECOND)
-        .dueMicros(DEADLINE_MICROS)
+        .deadlineMicros(DEADLINE_MICROS)
         .build();
   }
 
@@ -104,7 +104,7 @@
         .image("img", 0.1)
         .spot(random.nextBoolean())
         .expectedMicros(runMicros)
-        .dueMicros(DEADLINE_MICROS)
+        .deadlineMicros(DEADLINE_MICROS)
         .build();
   }
 
--- a/src/test/java/org/dewreach/sim/LeaderFailureTest.java
+++ b/src/test/java/org/dewreach/sim/LeaderFailureTest.java
@@ -55,7 +55,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3})
   @DisplayName("A new leader waits for machines that are still booting")
-  void newLeaderWaitsForBootingMachines(long seed) {
+  void bootingMachinesOfFormerLeader(long seed) {
     Simulation simulation = new Simulation(seed);
     simulation.cloud.bootTimeFactor = 4;
     simulation.startWorkload(20 * SECOND, 2 * SECOND);
--- a/src/test/java/org/dewreach/store/KeyValueCodecTest.java
+++ b/src/test/java/org/dewreach/store/KeyValueCodecTest.java
@@ -136,7 +136,7 @@
 
   /** Guards against an unreadable page being taken for the last one. */
   @Test
-  void aSuccessWithoutABodyIsNotTakenForAnEmptyResult() {
+  void aSuccessWithoutABodyIsNotAnEmptyResult() {
     assertThrows(IllegalStateException.class, () -> KeyValueCodec.decodeRange(200, null));
     assertThrows(IllegalStateException.class, () -> KeyValueCodec.decodeRead("a", 200, null));
     assertThrows(IllegalStateException.class, () -> KeyValueCodec.decodeWatch(200, null));
--- a/src/test/java/org/dewreach/testing/JobSpecBuilder.java
+++ b/src/test/java/org/dewreach/testing/JobSpecBuilder.java
@@ -26,7 +26,7 @@
   private long expectedMicros = DEFAULT_EXPECTED_MICROS;
   private long checkpointIntervalMicros;
   private long checkpointDurationMicros;
-  private long dueMicros = -1;
+  private long deadlineMicros = -1;
 
   private JobSpecBuilder(String id, JobKind jobKind) {
     this.id = id;
@@ -136,8 +136,8 @@
   }
 
   /** Sets the deadline, as a time after the submission; -1 for no deadline. */
-  public JobSpecBuilder dueMicros(long micros) {
-    dueMicros = micros;
+  public JobSpecBuilder deadlineMicros(long micros) {
+    deadlineMicros = micros;
     return this;
   }
 
@@ -163,6 +163,6 @@
         expectedMicros,
         checkpointIntervalMicros,
         checkpointDurationMicros,
-        dueMicros);
+        deadlineMicros);
   }
 }
