--- a/src/test/java/org/dewreach/controller/LeadershipTermTest.java
+++ b/src/test/java/org/dewreach/controller/LeadershipTermTest.java
@@ -116,7 +116,9 @@
     assertEquals(LeadershipTerm.Phase.ACTIVE, term.stats().phase());
   }
 
-  /** Guards against leases renewed by a leader that does not know yet which jobs were cancelled. */
+  /**
+   * Guards against leases renewed by a leader that has not loaded yet which jobs were cancelled.
+   */
   @Test
   void heartbeatsAreRejectedBeforeTheStateIsLoaded() {
     respondsToReads = false;
--- a/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dewreach/heartbeat/HeartbeatReconcilerTest.java
@@ -112,7 +112,7 @@
     assertFalse(machine.schedulable());
     assertEquals(1, job.boundTasks().size(), "the start may still arrive, so the task stays bound");
     reconciler.onHeartbeat(machine, heartbeat(machine, 2, 1, TERM), 20 * SECOND);
-    assertEquals(0, job.boundTasks().size(), "its incarnation has ended, with all its tasks");
+    assertEquals(0, job.boundTasks().size(), "the incarnation has ended, with all its tasks");
   }
 
   /**
@@ -128,9 +128,10 @@
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 2, TERM), 3 * SECOND);
     clusterState.stop(job.boundTasks().get(0), "not wanted", 3 * SECOND);
     reconciler.onDirectReply(machine, heartbeat(machine, 1, 3, TERM), 3 * SECOND + 1);
-    assertEquals(1, job.boundTasks().size(), "the response with its start may still arrive");
+    assertEquals(1, job.boundTasks().size(), "the response with the start may still arrive");
     reconciler.onHeartbeat(machine, heartbeat(machine, 1, 4, TERM), 4 * SECOND);
-    assertEquals(0, job.boundTasks().size(), "this heartbeat was sent after that response");
+    assertEquals(
+        0, job.boundTasks().size(), "the heartbeat was sent after the response with the start");
   }
 
   /** A start sent since the previous heartbeat may have crossed this heartbeat on its way. */
--- a/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
+++ b/src/test/java/org/dewreach/leadership/DelegateRenewerTest.java
@@ -113,6 +113,6 @@
         "the worker has tried the other controllers");
     assertFalse(
         delegateRenewer.tryRenew(heartbeat("m2", "b"), 112 * SECOND),
-        "this worker has not tried another controller yet");
+        "worker m2 has not tried another controller yet");
   }
 }
--- a/src/test/java/org/dewreach/membership/MachineHealthMonitorTest.java
+++ b/src/test/java/org/dewreach/membership/MachineHealthMonitorTest.java
@@ -69,7 +69,8 @@
     monitor.checkMachines(5 * SECOND);
     assertPhase(MachinePhase.TERMINATING, silent);
     assertPhase(MachinePhase.UP, reachable);
-    assertTrue(job.hasBoundTasks(), "its task counts as running until the machine is gone");
+    assertTrue(
+        job.hasBoundTasks(), "the task of the silent machine is bound until the machine is gone");
   }
 
   @Test
--- a/src/test/java/org/dewreach/request/ConcurrencyLimiterTest.java
+++ b/src/test/java/org/dewreach/request/ConcurrencyLimiterTest.java
@@ -47,7 +47,7 @@
     int shed = burst(5_000, 2_000 * MILLISECOND);
     assertTrue(shed > 3_000, "shed " + shed);
     assertTrue(limiter.limit() < before / 2, "limit " + limiter.limit());
-    assertFalse(limiter.shedIfAtLimit(), "nothing is in progress any more");
+    assertFalse(limiter.shedIfAtLimit(), "no request is in progress any more");
   }
 
   @Test
--- a/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
+++ b/src/test/java/org/dewreach/scheduling/TaskConsolidatorTest.java
@@ -94,7 +94,7 @@
     Task alone = checkpointingTask("req-3", machine("m1", true, true));
     consolidator.consolidate(SECOND);
     assertEquals(TaskPhase.STOPPING, alone.phase());
-    assertTrue(fuller.schedulable(), "it is the target of the move");
+    assertTrue(fuller.schedulable(), "the fullest machine is the target of the move");
     assertTrue(fuller.tasks().stream().allMatch(task -> task.phase() == TaskPhase.RUNNING));
   }
 
--- a/src/test/java/org/dewreach/sim/FleetTest.java
+++ b/src/test/java/org/dewreach/sim/FleetTest.java
@@ -66,7 +66,7 @@
     Simulation.CONTROLLERS.forEach(
         n -> simulation.controllers.crash(n, 2 * SECOND + simulation.random.nextInt(2_000_000)));
     simulation.runUntil(60 * SECOND);
-    assertEquals(0, simulation.expiredWorkerLeases, "no lease expires during the restart");
+    assertEquals(0, simulation.expiredWorkerLeases, "leases that expired during the restart");
     int records = simulation.store.recordsRead - readBefore;
     // One leader reads each live job once, and the pages of the machine records.
     assertTrue(records <= 2 * 700, "records read by the next leader: " + records);
@@ -107,7 +107,7 @@
 
   /**
    * Guards against a leader that is the only controller outside a partitioned zone and steps down
-   * before its workers have found it.
+   * before the workers have reached it.
    */
   @Test
   @DisplayName(
--- a/src/test/java/org/dewreach/sim/IncomingRequest.java
+++ b/src/test/java/org/dewreach/sim/IncomingRequest.java
@@ -12,7 +12,9 @@
 record IncomingRequest(
     Event.Source source, String method, String path, JsonNode body, Reply reply) {
 
-  /** True if a user sent it, false if a worker, a health check or another controller did. */
+  /**
+   * True if a user sent the request, false if a worker, a health check or another controller did.
+   */
   boolean isFromUser() {
     return source == Event.Source.PUBLIC && path.startsWith("/work");
   }
--- a/src/test/java/org/dewreach/sim/JobObservation.java
+++ b/src/test/java/org/dewreach/sim/JobObservation.java
@@ -28,13 +28,15 @@
 
   long lastResponseAt;
 
-  /** True if a request about it was sent since the last successful response to a query. */
+  /** True if a request about the job was sent since the last successful response to a query. */
   boolean requestedSinceResponse;
 
-  /** The time at which a response first reported it cancelled; -1 before that. */
+  /** The time at which a response first reported the job cancelled; -1 before that. */
   long cancellationReportedAt = -1;
 
-  /** The time at which the last request about it was sent; far in the past if there was none. */
+  /**
+   * The time at which the last request about the job was sent; far in the past if there was none.
+   */
   long lastRequestAt = Long.MIN_VALUE / 2;
 
   /** The time of the first failed query since the last successful one; -1 if none has failed. */
@@ -43,7 +45,7 @@
   /** The status that a submission of this invalid job must get; 0 for a valid job. */
   int expectedRejectionStatus;
 
-  /** A worker with capacity for another of its tasks; null if none is known. */
+  /** A worker with capacity for another task of the job; null if none is known. */
   SimWorker workerWithCapacity;
 
   /** The time since which {@link #workerWithCapacity} has had the capacity. */
--- a/src/test/java/org/dewreach/sim/LeaderFailureTest.java
+++ b/src/test/java/org/dewreach/sim/LeaderFailureTest.java
@@ -28,7 +28,7 @@
     simulation.store.outage(30 * SECOND);
     simulation.runUntil(92 * SECOND);
     assertEquals(0, simulation.expiredWorkerLeases);
-    assertEquals(leader, simulation.controllers.leader(), "the same leader keeps the lead");
+    assertEquals(leader, simulation.controllers.leader(), "the leader changed");
     simulation.runUntil(320 * SECOND);
     assertNoViolations(simulation);
   }
@@ -51,7 +51,7 @@
     assertNoViolations(simulation);
   }
 
-  /** Guards against a new leader releasing machines that its predecessor rented and that boot. */
+  /** Guards against a new leader releasing booting machines that its predecessor rented. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3})
   @DisplayName("A new leader waits for machines that are still booting")
@@ -135,7 +135,7 @@
 
   /**
    * Guards against a restarted controller that is blocked by its own leader key or lease in the
-   * key-value store, or that has forgotten the grants it gave.
+   * key-value store, or that does not account for the grants it gave before.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
--- a/src/test/java/org/dewreach/sim/LostFleetTest.java
+++ b/src/test/java/org/dewreach/sim/LostFleetTest.java
@@ -12,18 +12,14 @@
 /**
  * The cloud reclaims all machines at once and no longer lists them.
  *
- * <p>Guards against a cluster that never runs a task again. A leader that receives no heartbeats
- * steps down, since another controller may receive them. The next leader loads the machines from
- * the stored records and waits for their leases to expire, counted from the start of its own term:
- * 15.25 s, or 15.6 s with the margins. When it steps down after 14.1 s, the leader after it starts
- * counting again. Until the leases have expired, nothing is rented and no job of earlier terms is
- * placed.
+ * <p>Guards against a cluster that never runs a task again. Until the leases of the machines have
+ * expired, 15.25 s after the start of a term (15.6 s with the margins), nothing is rented and no
+ * job of earlier terms is placed; but a leader without heartbeats steps down after 14.1 s, since
+ * another controller may receive them, and the next leader starts counting again. Leases of 10 s
+ * expire earlier than that and hide the fault.
  *
- * <p>The log of seed 1 had "giving up the lead" for the terms 1, 72, 87, 95, 104, 112 and so on,
- * after the first in phase RECOVERING with 9 machines, one of them up. Seed 3 passed because three
- * booting machines came up: 8 silent machines of 11 are not nearly all, so the second leader kept
- * the lead until the leases had expired. With leases of 10 s no seed failed, since they expire
- * before a leader steps down.
+ * <p>Seed 1 failed in this way. Seed 3 passed because three booting machines came up: with 8 of 11
+ * machines silent, which is not nearly all, the second leader kept the lead long enough.
  */
 class LostFleetTest {
   @ParameterizedTest(name = "seed {0}")
--- a/src/test/java/org/dewreach/store/KeyValueCodecTest.java
+++ b/src/test/java/org/dewreach/store/KeyValueCodecTest.java
@@ -134,7 +134,7 @@
     assertEquals(failure, KeyValueCodec.decodeTransaction(status, null));
   }
 
-  /** Guards against an unreadable page being taken for the last one. */
+  /** Guards against treating an unreadable page as an empty one, and thus as the last. */
   @Test
   void aSuccessWithoutABodyIsNotAnEmptyResult() {
     assertThrows(IllegalStateException.class, () -> KeyValueCodec.decodeRange(200, null));
