--- a/src/test/java/org/dewreach/leadership/LastHeartbeatTimesTest.java
+++ b/src/test/java/org/dewreach/leadership/LastHeartbeatTimesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests which workers count as seen recently by this controller, whichever controller leads: {@link
+ * Tests from which workers this controller, leader or not, received recent heartbeats: {@link
  * LastHeartbeatTimes}.
  */
 class LastHeartbeatTimesTest {
--- a/src/test/java/org/dewreach/net/ControllerProcess.java
+++ b/src/test/java/org/dewreach/net/ControllerProcess.java
@@ -65,7 +65,7 @@
   }
 
   /**
-   * Starts a controller; it is not ready yet when this returns.
+   * Starts a controller; the method returns before the controller is ready.
    *
    * @param directory where its settings file and its log are written
    * @param storeRequestsPerSecond the requests per second that the key-value store allows
--- a/src/test/java/org/dewreach/sim/Network.java
+++ b/src/test/java/org/dewreach/sim/Network.java
@@ -53,7 +53,9 @@
     send(from, to, random, delivery);
   }
 
-  /** Delivers a message like the other method; draws its delay and loss from the given source. */
+  /**
+   * Delivers a message like {@link #send(String, String, Runnable)}, with the given random numbers.
+   */
   void send(String from, String to, Random random, Runnable delivery) {
     String link = from + ">" + to;
     long delay = 300 + random.nextInt(4_000);
--- a/src/test/java/org/dewreach/sim/WorkerTasks.java
+++ b/src/test/java/org/dewreach/sim/WorkerTasks.java
@@ -29,7 +29,7 @@
     this.random = simulation.random;
   }
 
-  /** Ends all tasks and forgets them. */
+  /** Ends and removes all tasks. */
   void endAll() {
     tasks.values().forEach(task -> endProcess(task, false));
     tasks.clear();
--- a/src/test/java/org/dewreach/wire/CodecTest.java
+++ b/src/test/java/org/dewreach/wire/CodecTest.java
@@ -23,8 +23,8 @@
   private static final ObjectMapper CBOR = new ObjectMapper(new CBORFactory());
 
   /**
-   * Guards against a body that ends each controller it reaches: it can be decoded, but not encoded
-   * again.
+   * Guards against a body that crashes each controller that receives it: the body can be decoded,
+   * but not encoded again.
    */
   @ParameterizedTest
   @ValueSource(
--- a/src/test/java/org/dewreach/wire/HeartbeatTest.java
+++ b/src/test/java/org/dewreach/wire/HeartbeatTest.java
@@ -18,7 +18,7 @@
   /**
    * Guards against rejecting the heartbeats of a machine whose reclaim time has passed, in {@code
    * Heartbeat.reclaimMicros}: the worker's lease would expire, which ends its tasks, and the leader
-   * would not learn of the reclaim.
+   * would not be informed of the reclaim.
    */
   @Test
   void aReclaimTimeThatHasPassedIsZero() throws MalformedException {
