--- a/src/test/java/org/dewreach/store/KeyValueCodecTest.java
+++ b/src/test/java/org/dewreach/store/KeyValueCodecTest.java
@@ -134,9 +134,9 @@
     assertEquals(failure, KeyValueCodec.decodeTransaction(status, null));
   }
 
-  /** Guards against an unreadable page being taken for the last one. */
+  /** Guards against treating an unreadable page as an empty one, and thus as the last. */
   @Test
-  void aSuccessWithoutABodyIsNotTakenForAnEmptyResult() {
+  void aSuccessWithoutABodyIsNotAnEmptyResult() {
     assertThrows(IllegalStateException.class, () -> KeyValueCodec.decodeRange(200, null));
     assertThrows(IllegalStateException.class, () -> KeyValueCodec.decodeRead("a", 200, null));
     assertThrows(IllegalStateException.class, () -> KeyValueCodec.decodeWatch(200, null));
