--- a/src/main/java/org/dewreach/cli/ClassLoadingRun.java
+++ b/src/main/java/org/dewreach/cli/ClassLoadingRun.java
@@ -38,8 +38,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(ClassLoadingRun.class);
   private static final String CLASS_SUFFIX = ".class";
   private static final int MAX_CONNECTIONS = 10;
-  private static final long TIMEOUT_MICROS = 2_000_000;
-  private static final long RESPONSE_TIMEOUT_S = 3;
+  private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
+  private static final long MAX_RESPONSE_WAIT_S = 3;
   private static final double SAMPLE_NUMBER = 1.5;
 
   private static final String SETTINGS =
@@ -137,9 +137,9 @@
                         "POST",
                         "/work",
                         Codec.map().put("text", "x").put("number", SAMPLE_NUMBER).put("count", 1),
-                        TIMEOUT_MICROS,
+                        REQUEST_TIMEOUT_MICROS,
                         (status, body) -> responded.countDown()));
-        responded.await(RESPONSE_TIMEOUT_S, TimeUnit.SECONDS);
+        responded.await(MAX_RESPONSE_WAIT_S, TimeUnit.SECONDS);
       }
     } finally {
       loop.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(2, TimeUnit.SECONDS);
--- a/src/main/java/org/dewreach/cli/JobCommands.java
+++ b/src/main/java/org/dewreach/cli/JobCommands.java
@@ -24,7 +24,7 @@
 
 /** Client commands, which send users' requests from the command line. */
 final class JobCommands {
-  private static final long TIMEOUT_MICROS = 5_000_000;
+  private static final long REQUEST_TIMEOUT_MICROS = 5_000_000;
 
   private JobCommands() {}
 
@@ -54,7 +54,7 @@
                     method,
                     path,
                     body,
-                    TIMEOUT_MICROS,
+                    REQUEST_TIMEOUT_MICROS,
                     (code, response) -> status.complete(printResponse(code, response))));
         return status.get();
       } catch (ExecutionException e) {
--- a/src/main/java/org/dewreach/config/SettingsReader.java
+++ b/src/main/java/org/dewreach/config/SettingsReader.java
@@ -18,7 +18,7 @@
 
 /** Reads and validates the settings file. Unknown fields are ignored. */
 public final class SettingsReader {
-  private static final Pattern IPV4 = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}");
+  private static final Pattern IPV4_PATTERN = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}");
 
   /** The highest port number of TCP. */
   private static final int MAX_PORT = 65_535;
@@ -273,7 +273,7 @@
     Settings.Address address(String name) throws SettingsException {
       String text = text(name);
       int colon = text.lastIndexOf(':');
-      if (colon > 0 && IPV4.matcher(text.substring(0, colon)).matches()) {
+      if (colon > 0 && IPV4_PATTERN.matcher(text.substring(0, colon)).matches()) {
         int port = portOrZero(text.substring(colon + 1));
         if (port > 0 && port <= MAX_PORT) {
           return new Settings.Address(text.substring(0, colon), port);
--- a/src/main/java/org/dewreach/controller/TermReporter.java
+++ b/src/main/java/org/dewreach/controller/TermReporter.java
@@ -13,7 +13,7 @@
 final class TermReporter {
   private static final Logger LOG = LoggerFactory.getLogger(TermReporter.class);
 
-  private static final long INTERVAL_MICROS = 10_000_000;
+  private static final long SUMMARY_INTERVAL_MICROS = 10_000_000;
 
   private static final long MICROS_PER_MS = 1_000;
 
@@ -33,7 +33,7 @@
     if (nowMicros < nextSummaryAt) {
       return;
     }
-    nextSummaryAt = nowMicros + INTERVAL_MICROS;
+    nextSummaryAt = nowMicros + SUMMARY_INTERVAL_MICROS;
     int up = 0;
     double cpus = 0;
     double freeCpus = 0;
--- a/src/main/java/org/dewreach/history/FinalStates.java
+++ b/src/main/java/org/dewreach/history/FinalStates.java
@@ -20,14 +20,14 @@
    * About 200 bytes each, so 2 MB of the smallest controller's heap; enough for half an hour in
    * which five jobs end per second.
    */
-  static final int MAX_RECENT = 10_000;
+  static final int MAX_RECENT_STATES = 10_000;
 
-  private static final int MAX_LOOKED_UP = 2_000;
+  private static final int MAX_LOOKED_UP_STATES = 2_000;
 
   private final Object2ObjectLinkedOpenHashMap<String, FinalState> recent =
       new Object2ObjectLinkedOpenHashMap<>();
   private final Cache<String, FinalState> lookedUp =
-      Caffeine.newBuilder().maximumSize(MAX_LOOKED_UP).executor(Runnable::run).build();
+      Caffeine.newBuilder().maximumSize(MAX_LOOKED_UP_STATES).executor(Runnable::run).build();
 
   /** Returns the final state of the job, or null if it is not in memory. */
   public FinalState get(String jobId) {
@@ -38,7 +38,7 @@
   /** Adds the state of a job that has just ended, and evicts the oldest one if there is no room. */
   public void addEnded(String jobId, FinalState finalState) {
     recent.putAndMoveToLast(jobId, finalState);
-    if (recent.size() > MAX_RECENT) {
+    if (recent.size() > MAX_RECENT_STATES) {
       recent.removeFirst();
     }
   }
@@ -61,7 +61,7 @@
 
   /** True if adding another ended job evicts the oldest one. */
   boolean isFull() {
-    return recent.size() >= MAX_RECENT;
+    return recent.size() >= MAX_RECENT_STATES;
   }
 
   /** Returns how many final states are kept in the order in which their jobs ended. */
--- a/src/main/java/org/dewreach/leadership/DelegateRenewer.java
+++ b/src/main/java/org/dewreach/leadership/DelegateRenewer.java
@@ -68,8 +68,8 @@
   private long delegatedUntil;
   private long lastContactAt;
   private long lastStoreResponseAt = -ISOLATION_TIMEOUT_MICROS;
-  private long lastRenewalAt = DelegationRequest.NONE;
-  private long lastResponseTimestamp = DelegationRequest.NONE;
+  private long lastRenewalAt = DelegationRequest.NOT_YET_OCCURRED;
+  private long lastResponseTimestamp = DelegationRequest.NOT_YET_OCCURRED;
   private String lastResponder = "";
   private long nextRequestAt;
   private long nextProbeAt;
@@ -125,8 +125,10 @@
         new DelegationRequest(
             self,
             nowMicros,
-            lastRenewalAt < 0 ? DelegationRequest.NONE : nowMicros - lastRenewalAt,
-            leader.equals(lastResponder) ? lastResponseTimestamp : DelegationRequest.NONE);
+            lastRenewalAt < 0 ? DelegationRequest.NOT_YET_OCCURRED : nowMicros - lastRenewalAt,
+            leader.equals(lastResponder)
+                ? lastResponseTimestamp
+                : DelegationRequest.NOT_YET_OCCURRED);
     outbox.call(
         new Target.Member(leader),
         "POST",
--- a/src/main/java/org/dewreach/leadership/HandoverHistory.java
+++ b/src/main/java/org/dewreach/leadership/HandoverHistory.java
@@ -9,7 +9,7 @@
  */
 public final class HandoverHistory {
   /** Long enough for every controller to lead and hand over once. */
-  private static final long RECENT_MICROS = 120_000_000;
+  private static final long RECENT_HANDOVER_MICROS = 120_000_000;
 
   private long lastHandoverAt = Long.MIN_VALUE / 2;
 
@@ -23,6 +23,6 @@
    * to lead.
    */
   public boolean recentlyHandedOver(long nowMicros) {
-    return nowMicros - lastHandoverAt < RECENT_MICROS;
+    return nowMicros - lastHandoverAt < RECENT_HANDOVER_MICROS;
   }
 }
--- a/src/main/java/org/dewreach/leadership/PeerReachabilityPoller.java
+++ b/src/main/java/org/dewreach/leadership/PeerReachabilityPoller.java
@@ -39,8 +39,8 @@
   /** Older responses do not count. */
   private static final long RESPONSE_VALID_MICROS = 3_500_000;
 
-  /** The number of machines sampled for a request, which keeps it small. */
-  private static final int MAX_SAMPLE = 60;
+  /** The maximum number of machines sampled for a request, which keeps it small. */
+  private static final int MAX_SAMPLED_MACHINES = 60;
 
   /**
    * A controller counts as reachable for the workers if at least one in this many of the requested
@@ -106,7 +106,7 @@
 
   /** Returns machines spread evenly over the list. */
   private static List<String> sample(List<String> machines) {
-    int step = (machines.size() + MAX_SAMPLE - 1) / MAX_SAMPLE;
+    int step = (machines.size() + MAX_SAMPLED_MACHINES - 1) / MAX_SAMPLED_MACHINES;
     List<String> sample = new ArrayList<>();
     for (int i = 0; i < machines.size(); i += step) {
       sample.add(machines.get(i));
--- a/src/main/java/org/dewreach/membership/FailureDetector.java
+++ b/src/main/java/org/dewreach/membership/FailureDetector.java
@@ -19,7 +19,7 @@
   /** A lost machine may come back until this long after its last heartbeat. */
   static final long LOST_MACHINE_TIMEOUT_MICROS = 75_000_000;
 
-  private static final int QUARTERS = 4;
+  private static final int QUARTERS_PER_INTERVAL = 4;
 
   /**
    * A machine is silent after this many quarters of its heartbeat interval, or after {@link
@@ -27,7 +27,7 @@
    */
   private static final int SILENT_AFTER_HEARTBEAT_QUARTERS = 13;
 
-  private static final int PERCENT = 100;
+  private static final int PERCENT_DIVISOR = 100;
 
   /**
    * A machine is silent after this percentage of its lease, or after {@link
@@ -74,8 +74,10 @@
   boolean isSilent(Machine machine, long nowMicros) {
     long silentAfter =
         Math.max(
-            settings.heartbeatIntervalMicros() * SILENT_AFTER_HEARTBEAT_QUARTERS / QUARTERS,
-            settings.leaseMicros() * SILENT_AFTER_LEASE_PERCENT / PERCENT);
+            settings.heartbeatIntervalMicros()
+                * SILENT_AFTER_HEARTBEAT_QUARTERS
+                / QUARTERS_PER_INTERVAL,
+            settings.leaseMicros() * SILENT_AFTER_LEASE_PERCENT / PERCENT_DIVISOR);
     return sinceHeartbeatMicros(machine, nowMicros) > silentAfter;
   }
 
--- a/src/main/java/org/dewreach/membership/WorkerTiming.java
+++ b/src/main/java/org/dewreach/membership/WorkerTiming.java
@@ -16,12 +16,12 @@
   /** The longest interval between two heartbeats, in quarters of the configured interval. */
   private static final int MAX_INTERVAL_QUARTERS = 5;
 
-  private static final int QUARTERS = 4;
+  private static final int QUARTERS_PER_INTERVAL = 4;
 
   private WorkerTiming() {}
 
   /** Returns the longest time from one heartbeat of a worker to its next. */
   static long maxHeartbeatIntervalMicros(Settings.WorkerSettings settings) {
-    return settings.heartbeatIntervalMicros() * MAX_INTERVAL_QUARTERS / QUARTERS;
+    return settings.heartbeatIntervalMicros() * MAX_INTERVAL_QUARTERS / QUARTERS_PER_INTERVAL;
   }
 }
--- a/src/main/java/org/dewreach/peer/DelegationRequest.java
+++ b/src/main/java/org/dewreach/peer/DelegationRequest.java
@@ -6,12 +6,14 @@
  *
  * @param node the follower's name
  * @param uptimeMicros for how long its process has run
- * @param sinceRenewalMicros time since it last renewed a lease as a delegate, or {@link #NONE}
+ * @param sinceRenewalMicros time since it last renewed a lease as a delegate, or {@link
+ *     #NOT_YET_OCCURRED}
  * @param echoedTimestampMicros the timestamp of the last response that it received from this
- *     leader, or {@link #NONE}; proves that it was in contact when that response was sent
+ *     leader, or {@link #NOT_YET_OCCURRED}; proves that it was in contact when that response was
+ *     sent
  */
 public record DelegationRequest(
     String node, long uptimeMicros, long sinceRenewalMicros, long echoedTimestampMicros) {
   /** The value for a renewal or a response that has not occurred yet. */
-  public static final long NONE = -1;
+  public static final long NOT_YET_OCCURRED = -1;
 }
--- a/src/main/java/org/dewreach/peer/PeerMessageCodec.java
+++ b/src/main/java/org/dewreach/peer/PeerMessageCodec.java
@@ -141,8 +141,8 @@
     return new DelegationRequest(
         body.path("node").asText(),
         body.path("up").asLong(0),
-        body.path("answered_ago").asLong(DelegationRequest.NONE),
-        body.path("echo").asLong(DelegationRequest.NONE));
+        body.path("answered_ago").asLong(DelegationRequest.NOT_YET_OCCURRED),
+        body.path("echo").asLong(DelegationRequest.NOT_YET_OCCURRED));
   }
 
   /** Encodes the response to a request for a delegation; a refusal consists of the term 0 alone. */
--- a/src/main/java/org/dewreach/placement/FreeCapacityIndex.java
+++ b/src/main/java/org/dewreach/placement/FreeCapacityIndex.java
@@ -13,7 +13,7 @@
  */
 final class FreeCapacityIndex {
   /** The amounts of an unavailable position; a negative amount does not even cover a need of 0. */
-  private static final double UNAVAILABLE = -1;
+  private static final double UNAVAILABLE_AMOUNT = -1;
 
   private int leafCount = 1;
   private double[] cpus = new double[2];
@@ -29,9 +29,9 @@
       memory = new double[2 * needed];
       gpus = new double[2 * needed];
     }
-    Arrays.fill(cpus, UNAVAILABLE);
-    Arrays.fill(memory, UNAVAILABLE);
-    Arrays.fill(gpus, UNAVAILABLE);
+    Arrays.fill(cpus, UNAVAILABLE_AMOUNT);
+    Arrays.fill(memory, UNAVAILABLE_AMOUNT);
+    Arrays.fill(gpus, UNAVAILABLE_AMOUNT);
   }
 
   /** Sets a leaf without updating its ancestors; {@link #build} must be called afterwards. */
@@ -51,7 +51,7 @@
 
   /** Marks a position as unavailable. */
   void remove(int position) {
-    set(position, UNAVAILABLE, UNAVAILABLE, UNAVAILABLE);
+    set(position, UNAVAILABLE_AMOUNT, UNAVAILABLE_AMOUNT, UNAVAILABLE_AMOUNT);
   }
 
   /** Sets a leaf and updates its ancestors. */
--- a/src/main/java/org/dewreach/placement/Quotas.java
+++ b/src/main/java/org/dewreach/placement/Quotas.java
@@ -11,7 +11,7 @@
  */
 public final class Quotas {
   /** Larger than the rounding errors of the sums to which tasks are added and subtracted. */
-  private static final double TOLERANCE = 1e-6;
+  private static final double USAGE_TOLERANCE = 1e-6;
 
   private final Map<String, Settings.Team> teams;
   private final Map<String, TeamUsage> usages = new HashMap<>();
@@ -33,10 +33,10 @@
       return 0;
     }
     TeamUsage usage = usages.getOrDefault(spec.team(), new TeamUsage());
-    double byCpu = (team.cpuQuota() - usage.cpus() + TOLERANCE) / spec.cpus();
+    double byCpu = (team.cpuQuota() - usage.cpus() + USAGE_TOLERANCE) / spec.cpus();
     double byGpu =
         spec.gpus() > 0
-            ? (team.gpuQuota() - usage.gpus() + TOLERANCE) / spec.gpus()
+            ? (team.gpuQuota() - usage.gpus() + USAGE_TOLERANCE) / spec.gpus()
             : Double.MAX_VALUE;
     return (int) Math.max(0, Math.min(maxTasks, Math.min(byCpu, byGpu)));
   }
--- a/src/main/java/org/dewreach/placement/SortFirstFit.java
+++ b/src/main/java/org/dewreach/placement/SortFirstFit.java
@@ -23,7 +23,7 @@
   private static final int MAX_FETCH_LIMIT_FACTOR = 4;
 
   /** The order of the list. */
-  public static final Comparator<Machine> ORDER =
+  public static final Comparator<Machine> MACHINE_ORDER =
       Comparator.comparingDouble((Machine m) -> m.type().cpus())
           .thenComparingDouble(m -> m.type().memoryGb())
           .reversed()
@@ -36,7 +36,7 @@
 
   /** Adds a machine, unless it is in the list already. */
   public void add(Machine machine) {
-    int at = Collections.binarySearch(machines, machine, ORDER);
+    int at = Collections.binarySearch(machines, machine, MACHINE_ORDER);
     if (at < 0) {
       machines.add(-at - 1, machine);
       indexesStale = true;
@@ -45,7 +45,7 @@
 
   /** Removes a machine, if it is in the list. */
   public void remove(Machine machine) {
-    int at = Collections.binarySearch(machines, machine, ORDER);
+    int at = Collections.binarySearch(machines, machine, MACHINE_ORDER);
     if (at >= 0) {
       machines.remove(at);
       indexesStale = true;
@@ -69,7 +69,7 @@
    * machine was uncordoned.
    */
   public void updateCapacity(Machine machine) {
-    int at = indexesStale ? -1 : Collections.binarySearch(machines, machine, ORDER);
+    int at = indexesStale ? -1 : Collections.binarySearch(machines, machine, MACHINE_ORDER);
     if (at < 0) {
       return;
     }
--- a/src/main/java/org/dewreach/request/ConcurrencyLimiter.java
+++ b/src/main/java/org/dewreach/request/ConcurrencyLimiter.java
@@ -24,7 +24,7 @@
   private static final long SLOW_REQUEST_MICROS = 1_500_000;
 
   private static final long MAX_DURATION_MICROS = 60_000_000;
-  private static final double MEDIAN = 50;
+  private static final double P50 = 50;
   private static final double P99 = 99;
 
   /**
@@ -92,7 +92,7 @@
         answered,
         toldToRetry,
         shed,
-        durations.getValueAtPercentile(MEDIAN),
+        durations.getValueAtPercentile(P50),
         durations.getValueAtPercentile(P99),
         durations.getMaxValue());
   }
--- a/src/main/java/org/dewreach/scheduling/Preemption.java
+++ b/src/main/java/org/dewreach/scheduling/Preemption.java
@@ -35,7 +35,7 @@
    * Minimum time between two passes: each one examines all machines, so it does not follow every
    * placement pass.
    */
-  private static final long INTERVAL_MICROS = 200_000;
+  private static final long MIN_PASS_INTERVAL_MICROS = 200_000;
 
   private final ClusterState clusterState;
   private long nextPassAt;
@@ -53,7 +53,7 @@
     if (unplaced.isEmpty() || nowMicros < nextPassAt) {
       return;
     }
-    nextPassAt = nowMicros + INTERVAL_MICROS;
+    nextPassAt = nowMicros + MIN_PASS_INTERVAL_MICROS;
     Set<Task> victims = new VictimSearch(nowMicros).victimsFor(unplaced);
     for (Task task : victims) {
       clusterState.stop(task, "preempted", nowMicros);
--- a/src/main/java/org/dewreach/wire/JobSpec.java
+++ b/src/main/java/org/dewreach/wire/JobSpec.java
@@ -56,17 +56,17 @@
 
   private static final int MAX_TASKS = 100_000;
 
-  private static final int MAX_NAMES = 100;
+  private static final int MAX_NAMES_PER_LIST = 100;
   private static final int MAX_NAME_LENGTH = 200;
 
   /** The total length of the names in a list; far more than the types of any zone need. */
   private static final int MAX_TOTAL_NAMES_LENGTH = 800;
 
-  private static final Pattern ID = Pattern.compile("req-[0-9A-Za-z]{1,40}");
+  private static final Pattern ID_PATTERN = Pattern.compile("req-[0-9A-Za-z]{1,40}");
 
   /** True if the text has the form of a job id; no job with another form can exist. */
   public static boolean isId(String text) {
-    return ID.matcher(text).matches();
+    return ID_PATTERN.matcher(text).matches();
   }
 
   /**
@@ -111,7 +111,7 @@
     if (Fields.absent(map, name)) {
       return null;
     }
-    if (!(map.get(name) instanceof ArrayNode list) || list.size() > MAX_NAMES) {
+    if (!(map.get(name) instanceof ArrayNode list) || list.size() > MAX_NAMES_PER_LIST) {
       throw new MalformedException(name, "short list expected");
     }
     List<String> names = new ArrayList<>(list.size());
--- a/src/test/java/org/dewreach/history/FinalStateWatcherTest.java
+++ b/src/test/java/org/dewreach/history/FinalStateWatcherTest.java
@@ -103,19 +103,19 @@
 
   @Test
   void mostRecentFinalStatesAreKept() {
-    for (int i = 0; i < 3 * FinalStates.MAX_RECENT; i++) {
+    for (int i = 0; i < 3 * FinalStates.MAX_RECENT_STATES; i++) {
       finalStates.addEnded("req-" + i, DONE);
     }
-    assertEquals(FinalStates.MAX_RECENT, finalStates.size());
-    assertNull(finalStates.get("req-" + (2 * FinalStates.MAX_RECENT - 1)));
-    assertEquals(DONE, finalStates.get("req-" + 2 * FinalStates.MAX_RECENT));
+    assertEquals(FinalStates.MAX_RECENT_STATES, finalStates.size());
+    assertNull(finalStates.get("req-" + (2 * FinalStates.MAX_RECENT_STATES - 1)));
+    assertEquals(DONE, finalStates.get("req-" + 2 * FinalStates.MAX_RECENT_STATES));
   }
 
   @Test
   void listedStatesAreEvictedBeforeNewerOnes() {
     finalStates.addEnded("req-early", DONE);
     finalStates.addListed("req-listed", DONE);
-    for (int i = 0; i < FinalStates.MAX_RECENT - 1; i++) {
+    for (int i = 0; i < FinalStates.MAX_RECENT_STATES - 1; i++) {
       finalStates.addEnded("req-" + i, DONE);
     }
     assertNull(finalStates.get("req-listed"));
--- a/src/test/java/org/dewreach/peer/PeerMessageCodecTest.java
+++ b/src/test/java/org/dewreach/peer/PeerMessageCodecTest.java
@@ -111,7 +111,8 @@
 
   @Test
   void delegationsRoundTrip() {
-    DelegationRequest request = new DelegationRequest("n2", 9, DelegationRequest.NONE, 4);
+    DelegationRequest request =
+        new DelegationRequest("n2", 9, DelegationRequest.NOT_YET_OCCURRED, 4);
     ObjectNode message = PeerMessageCodec.encode(request);
     assertEquals("{\"node\":\"n2\",\"up\":9,\"answered_ago\":-1,\"echo\":4}", message.toString());
     assertEquals(request, PeerMessageCodec.decodeDelegationRequest(message));
