--- a/src/main/java/org/dewreach/cli/Main.java
+++ b/src/main/java/org/dewreach/cli/Main.java
@@ -6,7 +6,7 @@
 import org.dewreach.config.SettingsException;
 import org.dewreach.config.SettingsReader;
 import org.dewreach.config.Tuning;
-import org.dewreach.net.Node;
+import org.dewreach.net.ControllerRuntime;
 import org.dewreach.script.ScriptReader;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -114,7 +114,7 @@
       return 0;
     }
     try {
-      new Node(settings, tuning, STARTED_NANOS).start();
+      new ControllerRuntime(settings, tuning, STARTED_NANOS).start();
       started = true;
       return 0;
     } catch (InterruptedException e) {
--- a/src/main/java/org/dewreach/net/Node.java
+++ b/src/main/java/org/dewreach/net/ControllerRuntime.java
@@ -20,15 +20,15 @@
 import org.slf4j.LoggerFactory;
 
 /** A running controller: the core on an event loop, with its servers and its clients. */
-public final class Node {
-  private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+public final class ControllerRuntime {
+  private static final Logger LOG = LoggerFactory.getLogger(ControllerRuntime.class);
   private static final long TICK_MS = 50;
 
   /** Exit status after an error in the core, as in sysexits.h. */
   private static final int EXIT_INTERNAL_ERROR = 70;
 
   /** A worker's connection without so many heartbeats in a row may be gone. */
-  private static final int SILENT_HEARTBEATS = 3;
+  private static final int EVICTABLE_IDLE_HEARTBEATS = 3;
 
   /** Calls to one host at a time; a watch occupies one of them. */
   private static final int MAX_CALLS_PER_HOST = 16;
@@ -43,7 +43,7 @@
   private static final int MAX_CALLS_PER_WORKER = 2;
 
   /** Sockets not counted one by one: listening, an operator's request, one just closed. */
-  private static final int OTHER_SOCKETS = 8;
+  private static final int RESERVED_SOCKETS = 8;
 
   /** Nothing listens there. */
   private static final Settings.Address UNREACHABLE = new Settings.Address("127.0.0.1", 1);
@@ -54,17 +54,18 @@
   private final HttpClient leadershipClient;
   private final HttpClient workerClient;
   private final Controller controller;
-  private final Map<String, Settings.Address> members = new HashMap<>();
-  private final Long2ObjectOpenHashMap<HttpServer.Reply> requests = new Long2ObjectOpenHashMap<>();
+  private final Map<String, Settings.Address> memberAddresses = new HashMap<>();
+  private final Long2ObjectOpenHashMap<HttpServer.ResponseSender> pendingResponses =
+      new Long2ObjectOpenHashMap<>();
   private final long startNanos;
-  private long lastRequest;
+  private long lastRequestId;
 
   /**
    * A controller.
    *
    * @param startNanos when this process started, on the steady clock: event time counts from there
    */
-  public Node(Settings settings, Tuning tuning, long startNanos) {
+  public ControllerRuntime(Settings settings, Tuning tuning, long startNanos) {
     this.settings = settings;
     this.startNanos = startNanos;
     this.loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -86,7 +87,7 @@
             + Long.toString(startNanos, Character.MAX_RADIX);
     this.controller =
         new Controller(settings, tuning, boot, new Random(boot.hashCode()), wallMicros - now());
-    settings.members().forEach(member -> members.put(member.name(), member.address()));
+    settings.members().forEach(member -> memberAddresses.put(member.name(), member.address()));
   }
 
   private long now() {
@@ -97,22 +98,25 @@
   public void start() throws InterruptedException {
     int members = settings.members().size();
     // Each of the others opens this many; a few more for operators and for closed ones in between.
-    int fromPeers = members * (MAX_CALLS_PER_HOST + MAX_LEADERSHIP_CALLS_PER_HOST) + OTHER_SOCKETS;
+    int fromPeers =
+        members * (MAX_CALLS_PER_HOST + MAX_LEADERSHIP_CALLS_PER_HOST) + RESERVED_SOCKETS;
     int forAuthority = (members + 1) * MAX_LEADERSHIP_CALLS_PER_HOST;
-    int toServices = (members + 2) * MAX_CALLS_PER_HOST + forAuthority + OTHER_SOCKETS;
+    int toServices = (members + 2) * MAX_CALLS_PER_HOST + forAuthority + RESERVED_SOCKETS;
     int fromClients =
-        Math.max(OTHER_SOCKETS, settings.limits().connectionsFromClients(fromPeers + toServices));
+        Math.max(
+            RESERVED_SOCKETS, settings.limits().connectionsFromClients(fromPeers + toServices));
     HttpServer clients =
         new HttpServer(
             BodyFormat.CBOR,
-            (m, p, b, r) -> request(Event.Source.PUBLIC, m, p, b, r),
+            (m, p, b, r) -> handleRequest(Event.Source.PUBLIC, m, p, b, r),
             fromClients,
             Math.max(
-                HttpServer.SILENT_MICROS, SILENT_HEARTBEATS * settings.workers().reportMicros()));
+                HttpServer.EVICTABLE_IDLE_MICROS,
+                EVICTABLE_IDLE_HEARTBEATS * settings.workers().reportMicros()));
     HttpServer peers =
         new HttpServer(
             BodyFormat.MESSAGE_PACK,
-            (m, p, b, r) -> request(Event.Source.PEER, m, p, b, r),
+            (m, p, b, r) -> handleRequest(Event.Source.PEER, m, p, b, r),
             fromPeers);
     peers.listen(loop, settings.internalListen());
     clients.listen(loop, settings.clientListen());
@@ -120,16 +124,20 @@
     LOG.info("controller started: node={} address={}", settings.name(), settings.clientListen());
   }
 
-  private void request(
-      Event.Source source, String method, String path, JsonNode body, HttpServer.Reply reply) {
-    long id = ++lastRequest;
-    requests.put(id, reply);
+  private void handleRequest(
+      Event.Source source,
+      String method,
+      String path,
+      JsonNode body,
+      HttpServer.ResponseSender reply) {
+    long id = ++lastRequestId;
+    pendingResponses.put(id, reply);
     handle(new Event.Request(id, source, method, path, body));
   }
 
   private void handle(Event event) {
     try {
-      controller.handle(now(), event).forEach(this::carryOut);
+      controller.handle(now(), event).forEach(this::execute);
     } catch (RuntimeException e) {
       // The cluster state may be half changed: ending here lets a clean start rebuild them.
       LOG.error(
@@ -138,11 +146,11 @@
     }
   }
 
-  private void carryOut(Effect effect) {
+  private void execute(Effect effect) {
     // Looked at again here: the process may have stood still since the effect was decided on.
     boolean tooLate = effect.notAfterMicros() != Effect.ANY_TIME && effect.tooLate(now());
     if (effect instanceof Effect.Respond respond) {
-      HttpServer.Reply reply = requests.remove(respond.requestId());
+      HttpServer.ResponseSender reply = pendingResponses.remove(respond.requestId());
       if (reply != null) {
         Effect.Respond sent = tooLate ? respond.instead() : respond;
         reply.send(sent.status(), sent.body(), sent.retryAfterS());
@@ -153,9 +161,9 @@
         return;
       }
       Target target = call.target();
-      client(call)
+      clientFor(call)
           .call(
-              address(target),
+              addressOf(target),
               target instanceof Target.Member ? BodyFormat.MESSAGE_PACK : BodyFormat.CBOR,
               call.method(),
               call.path(),
@@ -165,7 +173,7 @@
     }
   }
 
-  private HttpClient client(Effect.Call call) {
+  private HttpClient clientFor(Effect.Call call) {
     if (call.target() instanceof Target.Worker) {
       return workerClient;
     }
@@ -183,9 +191,9 @@
     }
   }
 
-  private Settings.Address address(Target target) {
+  private Settings.Address addressOf(Target target) {
     if (target instanceof Target.Member member) {
-      return members.get(member.name());
+      return memberAddresses.get(member.name());
     }
     if (target instanceof Target.Worker worker) {
       return workerAddress(worker.address());
--- a/src/main/java/org/dewreach/net/HttpClient.java
+++ b/src/main/java/org/dewreach/net/HttpClient.java
@@ -46,17 +46,17 @@
  */
 public final class HttpClient {
   /** Watches and machine lists may be long; far above anything these services are to send. */
-  private static final int MAX_RESPONSE = 8 * 1024 * 1024;
+  private static final int MAX_RESPONSE_BODY_BYTES = 8 * 1024 * 1024;
 
   /** Users' requests in progress, each of which waits for one call at a time, and our own. */
-  private static final int MAX_QUEUED = 500;
+  private static final int MAX_QUEUED_CALLS_PER_HOST = 500;
 
   private static final int CONNECT_TIMEOUT_MS = 3_000;
 
   /** How long a connection is kept without a call. */
-  private static final long IDLE_TIMEOUT_MICROS = 30_000_000;
+  private static final long IDLE_CONNECTION_TIMEOUT_MICROS = 30_000_000;
 
-  private static final long EXPIRY_CHECK_INTERVAL_MICROS = 5_000_000;
+  private static final long IDLE_CHECK_INTERVAL_MICROS = 5_000_000;
 
   /** Takes the outcome of a call; status 0 if no response came. */
   @FunctionalInterface
@@ -66,15 +66,15 @@
   }
 
   private final EventLoopGroup loop;
-  private final int maxPerHost;
-  private final int maxOpen;
+  private final int maxConnectionsPerHost;
+  private final int maxConnections;
   private final Map<Settings.Address, Pool> pools = new HashMap<>();
 
   /** Connections without a call, the one that has been so for longest first. */
-  private final Set<Connection> idle = new LinkedHashSet<>();
+  private final Set<Connection> idleConnections = new LinkedHashSet<>();
 
-  private int open;
-  private boolean expiryCheckScheduled;
+  private int openCount;
+  private boolean idleCheckScheduled;
 
   /**
    * A client.
@@ -83,8 +83,8 @@
    */
   public HttpClient(EventLoopGroup loop, int maxPerHost, int maxOpen) {
     this.loop = loop;
-    this.maxPerHost = maxPerHost;
-    this.maxOpen = maxOpen;
+    this.maxConnectionsPerHost = maxPerHost;
+    this.maxConnections = maxOpen;
   }
 
   /** Sends a request; the outcome comes later, on the event loop. */
@@ -100,38 +100,41 @@
     Pool pool = pools.computeIfAbsent(address, Pool::new);
     call.timer = loop.schedule(() -> pool.onTimeout(call), timeoutMicros, TimeUnit.MICROSECONDS);
     pool.submit(call);
-    if (!expiryCheckScheduled) {
-      expiryCheckScheduled = true;
-      loop.schedule(this::closeExpired, EXPIRY_CHECK_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
+    if (!idleCheckScheduled) {
+      idleCheckScheduled = true;
+      loop.schedule(
+          this::closeTimedOutConnections, IDLE_CHECK_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
     }
   }
 
   /** Closes what has been idle for long, and forgets hosts without connections. */
-  private void closeExpired() {
+  private void closeTimedOutConnections() {
     long now = System.nanoTime();
-    for (Connection connection : List.copyOf(idle)) {
-      if (now - connection.idleSinceNanos < TimeUnit.MICROSECONDS.toNanos(IDLE_TIMEOUT_MICROS)) {
+    for (Connection connection : List.copyOf(idleConnections)) {
+      if (now - connection.idleSinceNanos
+          < TimeUnit.MICROSECONDS.toNanos(IDLE_CONNECTION_TIMEOUT_MICROS)) {
         break;
       }
       connection.close();
     }
     pools.values().removeIf(Pool::isUnused);
-    expiryCheckScheduled = !pools.isEmpty();
-    if (expiryCheckScheduled) {
-      loop.schedule(this::closeExpired, EXPIRY_CHECK_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
+    idleCheckScheduled = !pools.isEmpty();
+    if (idleCheckScheduled) {
+      loop.schedule(
+          this::closeTimedOutConnections, IDLE_CHECK_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
     }
   }
 
   /** True if one more may be opened, for which the longest idle one makes way. */
-  private boolean makeRoom() {
-    if (open >= maxOpen && !idle.isEmpty()) {
-      idle.iterator().next().close();
+  private boolean ensureCapacity() {
+    if (openCount >= maxConnections && !idleConnections.isEmpty()) {
+      idleConnections.iterator().next().close();
     }
-    return open < maxOpen;
+    return openCount < maxConnections;
   }
 
   int openConnections() {
-    return open;
+    return openCount;
   }
 
   /** Decodes responses for one connection. */
@@ -148,8 +151,10 @@
           .pipeline()
           .addLast(
               new HttpClientCodec(
-                  HttpLimits.MAX_INITIAL_LINE, HttpLimits.MAX_HEADERS, HttpLimits.MAX_CHUNK))
-          .addLast(new HttpObjectAggregator(MAX_RESPONSE))
+                  HttpLimits.MAX_INITIAL_LINE_CHARS,
+                  HttpLimits.MAX_HEADER_CHARS,
+                  HttpLimits.MAX_CHUNK_BYTES))
+          .addLast(new HttpObjectAggregator(MAX_RESPONSE_BODY_BYTES))
           .addLast(connection);
     }
   }
@@ -163,7 +168,7 @@
     final ResponseHandler handler;
     ScheduledFuture<?> timer;
     Connection connection;
-    boolean ended;
+    boolean completed;
 
     Call(BodyFormat format, String method, String path, JsonNode body, ResponseHandler handler) {
       this.format = format;
@@ -173,9 +178,9 @@
       this.handler = handler;
     }
 
-    void end(int status, JsonNode answer) {
-      if (!ended) {
-        ended = true;
+    void complete(int status, JsonNode answer) {
+      if (!completed) {
+        completed = true;
         timer.cancel(false);
         handler.onResponse(status, answer);
       }
@@ -185,38 +190,38 @@
   /** The connections to one host. */
   private final class Pool {
     final Settings.Address address;
-    final Deque<Connection> free = new ArrayDeque<>();
-    final Deque<Call> queued = new ArrayDeque<>();
-    int connections;
+    final Deque<Connection> idleOfHost = new ArrayDeque<>();
+    final Deque<Call> queuedCalls = new ArrayDeque<>();
+    int connectionCount;
 
     Pool(Settings.Address address) {
       this.address = address;
     }
 
     boolean isUnused() {
-      return connections == 0 && queued.isEmpty();
+      return connectionCount == 0 && queuedCalls.isEmpty();
     }
 
     void submit(Call call) {
-      Connection connection = free.pollLast();
+      Connection connection = idleOfHost.pollLast();
       if (connection != null) {
-        idle.remove(connection);
+        idleConnections.remove(connection);
         connection.send(call);
-      } else if (connections < maxPerHost && makeRoom()) {
-        connections++;
-        open++;
+      } else if (connectionCount < maxConnectionsPerHost && ensureCapacity()) {
+        connectionCount++;
+        openCount++;
         connect(call);
-      } else if (connections > 0 && queued.size() < MAX_QUEUED) {
-        queued.add(call);
+      } else if (connectionCount > 0 && queuedCalls.size() < MAX_QUEUED_CALLS_PER_HOST) {
+        queuedCalls.add(call);
       } else {
         // Not at once: the caller may be in the middle of its own work.
-        loop.execute(() -> call.end(0, null));
+        loop.execute(() -> call.complete(0, null));
       }
     }
 
     void connect(Call call) {
       Connection connection = new Connection(this);
-      connection.current = call;
+      connection.currentCall = call;
       call.connection = connection;
       Bootstrap bootstrap =
           new Bootstrap()
@@ -231,7 +236,7 @@
       connection.channel.closeFuture().addListener(ignored -> connection.onClosed());
       future.addListener(
           connected -> {
-            if (connected.isSuccess() && !call.ended) {
+            if (connected.isSuccess() && !call.completed) {
               connection.send(call);
             } else if (connected.isSuccess()) {
               connection.release();
@@ -240,30 +245,30 @@
     }
 
     void onTimeout(Call call) {
-      queued.remove(call);
+      queuedCalls.remove(call);
       if (call.connection != null) {
         call.connection.close();
       }
-      call.end(0, null);
+      call.complete(0, null);
     }
 
     void onReleased(Connection connection) {
-      Call next = queued.poll();
+      Call next = queuedCalls.poll();
       if (next != null) {
         connection.send(next);
       } else {
-        free.addLast(connection);
-        idle.add(connection);
+        idleOfHost.addLast(connection);
+        idleConnections.add(connection);
         connection.idleSinceNanos = System.nanoTime();
       }
     }
 
     void onClosed(Connection connection) {
-      connections--;
-      open--;
-      free.remove(connection);
-      idle.remove(connection);
-      Call next = queued.poll();
+      connectionCount--;
+      openCount--;
+      idleOfHost.remove(connection);
+      idleConnections.remove(connection);
+      Call next = queuedCalls.poll();
       if (next != null) {
         submit(next);
       }
@@ -274,7 +279,7 @@
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final Pool pool;
     private Channel channel;
-    private Call current;
+    private Call currentCall;
     private boolean closed;
     private long idleSinceNanos;
 
@@ -283,7 +288,7 @@
     }
 
     void send(Call call) {
-      current = call;
+      currentCall = call;
       call.connection = this;
       byte[] content = call.format.encode(call.body);
       FullHttpRequest request =
@@ -299,7 +304,7 @@
     }
 
     void release() {
-      current = null;
+      currentCall = null;
       if (closed) {
         return;
       }
@@ -321,17 +326,17 @@
         return;
       }
       closed = true;
-      Call call = current;
-      current = null;
+      Call call = currentCall;
+      currentCall = null;
       pool.onClosed(this);
       if (call != null) {
-        call.end(0, null);
+        call.complete(0, null);
       }
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-      Call call = current;
+      Call call = currentCall;
       if (call == null) {
         close();
         return;
@@ -341,10 +346,10 @@
       if (HttpUtil.isKeepAlive(response)) {
         release();
       } else {
-        current = null;
+        currentCall = null;
         close();
       }
-      call.end(status, body);
+      call.complete(status, body);
     }
 
     @Override
--- a/src/main/java/org/dewreach/net/HttpServer.java
+++ b/src/main/java/org/dewreach/net/HttpServer.java
@@ -39,19 +39,19 @@
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
   /** Bytes of a request's body; longer ones are malformed. */
-  private static final int MAX_BODY = 64 * 1024;
+  private static final int MAX_REQUEST_BODY_BYTES = 64 * 1024;
 
   /**
    * Users poll about every 5 s and workers send heartbeats more often: silent for this long is
    * gone.
    */
-  private static final int IDLE_S = 90;
+  private static final int READ_TIMEOUT_S = 90;
 
   /**
    * Users poll about every 5 s, so one that has been silent for this long may be gone. A default of
    * this project.
    */
-  static final long SILENT_MICROS = 12_000_000;
+  static final long EVICTABLE_IDLE_MICROS = 12_000_000;
 
   /** Takes requests; the answer may come at once or later, on the event loop. */
   @FunctionalInterface
@@ -61,12 +61,12 @@
      *
      * @param body the decoded body; null if there was none or it could not be decoded
      */
-    void onRequest(String method, String path, JsonNode body, Reply reply);
+    void onRequest(String method, String path, JsonNode body, ResponseSender reply);
   }
 
   /** Sends the answer to one request. */
   @FunctionalInterface
-  public interface Reply {
+  public interface ResponseSender {
     /**
      * Answers the request.
      *
@@ -78,15 +78,15 @@
   private final BodyFormat format;
   private final Handler handler;
   private final int maxConnections;
-  private final long silentNanos;
+  private final long evictableIdleNanos;
   private int connections;
 
   /** Connections without a request in progress, the one that has been so for longest first. */
-  private final Set<ClientConnection> idle = new LinkedHashSet<>();
+  private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
 
   /** A server that lets a connection make way after the usual time. */
   public HttpServer(BodyFormat format, Handler handler, int maxConnections) {
-    this(format, handler, maxConnections, SILENT_MICROS);
+    this(format, handler, maxConnections, EVICTABLE_IDLE_MICROS);
   }
 
   /**
@@ -98,7 +98,7 @@
     this.format = format;
     this.handler = handler;
     this.maxConnections = maxConnections;
-    this.silentNanos = TimeUnit.MICROSECONDS.toNanos(silentMicros);
+    this.evictableIdleNanos = TimeUnit.MICROSECONDS.toNanos(silentMicros);
   }
 
   /** Starts listening; throws if the address cannot be had. */
@@ -124,7 +124,7 @@
   }
 
   private void accept(SocketChannel channel) {
-    if (connections >= maxConnections && !closeLongestIdle()) {
+    if (connections >= maxConnections && !evictLongestIdle()) {
       // The other sockets are for calls to workers, the key-value store and the cloud.
       channel.close();
       return;
@@ -137,15 +137,17 @@
         .addListener(
             future -> {
               connections--;
-              idle.remove(connection);
+              idleConnections.remove(connection);
             });
     channel
         .pipeline()
-        .addLast(new ReadTimeoutHandler(IDLE_S, TimeUnit.SECONDS))
+        .addLast(new ReadTimeoutHandler(READ_TIMEOUT_S, TimeUnit.SECONDS))
         .addLast(
             new HttpServerCodec(
-                HttpLimits.MAX_INITIAL_LINE, HttpLimits.MAX_HEADERS, HttpLimits.MAX_CHUNK))
-        .addLast(new Aggregator())
+                HttpLimits.MAX_INITIAL_LINE_CHARS,
+                HttpLimits.MAX_HEADER_CHARS,
+                HttpLimits.MAX_CHUNK_BYTES))
+        .addLast(new RequestAggregator())
         .addLast(connection);
   }
 
@@ -153,12 +155,12 @@
    * Closes the connection that has been silent for longest, if that is longer than users and
    * workers ever are. Guards against half-open and silent connections that keep others out.
    */
-  private boolean closeLongestIdle() {
-    if (idle.isEmpty()) {
+  private boolean evictLongestIdle() {
+    if (idleConnections.isEmpty()) {
       return false;
     }
-    ClientConnection longest = idle.iterator().next();
-    if (System.nanoTime() - longest.idleSinceNanos < silentNanos) {
+    ClientConnection longest = idleConnections.iterator().next();
+    if (System.nanoTime() - longest.idleSinceNanos < evictableIdleNanos) {
       return false;
     }
     longest.channel.close();
@@ -166,9 +168,9 @@
   }
 
   /** Collects a request, and refuses one that is too long as the protocol has it. */
-  private static final class Aggregator extends HttpObjectAggregator {
-    Aggregator() {
-      super(MAX_BODY);
+  private static final class RequestAggregator extends HttpObjectAggregator {
+    RequestAggregator() {
+      super(MAX_REQUEST_BODY_BYTES);
     }
 
     @Override
@@ -198,12 +200,12 @@
     /** No request is in progress here. */
     void markIdle() {
       idleSinceNanos = System.nanoTime();
-      idle.add(this);
+      idleConnections.add(this);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      idle.remove(this);
+      idleConnections.remove(this);
       boolean keepAlive = HttpUtil.isKeepAlive(request);
       if (request.decoderResult().isFailure()) {
         send(context, HttpStatus.BAD_REQUEST, null, 0, false);
