--- a/src/main/java/org/dewreach/net/BodyFormat.java
+++ b/src/main/java/org/dewreach/net/BodyFormat.java
@@ -5,11 +5,11 @@
 import org.dewreach.peer.MessagePackCodec;
 import org.dewreach.wire.Codec;
 
-/** How bodies are encoded on a connection. */
+/** The encodings of request and response bodies. */
 public enum BodyFormat {
-  /** CBOR, at the public interfaces. */
+  /** CBOR, for users, workers, the cloud and the key-value store. */
   CBOR("application/cbor", Codec::read, Codec::write),
-  /** MessagePack, between controllers. */
+  /** MessagePack, for requests between controllers and from operators. */
   MESSAGE_PACK("application/msgpack", MessagePackCodec::read, MessagePackCodec::write);
 
   /** Decodes a body. */
@@ -36,12 +36,12 @@
     return mediaType;
   }
 
-  /** The encoded body; empty for null. */
+  /** Returns the encoded body, which is empty for null. */
   byte[] encode(JsonNode body) {
     return body == null ? new byte[0] : encoder.encode(body);
   }
 
-  /** The decoded body, or null if it is empty or cannot be decoded. */
+  /** Returns the decoded body, or null if it is empty or cannot be decoded. */
   JsonNode decodeOrNull(byte[] body) {
     if (body.length == 0) {
       return null;
@@ -50,7 +50,7 @@
       JsonNode node = decoder.decode(body);
       return node == null || node.isMissingNode() ? null : node;
     } catch (IOException | RuntimeException e) {
-      // Decoders of untrusted bytes also throw unchecked; to the sender both are malformed.
+      // Decoders also throw unchecked exceptions on untrusted bytes; both mean a malformed body.
       return null;
     }
   }
--- a/src/main/java/org/dewreach/net/ControllerRuntime.java
+++ b/src/main/java/org/dewreach/net/ControllerRuntime.java
@@ -19,33 +19,40 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A running controller: the core on an event loop, with its servers and its clients. */
+/** Runs a {@link Controller} on an event loop, with its HTTP servers and clients. */
 public final class ControllerRuntime {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerRuntime.class);
   private static final long TICK_MS = 50;
 
-  /** Exit status after an error in the core, as in sysexits.h. */
+  /** The exit code after an error in the controller logic: EX_SOFTWARE of sysexits.h. */
   private static final int EXIT_INTERNAL_ERROR = 70;
 
-  /** A worker's connection without so many heartbeats in a row may be gone. */
+  /**
+   * The idle time, in heartbeat intervals, after which the connection of a worker may be evicted: a
+   * worker that missed this many heartbeats in a row may be gone.
+   */
   private static final int EVICTABLE_IDLE_HEARTBEATS = 3;
 
-  /** Calls to one host at a time; a watch occupies one of them. */
+  /** The maximum number of concurrent calls to one host; a watch occupies one of them. */
   private static final int MAX_CALLS_PER_HOST = 16;
 
   /**
-   * Calls to one host at a time that the lead depends on: the watch of the leader key, an extension
-   * of the hold, a read or claim, and the end of an earlier hold.
+   * The maximum number of concurrent calls to one host that leadership depends on: the watch of the
+   * leader key, a renewal of its lease, a read or claim of the key, and the revocation of an
+   * earlier lease.
    */
   private static final int MAX_LEADERSHIP_CALLS_PER_HOST = 4;
 
-  /** A command, and a status request. */
+  /** One direct command and one status request. */
   private static final int MAX_CALLS_PER_WORKER = 2;
 
-  /** Sockets not counted one by one: listening, an operator's request, one just closed. */
+  /**
+   * Sockets that are not accounted for one by one: listening sockets, operators' requests and
+   * connections that are just being closed.
+   */
   private static final int RESERVED_SOCKETS = 8;
 
-  /** Nothing listens there. */
+  /** An address on which nothing listens, so that calls to it fail. */
   private static final Settings.Address UNREACHABLE = new Settings.Address("127.0.0.1", 1);
 
   private final Settings settings;
@@ -61,9 +68,9 @@
   private long lastRequestId;
 
   /**
-   * A controller.
+   * Creates the runtime of a controller.
    *
-   * @param startNanos when this process started, on the steady clock: event time counts from there
+   * @param startNanos the start of this process by the monotonic clock, which is time 0 of events
    */
   public ControllerRuntime(Settings settings, Tuning tuning, long startNanos) {
     this.settings = settings;
@@ -71,14 +78,15 @@
     this.loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     int hosts = settings.members().size() + 2;
     this.serviceClient = new HttpClient(loop, MAX_CALLS_PER_HOST, hosts * MAX_CALLS_PER_HOST);
-    int electorate = settings.members().size() + 1;
+    int leadershipHosts = settings.members().size() + 1;
     this.leadershipClient =
         new HttpClient(
-            loop, MAX_LEADERSHIP_CALLS_PER_HOST, electorate * MAX_LEADERSHIP_CALLS_PER_HOST);
+            loop, MAX_LEADERSHIP_CALLS_PER_HOST, leadershipHosts * MAX_LEADERSHIP_CALLS_PER_HOST);
     this.workerClient =
         new HttpClient(loop, MAX_CALLS_PER_WORKER, settings.limits().connectionsToWorkers());
     long wallMicros = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
-    // Two processes of a node are told apart by their start; the clock alone may step back.
+    // Identifies this process among all processes of this node. The wall clock may step back, so
+    // its time alone is not unique.
     String boot =
         Long.toString(wallMicros, Character.MAX_RADIX)
             + "-"
@@ -94,21 +102,23 @@
     return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos);
   }
 
-  /** Starts serving. */
+  /** Starts the servers and the timer. */
   public void start() throws InterruptedException {
     int members = settings.members().size();
-    // Each of the others opens this many; a few more for operators and for closed ones in between.
+    // The connections that all other controllers may open, and a few more for operators and for
+    // connections that are just being closed.
     int fromPeers =
         members * (MAX_CALLS_PER_HOST + MAX_LEADERSHIP_CALLS_PER_HOST) + RESERVED_SOCKETS;
-    int forAuthority = (members + 1) * MAX_LEADERSHIP_CALLS_PER_HOST;
-    int toServices = (members + 2) * MAX_CALLS_PER_HOST + forAuthority + RESERVED_SOCKETS;
+    int leadershipConnections = (members + 1) * MAX_LEADERSHIP_CALLS_PER_HOST;
+    int toServices = (members + 2) * MAX_CALLS_PER_HOST + leadershipConnections + RESERVED_SOCKETS;
     int fromClients =
         Math.max(
             RESERVED_SOCKETS, settings.limits().connectionsFromClients(fromPeers + toServices));
     HttpServer clients =
         new HttpServer(
             BodyFormat.CBOR,
-            (m, p, b, r) -> handleRequest(Event.Source.PUBLIC, m, p, b, r),
+            (method, path, body, responseSender) ->
+                handleRequest(Event.Source.PUBLIC, method, path, body, responseSender),
             fromClients,
             Math.max(
                 HttpServer.EVICTABLE_IDLE_MICROS,
@@ -116,7 +126,8 @@
     HttpServer peers =
         new HttpServer(
             BodyFormat.MESSAGE_PACK,
-            (m, p, b, r) -> handleRequest(Event.Source.PEER, m, p, b, r),
+            (method, path, body, responseSender) ->
+                handleRequest(Event.Source.PEER, method, path, body, responseSender),
             fromPeers);
     peers.listen(loop, settings.internalListen());
     clients.listen(loop, settings.clientListen());
@@ -129,9 +140,9 @@
       String method,
       String path,
       JsonNode body,
-      HttpServer.ResponseSender reply) {
+      HttpServer.ResponseSender responseSender) {
     long id = ++lastRequestId;
-    pendingResponses.put(id, reply);
+    pendingResponses.put(id, responseSender);
     handle(new Event.Request(id, source, method, path, body));
   }
 
@@ -139,21 +150,23 @@
     try {
       controller.handle(now(), event).forEach(this::execute);
     } catch (RuntimeException e) {
-      // The cluster state may be half changed: ending here lets a clean start rebuild them.
-      LOG.error(
-          "controller failed, ending the process: event={}", event.getClass().getSimpleName(), e);
+      // The cluster state may be only partly updated; a new process loads it again from the
+      // key-value
+      // store.
+      LOG.error("controller failed, exiting: event={}", event.getClass().getSimpleName(), e);
       Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
     }
   }
 
   private void execute(Effect effect) {
-    // Looked at again here: the process may have stood still since the effect was decided on.
+    // Checked again here: the process may have been paused since the controller decided on the
+    // effect.
     boolean tooLate = effect.notAfterMicros() != Effect.ANY_TIME && effect.tooLate(now());
     if (effect instanceof Effect.Respond respond) {
-      HttpServer.ResponseSender reply = pendingResponses.remove(respond.requestId());
-      if (reply != null) {
-        Effect.Respond sent = tooLate ? respond.instead() : respond;
-        reply.send(sent.status(), sent.body(), sent.retryAfterS());
+      HttpServer.ResponseSender responseSender = pendingResponses.remove(respond.requestId());
+      if (responseSender != null) {
+        Effect.Respond response = tooLate ? respond.instead() : respond;
+        responseSender.send(response.status(), response.body(), response.retryAfterS());
       }
     } else if (effect instanceof Effect.Call call) {
       if (tooLate) {
@@ -180,7 +193,7 @@
     return call.pool() == ConnectionPool.LEADERSHIP ? leadershipClient : serviceClient;
   }
 
-  /** The address that a worker gave; if it is malformed, the call ends without a response. */
+  /** Parses the address that a worker sent; a call to a malformed one fails without a response. */
   private static Settings.Address workerAddress(String text) {
     int colon = text.lastIndexOf(':');
     try {
--- a/src/main/java/org/dewreach/net/HttpClient.java
+++ b/src/main/java/org/dewreach/net/HttpClient.java
@@ -35,33 +35,45 @@
 import org.dewreach.config.Settings;
 
 /**
- * Calls other hosts, with a bounded number of connections to each and to all of them.
+ * An HTTP client with a bounded number of connections per host and in total.
  *
- * <p>A connection is kept for the next call, but not for long, and it makes way for one to another
- * host when there are too many: machines come and go by the hundred, and those that vanish without
- * a word leave connections that nothing else would ever close.
+ * <p>Idle connections are reused, closed after a timeout, and closed earlier if the total limit is
+ * reached and a call to another host needs a connection: hundreds of machines come and go, and a
+ * machine that disappears without closing its connections leaves half-open ones, which nothing else
+ * would ever close.
  *
- * <p>Used on the event loop only. Every call ends with exactly one outcome, at the latest when its
- * time is up; the connection is then closed, since its answer could be taken for another's.
+ * <p>Not thread-safe: for use on the event loop only. Each call has exactly one outcome, at the
+ * latest at its timeout. A timeout closes the connection, because a late response could otherwise
+ * be taken for the response to the next call.
  */
 public final class HttpClient {
-  /** Watches and machine lists may be long; far above anything these services are to send. */
+  /**
+   * Far above the size of any valid response; watch responses and machine lists are the longest.
+   */
   private static final int MAX_RESPONSE_BODY_BYTES = 8 * 1024 * 1024;
 
-  /** Users' requests in progress, each of which waits for one call at a time, and our own. */
+  /**
+   * Enough for all user requests in progress, each of which waits for one call at a time, and for
+   * the calls that the controller itself makes.
+   */
   private static final int MAX_QUEUED_CALLS_PER_HOST = 500;
 
   private static final int CONNECT_TIMEOUT_MS = 3_000;
 
-  /** How long a connection is kept without a call. */
+  /** The time after which a connection without a call is closed. */
   private static final long IDLE_CONNECTION_TIMEOUT_MICROS = 30_000_000;
 
   private static final long IDLE_CHECK_INTERVAL_MICROS = 5_000_000;
 
-  /** Takes the outcome of a call; status 0 if no response came. */
+  /** Receives the outcome of a call. */
   @FunctionalInterface
   public interface ResponseHandler {
-    /** Called once per call. */
+    /**
+     * Called exactly once per call.
+     *
+     * @param status the HTTP status, or 0 if no response was received
+     * @param body the decoded body, or null if it is empty or cannot be decoded
+     */
     void onResponse(int status, JsonNode body);
   }
 
@@ -70,24 +82,27 @@
   private final int maxConnections;
   private final Map<Settings.Address, Pool> pools = new HashMap<>();
 
-  /** Connections without a call, the one that has been so for longest first. */
+  /** Connections without a call, the longest idle first. */
   private final Set<Connection> idleConnections = new LinkedHashSet<>();
 
   private int openCount;
   private boolean idleCheckScheduled;
 
   /**
-   * A client.
+   * Creates a client.
    *
-   * @param maxOpen connections to all hosts; a call beyond them ends without an answer at once
+   * @param maxConnectionsPerHost the maximum number of connections to one host; further calls to it
+   *     are queued
+   * @param maxConnections the maximum number of connections to all hosts; when all are in use, a
+   *     call to a host without a connection fails at once, with status 0
    */
-  public HttpClient(EventLoopGroup loop, int maxPerHost, int maxOpen) {
+  public HttpClient(EventLoopGroup loop, int maxConnectionsPerHost, int maxConnections) {
     this.loop = loop;
-    this.maxConnectionsPerHost = maxPerHost;
-    this.maxConnections = maxOpen;
+    this.maxConnectionsPerHost = maxConnectionsPerHost;
+    this.maxConnections = maxConnections;
   }
 
-  /** Sends a request; the outcome comes later, on the event loop. */
+  /** Sends a request; the handler is called later, on the event loop. */
   public void call(
       Settings.Address address,
       BodyFormat format,
@@ -107,7 +122,7 @@
     }
   }
 
-  /** Closes what has been idle for long, and forgets hosts without connections. */
+  /** Closes connections that were idle for too long, and removes the pools of unused hosts. */
   private void closeTimedOutConnections() {
     long now = System.nanoTime();
     for (Connection connection : List.copyOf(idleConnections)) {
@@ -125,7 +140,10 @@
     }
   }
 
-  /** True if one more may be opened, for which the longest idle one makes way. */
+  /**
+   * True if one more connection may be opened; if the limit is reached, the longest idle connection
+   * is closed for it.
+   */
   private boolean ensureCapacity() {
     if (openCount >= maxConnections && !idleConnections.isEmpty()) {
       idleConnections.iterator().next().close();
@@ -137,11 +155,11 @@
     return openCount;
   }
 
-  /** Decodes responses for one connection. */
-  private static final class ResponsePipeline extends ChannelInitializer<SocketChannel> {
+  /** Sets up the handlers of one connection. */
+  private static final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
     private final Connection connection;
 
-    ResponsePipeline(Connection connection) {
+    ConnectionInitializer(Connection connection) {
       this.connection = connection;
     }
 
@@ -159,7 +177,7 @@
     }
   }
 
-  /** A call that has no outcome yet, or had one. */
+  /** A call, queued, in progress or completed. */
   private static final class Call {
     final BodyFormat format;
     final String method;
@@ -178,16 +196,16 @@
       this.handler = handler;
     }
 
-    void complete(int status, JsonNode answer) {
+    void complete(int status, JsonNode response) {
       if (!completed) {
         completed = true;
         timer.cancel(false);
-        handler.onResponse(status, answer);
+        handler.onResponse(status, response);
       }
     }
   }
 
-  /** The connections to one host. */
+  /** The connections and queued calls to one host. */
   private final class Pool {
     final Settings.Address address;
     final Deque<Connection> idleOfHost = new ArrayDeque<>();
@@ -214,7 +232,8 @@
       } else if (connectionCount > 0 && queuedCalls.size() < MAX_QUEUED_CALLS_PER_HOST) {
         queuedCalls.add(call);
       } else {
-        // Not at once: the caller may be in the middle of its own work.
+        // Completed later, not from within call(): the handler would run in the middle of its
+        // caller.
         loop.execute(() -> call.complete(0, null));
       }
     }
@@ -230,7 +249,7 @@
               .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
               .option(ChannelOption.TCP_NODELAY, true)
               .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-              .handler(new ResponsePipeline(connection));
+              .handler(new ConnectionInitializer(connection));
       ChannelFuture future = bootstrap.connect(address.host(), address.port());
       connection.channel = future.channel();
       connection.channel.closeFuture().addListener(ignored -> connection.onClosed());
@@ -275,7 +294,7 @@
     }
   }
 
-  /** One connection; at most one call is on it. */
+  /** A connection, with at most one call in progress. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final Pool pool;
     private Channel channel;
--- a/src/main/java/org/dewreach/net/HttpServer.java
+++ b/src/main/java/org/dewreach/net/HttpServer.java
@@ -34,43 +34,47 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Serves one address. Requests on a connection are answered in order; none is pipelined. */
+/**
+ * An HTTP server for one address. Requests on a connection are answered in order; none is
+ * pipelined.
+ */
 public final class HttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-  /** Bytes of a request's body; longer ones are malformed. */
+  /** A longer request body is rejected as malformed. */
   private static final int MAX_REQUEST_BODY_BYTES = 64 * 1024;
 
   /**
-   * Users poll about every 5 s and workers send heartbeats more often: silent for this long is
-   * gone.
+   * A connection without a request for this long is closed as dead: users poll about every 5 s, and
+   * workers send heartbeats more often.
    */
   private static final int READ_TIMEOUT_S = 90;
 
   /**
-   * Users poll about every 5 s, so one that has been silent for this long may be gone. A default of
-   * this project.
+   * The idle time after which a connection may be closed in favor of a new one when the server has
+   * reached its connection limit. Users poll about every 5 s, so the client of one that was idle
+   * for this long may be gone.
    */
   static final long EVICTABLE_IDLE_MICROS = 12_000_000;
 
-  /** Takes requests; the answer may come at once or later, on the event loop. */
+  /** Handles requests. */
   @FunctionalInterface
   public interface Handler {
     /**
-     * Called once per request.
+     * Called once per request, on the event loop.
      *
      * @param body the decoded body; null if there was none or it could not be decoded
      */
-    void onRequest(String method, String path, JsonNode body, ResponseSender reply);
+    void onRequest(String method, String path, JsonNode body, ResponseSender responseSender);
   }
 
-  /** Sends the answer to one request. */
+  /** Sends the response to one request. */
   @FunctionalInterface
   public interface ResponseSender {
     /**
-     * Answers the request.
+     * Sends the response, on the event loop.
      *
-     * @param retryAfterS value of the Retry-After header, or 0 for none
+     * @param retryAfterS the value of the Retry-After header, or 0 for no header
      */
     void send(int status, JsonNode body, int retryAfterS);
   }
@@ -81,33 +85,35 @@
   private final long evictableIdleNanos;
   private int connections;
 
-  /** Connections without a request in progress, the one that has been so for longest first. */
+  /** Connections without a request in progress, the longest idle first. */
   private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
 
-  /** A server that lets a connection make way after the usual time. */
+  /** Creates a server whose connections may be evicted after {@link #EVICTABLE_IDLE_MICROS}. */
   public HttpServer(BodyFormat format, Handler handler, int maxConnections) {
     this(format, handler, maxConnections, EVICTABLE_IDLE_MICROS);
   }
 
   /**
-   * A server.
+   * Creates a server.
    *
-   * @param silentMicros when sockets run out, a connection that was silent for longer makes way
+   * @param evictableIdleMicros the idle time after which a connection may be closed in favor of a
+   *     new one when the connection limit is reached
    */
-  public HttpServer(BodyFormat format, Handler handler, int maxConnections, long silentMicros) {
+  public HttpServer(
+      BodyFormat format, Handler handler, int maxConnections, long evictableIdleMicros) {
     this.format = format;
     this.handler = handler;
     this.maxConnections = maxConnections;
-    this.evictableIdleNanos = TimeUnit.MICROSECONDS.toNanos(silentMicros);
+    this.evictableIdleNanos = TimeUnit.MICROSECONDS.toNanos(evictableIdleMicros);
   }
 
-  /** Starts listening; throws if the address cannot be had. */
+  /** Starts listening; throws an exception if the address cannot be bound. */
   public Channel listen(EventLoopGroup loop, Settings.Address address) throws InterruptedException {
     ServerBootstrap bootstrap =
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerSocketChannel.class)
-            // After the end of a leader all workers come at once.
+            // After a change of leader all workers connect at once.
             .option(ChannelOption.SO_BACKLOG, maxConnections)
             .option(ChannelOption.SO_REUSEADDR, true)
             .option(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
@@ -125,7 +131,8 @@
 
   private void accept(SocketChannel channel) {
     if (connections >= maxConnections && !evictLongestIdle()) {
-      // The other sockets are for calls to workers, the key-value store and the cloud.
+      // The rest of the machine's connection limit is for calls to workers, the key-value store
+      // and the cloud.
       channel.close();
       return;
     }
@@ -152,8 +159,11 @@
   }
 
   /**
-   * Closes the connection that has been silent for longest, if that is longer than users and
-   * workers ever are. Guards against half-open and silent connections that keep others out.
+   * Closes the longest idle connection if it was idle for longer than the connection of a live user
+   * or worker is. Returns true if there is room for a new connection.
+   *
+   * <p>Guards against half-open and idle connections that use up the limit and lock out workers and
+   * health checks.
    */
   private boolean evictLongestIdle() {
     if (idleConnections.isEmpty()) {
@@ -167,7 +177,7 @@
     return connections < maxConnections;
   }
 
-  /** Collects a request, and refuses one that is too long as the protocol has it. */
+  /** Aggregates a request, and rejects one that is too long with the status of the protocol. */
   private static final class RequestAggregator extends HttpObjectAggregator {
     RequestAggregator() {
       super(MAX_REQUEST_BODY_BYTES);
@@ -175,7 +185,7 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
-      // The protocol calls this malformed (400), where HTTP would say 413.
+      // The protocol specifies 400 (malformed) here, not 413 as is usual in HTTP.
       FullHttpResponse response = response(HttpResponseStatus.BAD_REQUEST, Unpooled.EMPTY_BUFFER);
       response.headers().set(HttpHeaderNames.CONNECTION, "close");
       context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
@@ -188,7 +198,7 @@
     return response;
   }
 
-  /** The requests of one client connection. */
+  /** Handles the requests of one client connection. */
   private final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final Channel channel;
     private long idleSinceNanos;
@@ -197,7 +207,7 @@
       this.channel = channel;
     }
 
-    /** No request is in progress here. */
+    /** Records that no request is in progress on this connection. */
     void markIdle() {
       idleSinceNanos = System.nanoTime();
       idleConnections.add(this);
@@ -216,11 +226,16 @@
           request.method().name(),
           request.uri(),
           body,
-          (status, answer, retryAfterS) -> send(context, status, answer, retryAfterS, keepAlive));
+          (status, response, retryAfterS) ->
+              send(context, status, response, retryAfterS, keepAlive));
     }
 
     private void send(
-        ChannelHandlerContext context, int status, JsonNode body, int retryAfterS, boolean keep) {
+        ChannelHandlerContext context,
+        int status,
+        JsonNode body,
+        int retryAfterS,
+        boolean keepAlive) {
       byte[] content = format.encode(body);
       FullHttpResponse response =
           response(HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(content));
@@ -228,14 +243,14 @@
       if (retryAfterS > 0) {
         response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterS);
       }
-      if (!keep) {
+      if (!keepAlive) {
         response.headers().set(HttpHeaderNames.CONNECTION, "close");
       }
       if (channel.isActive()) {
         markIdle();
       }
       var sent = context.writeAndFlush(response);
-      if (!keep) {
+      if (!keepAlive) {
         sent.addListener(ChannelFutureListener.CLOSE);
       }
     }
--- a/src/main/java/org/dewreach/net/package-info.java
+++ b/src/main/java/org/dewreach/net/package-info.java
@@ -1,8 +1,8 @@
 /**
- * HTTP over Netty's NIO transport: one event loop serves requests, sends requests and runs the
- * core.
+ * HTTP servers and clients on Netty's NIO transport, and the event loop that runs the controller.
  *
- * <p>One thread means no locks and few context switches, which a small share of a CPU asks for. No
- * other package but {@code cli} does network I/O or reads clocks.
+ * <p>A single event loop thread accepts requests, sends requests and runs the controller logic: a
+ * controller has a small share of a CPU, and one thread needs no locks and few context switches.
+ * Only this package and {@code cli} do network I/O or read clocks.
  */
 package org.dewreach.net;
--- a/src/test/java/org/dewreach/compatibility/package-info.java
+++ b/src/test/java/org/dewreach/compatibility/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Characterization tests: what the controller puts on the wire and stores, compared with fixtures.
+ * Characterization tests, which compare the messages and stored records of a controller with
+ * fixtures.
  *
- * <p>A controller is driven through its events and effects alone. Only {@link
- * org.dewreach.compatibility.ControllerUnderTest} and the tests of the settings name types of the
- * sources, so that these tests outlive a renaming of the rest.
+ * <p>They drive a controller only through its events and effects. Only {@link
+ * org.dewreach.compatibility.ControllerUnderTest} and the tests of the settings refer to types of
+ * the main sources, so that refactoring the rest needs no change here.
  */
 package org.dewreach.compatibility;
