--- a/src/test/java/org/dewreach/sim/package-info.java
+++ b/src/test/java/org/dewreach/sim/package-info.java
@@ -1,7 +1,9 @@
 /**
- * A simulated cluster around the real core: state service, cloud, workers, users and network.
+ * A deterministic simulation of a cluster: the production controllers with a simulated key-value
+ * store, cloud, workers, users and network.
  *
- * <p>Everything is drawn from one seed, so a failing run is played again by its seed. The checker
- * keeps its own cluster state from what workers do and what users are told.
+ * <p>All random choices come from one seed, so a failing run can be reproduced from its seed. The
+ * checker keeps its own view of the cluster, from the tasks that workers run and the responses that
+ * users receive.
  */
 package org.dewreach.sim;
