--- a/src/main/java/org/dewreach/cli/ClassLoadingRun.java
+++ b/src/main/java/org/dewreach/cli/ClassLoadingRun.java
@@ -84,8 +84,9 @@
     try {
       loadOwnClasses();
       Settings settings = SettingsReader.parse(SETTINGS);
-      Controller core = new Controller(settings, Tuning.DEFAULT, "class-loading", new Random(1), 0);
-      core.handle(0, new Event.Tick());
+      Controller controller =
+          new Controller(settings, Tuning.DEFAULT, "class-loading", new Random(1), 0);
+      controller.handle(0, new Event.Tick());
       exchangeRequests();
     } catch (IOException
         | URISyntaxException
@@ -122,7 +123,7 @@
         HttpServer server =
             new HttpServer(
                 format,
-                (method, path, body, reply) -> reply.send(HttpStatus.OK, body, 1),
+                (method, path, body, responseSender) -> responseSender.send(HttpStatus.OK, body, 1),
                 MAX_CONNECTIONS);
         Channel channel = server.listen(loop, new Settings.Address("127.0.0.1", 0));
         int port = ((InetSocketAddress) channel.localAddress()).getPort();
--- a/src/main/java/org/dewreach/config/Settings.java
+++ b/src/main/java/org/dewreach/config/Settings.java
@@ -52,7 +52,11 @@
 
   /** A team's guarantee and quota; a quota of 0 in the file means none, and is infinite here. */
   public record Team(
-      String name, double guaranteedCpus, double cpusMax, double guaranteedGpus, double gpusMax) {}
+      String name,
+      double guaranteedCpus,
+      double cpuQuota,
+      double guaranteedGpus,
+      double gpuQuota) {}
 
   /** What an objective requires. */
   public enum ObjectiveKind {
@@ -147,13 +151,13 @@
 
   /** Limits of the key-value store. */
   public record StoreLimits(
-      double rps, double writeRps, int maxValueBytes, int maxTransactionOps) {}
+      double requestsPerSecond, double writesPerSecond, int maxValueBytes, int maxTransactionOps) {}
 
   /** The cloud's rate limit, and the delay of its machine list. */
-  public record CloudLimits(double rps, long listLagMicros) {}
+  public record CloudLimits(double requestsPerSecond, long listLagMicros) {}
 
   /** Limits of the machine that the controller runs on. */
-  public record HostLimits(double cpuShare, double ramMb, int maxConnections) {
+  public record HostLimits(double cpuShare, double memoryMb, int maxConnections) {
     /** One in this many connections is for commands to workers. */
     private static final int CONNECTIONS_TO_WORKERS_DIVISOR = 8;
 
--- a/src/main/java/org/dewreach/config/SettingsReader.java
+++ b/src/main/java/org/dewreach/config/SettingsReader.java
@@ -29,16 +29,16 @@
 
   // Bounds of plausible values; a number outside them is taken for a typing error.
   private static final double MAX_AMOUNT = 1e9;
-  private static final double MAX_TIME_BOUND_MS = 3_600_000;
+  private static final double MAX_CLOCK_SKEW_MS = 3_600_000;
   private static final double MAX_OBJECTIVE_VALUE = 1e6;
   private static final double MAX_DURATION_S = 3600;
-  private static final double MIN_REPORT_S = 0.01;
+  private static final double MIN_HEARTBEAT_INTERVAL_S = 0.01;
   private static final double MIN_LEASE_S = 0.1;
-  private static final double MIN_CANCEL_S = 0.1;
-  private static final double MAX_CANCEL_S = 36_000;
+  private static final double MIN_CANCELLATION_S = 0.1;
+  private static final double MAX_CANCELLATION_S = 36_000;
   private static final double MAX_VALUE_KB = 1e5;
-  private static final double MAX_TXN_OPS = 1e6;
-  private static final double MIN_CLOUD_RPS = 0.01;
+  private static final double MAX_TRANSACTION_OPS = 1e6;
+  private static final double MIN_CLOUD_REQUESTS_PER_SECOND = 0.01;
   private static final double MIN_CPU_SHARE = 0.001;
   private static final double MAX_CPU_SHARE = 1024;
   private static final double MIN_CONNECTIONS = 16;
@@ -87,13 +87,13 @@
         external.address("cloud"),
         external.address("state"),
         cluster.texts("zones"),
-        Math.round(cluster.number("time_bound_ms", 0, MAX_TIME_BOUND_MS) * MICROS_PER_MS),
+        Math.round(cluster.number("time_bound_ms", 0, MAX_CLOCK_SKEW_MS) * MICROS_PER_MS),
         teams(cluster),
         objectives(cluster),
         workers(cluster.section("workers")),
-        state(cluster.section("state")),
-        cloud(cluster.section("cloud")),
-        limits(cluster.section("machine_limits")));
+        storeLimits(cluster.section("state")),
+        cloudLimits(cluster.section("cloud")),
+        hostLimits(cluster.section("machine_limits")));
   }
 
   private static List<Settings.Member> members(Section top, String self) throws SettingsException {
@@ -151,30 +151,30 @@
   private static Settings.WorkerSettings workers(Section section) throws SettingsException {
     Settings.WorkerSettings workers =
         new Settings.WorkerSettings(
-            section.micros("report_s", MIN_REPORT_S, MAX_DURATION_S),
+            section.micros("report_s", MIN_HEARTBEAT_INTERVAL_S, MAX_DURATION_S),
             section.micros("lease_s", MIN_LEASE_S, MAX_DURATION_S),
-            section.micros("cancel_s", MIN_CANCEL_S, MAX_CANCEL_S));
+            section.micros("cancel_s", MIN_CANCELLATION_S, MAX_CANCELLATION_S));
     if (workers.leaseMicros() <= workers.heartbeatIntervalMicros()) {
       throw section.invalid("lease_s", "must be more than report_s");
     }
     return workers;
   }
 
-  private static Settings.StoreLimits state(Section section) throws SettingsException {
+  private static Settings.StoreLimits storeLimits(Section section) throws SettingsException {
     return new Settings.StoreLimits(
         section.number("rps", 1, MAX_AMOUNT),
         section.number("write_rps", 1, MAX_AMOUNT),
         (int) (section.number("value_kb", 1, MAX_VALUE_KB) * BYTES_PER_KB),
-        (int) section.number("txn_ops", 1, MAX_TXN_OPS));
+        (int) section.number("txn_ops", 1, MAX_TRANSACTION_OPS));
   }
 
-  private static Settings.CloudLimits cloud(Section section) throws SettingsException {
+  private static Settings.CloudLimits cloudLimits(Section section) throws SettingsException {
     return new Settings.CloudLimits(
-        section.number("rps", MIN_CLOUD_RPS, MAX_AMOUNT),
+        section.number("rps", MIN_CLOUD_REQUESTS_PER_SECOND, MAX_AMOUNT),
         section.micros("list_lag_s", 0, MAX_DURATION_S));
   }
 
-  private static Settings.HostLimits limits(Section section) throws SettingsException {
+  private static Settings.HostLimits hostLimits(Section section) throws SettingsException {
     return new Settings.HostLimits(
         section.number("cpu_share", MIN_CPU_SHARE, MAX_CPU_SHARE),
         section.number("ram_mb", 1, MAX_AMOUNT),
@@ -254,20 +254,20 @@
       return List.copyOf(texts);
     }
 
-    double number(String name, double least, double most) throws SettingsException {
+    double number(String name, double min, double max) throws SettingsException {
       JsonNode value = require(name);
       if (!value.isNumber()) {
         throw invalid(name, "number expected");
       }
       double number = value.doubleValue();
-      if (!(number >= least && number <= most)) {
-        throw invalid(name, "must be between " + least + " and " + most);
+      if (!(number >= min && number <= max)) {
+        throw invalid(name, "must be between " + min + " and " + max);
       }
       return number;
     }
 
-    long micros(String name, double leastS, double mostS) throws SettingsException {
-      return Math.round(number(name, leastS, mostS) * MICROS_PER_SECOND);
+    long micros(String name, double minS, double maxS) throws SettingsException {
+      return Math.round(number(name, minS, maxS) * MICROS_PER_SECOND);
     }
 
     Settings.Address address(String name) throws SettingsException {
--- a/src/main/java/org/dewreach/controller/ControllerServices.java
+++ b/src/main/java/org/dewreach/controller/ControllerServices.java
@@ -41,7 +41,7 @@
   static ControllerServices create(
       Settings settings, Tuning tuning, Outbox outbox, long wallOffsetMicros) {
     KeyValueStore store = new KeyValueStore(outbox);
-    CloudClient cloud = new CloudClient(outbox, settings.cloudLimits().rps());
+    CloudClient cloud = new CloudClient(outbox, settings.cloudLimits().requestsPerSecond());
     return new ControllerServices(
         settings,
         tuning,
--- a/src/main/java/org/dewreach/controller/TermComponents.java
+++ b/src/main/java/org/dewreach/controller/TermComponents.java
@@ -115,7 +115,7 @@
   }
 
   private CommitQueue newCommitQueue(LeadershipControl control) {
-    double writeRps = settings.storeLimits().writeRps() * WRITE_RATE_SHARE;
+    double writeRps = settings.storeLimits().writesPerSecond() * WRITE_RATE_SHARE;
     return new CommitQueue(
         services.store(),
         new Precondition(Keys.LEADER, term),
--- a/src/main/java/org/dewreach/net/ControllerRuntime.java
+++ b/src/main/java/org/dewreach/net/ControllerRuntime.java
@@ -161,15 +161,15 @@
   private void execute(Effect effect) {
     // Checked again here: the process may have been paused since the controller decided on the
     // effect.
-    boolean tooLate = effect.notAfterMicros() != Effect.NO_EXPIRY && effect.isExpired(now());
+    boolean expired = effect.notAfterMicros() != Effect.NO_EXPIRY && effect.isExpired(now());
     if (effect instanceof Effect.Respond respond) {
       HttpServer.ResponseSender responseSender = pendingResponses.remove(respond.requestId());
       if (responseSender != null) {
-        Effect.Respond response = tooLate ? respond.expiredResponse() : respond;
+        Effect.Respond response = expired ? respond.expiredResponse() : respond;
         responseSender.send(response.status(), response.body(), response.retryAfterS());
       }
     } else if (effect instanceof Effect.Call call) {
-      if (tooLate) {
+      if (expired) {
         loop.execute(() -> handle(call.unsentReply()));
         return;
       }
--- a/src/main/java/org/dewreach/placement/Quotas.java
+++ b/src/main/java/org/dewreach/placement/Quotas.java
@@ -33,10 +33,10 @@
       return 0;
     }
     TeamUsage usage = usages.getOrDefault(spec.team(), new TeamUsage());
-    double byCpu = (team.cpusMax() - usage.cpus() + TOLERANCE) / spec.cpus();
+    double byCpu = (team.cpuQuota() - usage.cpus() + TOLERANCE) / spec.cpus();
     double byGpu =
         spec.gpus() > 0
-            ? (team.gpusMax() - usage.gpus() + TOLERANCE) / spec.gpus()
+            ? (team.gpuQuota() - usage.gpus() + TOLERANCE) / spec.gpus()
             : Double.MAX_VALUE;
     return (int) Math.max(0, Math.min(maxTasks, Math.min(byCpu, byGpu)));
   }
--- a/src/main/java/org/dewreach/request/JobLookup.java
+++ b/src/main/java/org/dewreach/request/JobLookup.java
@@ -54,7 +54,7 @@
     this.jobImporter = jobImporter;
     this.store = store;
     this.finalStates = finalStates;
-    double rps = settings.storeLimits().rps() * STORE_RATE_SHARE;
+    double rps = settings.storeLimits().requestsPerSecond() * STORE_RATE_SHARE;
     this.readBudget = new TokenBucket(rps, rps);
   }
 
--- a/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
+++ b/src/main/java/org/dewreach/request/LeaderlessRequestHandler.java
@@ -71,9 +71,9 @@
     this.bootId = bootId;
     this.clock = clock;
     this.wallOffsetMicros = wallOffsetMicros;
-    double readRps = settings.storeLimits().rps() * STORE_RATE_SHARE;
+    double readRps = settings.storeLimits().requestsPerSecond() * STORE_RATE_SHARE;
     this.reader = new StoredJobReader(store, finalStates, readRps, clock);
-    double writeRps = settings.storeLimits().writeRps() * STORE_RATE_SHARE;
+    double writeRps = settings.storeLimits().writesPerSecond() * STORE_RATE_SHARE;
     this.writeBudget = new TokenBucket(writeRps, writeRps);
   }
 
--- a/src/main/java/org/dewreach/script/ScriptReader.java
+++ b/src/main/java/org/dewreach/script/ScriptReader.java
@@ -151,27 +151,32 @@
   }
 
   private static Tuning tuning(LuaTable table) throws SettingsException {
-    Tuning base = Tuning.DEFAULT;
+    Tuning defaults = Tuning.DEFAULT;
     for (LuaValue key : table.keys()) {
       if (!FIELDS.contains(key.tojstring())) {
         throw new SettingsException("script." + key.tojstring() + ": unknown name");
       }
     }
     return new Tuning(
-        micros(table, "idle_kept_s", base.idleTimeoutMicros(), 0, MAX_DURATION_S),
-        micros(table, "least_paid_s", base.minRentalMicros(), 0, MAX_DURATION_S),
-        micros(table, "work_off_s", base.backlogHorizonMicros(), 1, MAX_DURATION_S),
-        micros(table, "long_wait_s", base.maxSpotWaitMicros(), 1, MAX_DURATION_S),
-        number(table, "moved_share", base.maxMigrationShare(), 0, MAX_MIGRATION_SHARE, ""),
+        micros(table, "idle_kept_s", defaults.idleTimeoutMicros(), 0, MAX_DURATION_S),
+        micros(table, "least_paid_s", defaults.minRentalMicros(), 0, MAX_DURATION_S),
+        micros(table, "work_off_s", defaults.backlogHorizonMicros(), 1, MAX_DURATION_S),
+        micros(table, "long_wait_s", defaults.maxSpotWaitMicros(), 1, MAX_DURATION_S),
+        number(table, "moved_share", defaults.maxMigrationShare(), 0, MAX_MIGRATION_SHARE, ""),
         number(
-            table, "headroom_spreads", base.headroomDeviations(), 0, MAX_HEADROOM_DEVIATIONS, ""),
-        lanes(table.get("lanes")));
+            table,
+            "headroom_spreads",
+            defaults.headroomDeviations(),
+            0,
+            MAX_HEADROOM_DEVIATIONS,
+            ""),
+        startWithinByJobClass(table.get("lanes")));
   }
 
-  private static Map<String, Long> lanes(LuaValue value) throws SettingsException {
-    Map<String, Long> within = new HashMap<>();
+  private static Map<String, Long> startWithinByJobClass(LuaValue value) throws SettingsException {
+    Map<String, Long> startWithinMicros = new HashMap<>();
     if (value.isnil()) {
-      return within;
+      return startWithinMicros;
     }
     if (!value.istable()) {
       throw new SettingsException("script.lanes: table expected");
@@ -196,31 +201,32 @@
               0,
               MAX_DURATION_S,
               "lanes." + key.tojstring() + ".");
-      within.put(key.tojstring(), Math.round(seconds * MICROS_PER_SECOND));
+      startWithinMicros.put(key.tojstring(), Math.round(seconds * MICROS_PER_SECOND));
     }
-    return Map.copyOf(within);
+    return Map.copyOf(startWithinMicros);
   }
 
-  private static long micros(LuaTable table, String name, long base, double least, double most)
+  private static long micros(
+      LuaTable table, String name, long defaultMicros, double min, double max)
       throws SettingsException {
     return Math.round(
-        number(table, name, base / MICROS_PER_SECOND, least, most, "") * MICROS_PER_SECOND);
+        number(table, name, defaultMicros / MICROS_PER_SECOND, min, max, "") * MICROS_PER_SECOND);
   }
 
   private static double number(
-      LuaTable table, String name, double base, double least, double most, String prefix)
+      LuaTable table, String name, double defaultValue, double min, double max, String prefix)
       throws SettingsException {
     LuaValue value = table.get(name);
     if (value.isnil()) {
-      return base;
+      return defaultValue;
     }
     String path = "script." + prefix + name;
     if (value.type() != LuaValue.TNUMBER) {
       throw new SettingsException(path + ": number expected");
     }
     double number = value.todouble();
-    if (!(number >= least && number <= most)) {
-      throw new SettingsException(path + ": must be between " + least + " and " + most);
+    if (!(number >= min && number <= max)) {
+      throw new SettingsException(path + ": must be between " + min + " and " + max);
     }
     return number;
   }
